--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -34,17 +34,17 @@
   // flood at the door would look calm and the pool would grow into it.
   newest_unread = sec(now - r.reached) / sec(target(r));
   arrival_ratio = std::max(arrival_ratio, newest_unread);
-  r.over_share = share_spent(in.tenant);
+  r.over_share = quota_exhausted(in.tenant);
   // Guards against a repeat read just before the kill, which no timer could still answer.
   if (drain_from && now >= last_answer()) return refuse(r, false);
   if (in.repeats && may_reuse(r)) return reuse(r);
-  if (const auto reason = refusal(r)) {
+  if (const auto reason = shed_reason(r)) {
     const bool pressed = *reason == Reason::waits_too_long || *reason == Reason::over_share;
     refuse(r, (pressed && persistent_overload()) || *reason == Reason::too_late,
            pressed ? std::min(s.max_advice.value_or(Duration{}), target(r)) : Duration{});
     return;
   }
-  if (!r.over_share) take_share(in.tenant);
+  if (!r.over_share) consume_quota(in.tenant);
   if (c.effect == Effect::once_by_key) remember(r, c.window - (now - r.reached));
   set_due_timer(r);
 }
@@ -52,7 +52,7 @@
 // Past D_drop the least worth goes first, even with a core free: where requests wait unread, the queue is
 // outside the hold and its order can't be chosen. Guards against serving the patient classes and losing the
 // hasty ones; the part taken follows the waits as the pool does. Ties are broken by chance.
-bool AdmissionController::Impl::under_the_bar(Request& r) {
+bool AdmissionController::Impl::below_admission_threshold(Request& r) {
   const double own = value(r);
   const bool under = admitted < 1 && recent_values.size() >= kValues / 2 && rank_by_worth(own) < 1 - admitted;
   recent_values.push_back(own);
@@ -67,7 +67,7 @@
   return (under + ties * drawn) / double(recent_values.size());
 }
 
-std::optional<AdmissionController::Impl::Reason> AdmissionController::Impl::refusal(Request& r) {
+std::optional<AdmissionController::Impl::Reason> AdmissionController::Impl::shed_reason(Request& r) {
   const auto& c = cls(r);
   if (drain_from &&
       (r.reached > *drain_from + s.drain_grace.value_or(Duration{}) || now + time_needed(r) > last_answer()))
@@ -75,7 +75,7 @@
   const auto key = c.effect == Effect::once_by_key ? key_units : 0;
   if (memory_in_use() + key > memory_limit || !memory_leaves_a_run(r, key)) return Reason::no_memory;
   if (now >= r.useful_until && c.late_worth <= 0) return Reason::too_late;
-  if (under_the_bar(r)) return Reason::waits_too_long;
+  if (below_admission_threshold(r)) return Reason::waits_too_long;
   if (count(Phase::running) < int(limit) && count(Phase::held) <= 1) return std::nullopt;
   if (oldest_wait(r.in.cls) > kDropRatio * sec(target(r))) return Reason::waits_too_long;
   // By what the cores can do, not by the oldest wait: guards against a burst that is taken while the hold
@@ -106,19 +106,19 @@
 // The allowance counts what clients ask of the service: a tier further in sees calls and can't apply it,
 // and what is refused has used none of it (guards against retries and calls reading as traffic over a
 // share).
-bool AdmissionController::Impl::share_spent(TenantId tenant) const {
+bool AdmissionController::Impl::quota_exhausted(TenantId tenant) const {
   const auto i = std::size_t(tenant);
   return s.layer.value_or(0) < 1 && i < tenants.size() && tenants[i].tokens < 1;
 }
 
-void AdmissionController::Impl::take_share(TenantId tenant) {
+void AdmissionController::Impl::consume_quota(TenantId tenant) {
   if (const auto i = std::size_t(tenant); i < tenants.size())
     tenants[i].tokens = std::max(tenants[i].tokens - 1, 0.0);
 }
 
 // Two seconds' worth; where that is few requests, more, or chance alone would read as traffic over a share.
 // The price: a share that is overrun is noticed later.
-void AdmissionController::Impl::refill_shares() {
+void AdmissionController::Impl::refill_quotas() {
   const double passed = sec(now - last_refill);
   last_refill = now;
   for (auto& t : tenants)
@@ -143,12 +143,12 @@
 void AdmissionController::Impl::remember(Request& r, Duration keep) {
   keep += update_every;  // past the window's end, never short of it
   if (keep.count() <= 0) return;
-  entries[r.in.id] = now + keep;
+  cached_results[r.in.id] = now + keep;
   act(Remember{r.in.id, keep});
 }
 
 void AdmissionController::Impl::drop_expired_entries() {
-  std::erase_if(entries, [&](const auto& e) { return e.second < now; });
+  std::erase_if(cached_results, [&](const auto& e) { return e.second < now; });
 }
 
 }  // namespace granitegap
--- a/src/policy/controller.cpp
+++ b/src/policy/controller.cpp
@@ -24,10 +24,10 @@
   if (e.token != kUpdateToken) return answer_due(e.token);
   if (e.core_use && std::isfinite(*e.core_use)) core_use = std::clamp(*e.core_use, 0.0, 1.0);
   if (e.on_cores && std::isfinite(*e.on_cores)) on_cores = std::clamp(*e.on_cores, 0.0, 1e6);
-  refill_shares();
+  refill_quotas();
   drop_expired_entries();
   forget_quiet_callers();
-  drop_hopeless();
+  shed_hopeless();
   update_limit();
   update_pool();
   pause_long_runs();
@@ -47,7 +47,7 @@
   for (const auto& event : events) std::visit([&](const auto& e) { on(e); }, event);
   note_calls();  // calls that ended too: guards against reading a quick call as in hand until the next one
   make_calls();
-  run_held();
+  start_queued();
   advertise();
   return std::move(out);
 }
--- a/src/policy/controller_state.h
+++ b/src/policy/controller_state.h
@@ -30,7 +30,7 @@
   Settings s;
   TimePoint now, born;
   std::mt19937_64 random;
-  double cores = 1, overload = 1, cold_from = 1, run_factor = 1, servers = 1, told_callers = 1;
+  double cores = 1, overload = 1, cold_from = 1, run_factor = 1, servers = 1, configured_callers = 1;
   double call_share = 0;
   std::int64_t memory_limit = 0, key_units = 0;
   Duration update_every{}, slack{}, call_window{}, call_linger{};
@@ -40,12 +40,13 @@
   std::vector<ClassState> classes;
   std::vector<TenantState> tenants;
   std::map<RequestId, Request> requests;
-  std::map<RequestId, TimePoint> entries;  // the table of remembered requests and when each expires
+  std::map<RequestId, TimePoint> cached_results;  // the table of remembered requests and when each expires
   std::map<std::uint32_t, RequestId> due_timers;
   std::map<CallerId, TimePoint> callers;
   std::vector<Action> out;
   std::uint32_t next_token = 1;
-  double pool = 0, limit = 0, worst_ratio = 0, arrival_ratio = 0, decreases = 0, said = -1, core_use = -1;
+  double pool = 0, limit = 0, worst_ratio = 0, arrival_ratio = 0, decreases = 0, advertised_credit = -1,
+         core_use = -1;
   double newest_unread = 0, unread_ratio = 0;  // unread wait over D_t: the newest arrival's, a smoothed one
   double admitted = 1;               // part of what arrives that is taken, by worth; under 1 in deep overload
   std::deque<double> recent_values;  // of arrivals, newest last
@@ -57,7 +58,7 @@
   double on_cores = 0, paced_crowd = 0;  // the gauge; its mean over the runs that make up the pace
   double best_pace = 0;                  // the least that the pace has been
   std::size_t paced_runs = 0;
-  std::optional<TimePoint> off_list_until;
+  std::optional<TimePoint> unhealthy_until;
   std::optional<TimePoint> drain_from, stop_at;
   std::deque<std::pair<TimePoint, int>> call_history;  // calls in hand from that time on
   std::deque<TimePoint> lingering;                     // when abandoned calls leave the dependency's hands
@@ -112,7 +113,7 @@
   static double decrease(double ratio);
   double weight_of_update(double over) const;
   void update_pool();
-  void mind_the_list();
+  void update_endpoint_health();
   double crowding() const;
   void note_regime();
   bool persistent_overload() const;
@@ -125,19 +126,19 @@
   void fail(Request& r);
   static bool off_the_cores(const Request& r);
   void end_answer(Request& r);
-  void give_up(Request& r, bool last);
+  void reject_or_fail(Request& r, bool last);
   void stop_work(Request& r);
 
   // ---- Arrivals ----
   void on(const RequestArrived& in);
-  bool under_the_bar(Request& r);
+  bool below_admission_threshold(Request& r);
   double rank_by_worth(double own);
   enum class Reason { leaving, no_memory, too_late, waits_too_long, over_share };
-  std::optional<Reason> refusal(Request& r);
+  std::optional<Reason> shed_reason(Request& r);
   double oldest_wait(ClassId id) const;
-  bool share_spent(TenantId tenant) const;
-  void take_share(TenantId tenant);
-  void refill_shares();
+  bool quota_exhausted(TenantId tenant) const;
+  void consume_quota(TenantId tenant);
+  void refill_quotas();
 
   // ---- Repeats ----
   bool may_reuse(const Request& r);
@@ -153,10 +154,10 @@
 
   // ---- Runs: order of the hold, run limit ----
   void update_limit();
-  Request* best_to_run();
-  void run_held();
+  Request* next_to_run();
+  void start_queued();
   void begin(Request& r);
-  void drop_hopeless();
+  void shed_hopeless();
   void on(const RunEnded& e);
   void learn(Request& r);
   void pause_long_runs();
--- a/src/policy/credit_pool.cpp
+++ b/src/policy/credit_pool.cpp
@@ -20,7 +20,7 @@
 }
 
 double AdmissionController::Impl::floor_of_pool() const {
-  return limit + std::max(told_callers, active_callers());
+  return limit + std::max(configured_callers, active_callers());
 }
 
 // Room for every active caller to double what the busiest of them has here: a hot caller is never held back
@@ -71,23 +71,23 @@
   admitted = drop > 1 ? std::max(admitted * decrease(drop), kLeastAdmitted)
                       : std::min(admitted + kAdmitStep * sec(update_every), 1.0);
   note_regime();
-  mind_the_list();
+  update_endpoint_health();
 }
 
 // A machine that turns slow reads slowly too: what deaf callers send it waits unread, where nothing here
 // can refuse it in time, and only the list can keep it away. Never for waits alone: in an overload that all
 // share, those that left would only add to the others' load. After a while it tries again, on new waits.
-void AdmissionController::Impl::mind_the_list() {
+void AdmissionController::Impl::update_endpoint_health() {
   if (drain_from || !s.list_follows.value_or(false)) return;
-  if (off_list_until && now < *off_list_until) return;
+  if (unhealthy_until && now < *unhealthy_until) return;
   const bool slow = paced_runs >= kPaceRuns && pace > kSlowed * best_pace * crowding();
-  if (slow && unread_ratio > kDropRatio && !off_list_until) {
-    off_list_until = now + kOffTheList;
+  if (slow && unread_ratio > kDropRatio && !unhealthy_until) {
+    unhealthy_until = now + kOffTheList;
     act(SetHealth{true, false});
     log("slow: off the list for a while, pace " + std::to_string(pace / best_pace) +
         " of its best on a crowd of " + std::to_string(paced_crowd / cores) + " a core");
-  } else if (off_list_until) {
-    off_list_until.reset();
+  } else if (unhealthy_until) {
+    unhealthy_until.reset();
     newest_unread = unread_ratio = 0;
     act(SetHealth{true, true});
   }
@@ -108,7 +108,7 @@
 }
 
 // As in the paper, successive decreases tell persistent overload from a spike. Only then are callers asked
-// not to go elsewhere: elsewhere is likely the same, and each refusal costs a reading.
+// not to go elsewhere: elsewhere is likely the same, and each rejection costs a reading.
 bool AdmissionController::Impl::persistent_overload() const { return decreases > kPersistent; }
 
 void AdmissionController::Impl::advertise() {
@@ -117,10 +117,10 @@
   if (worst_ratio <= 1) credit = std::max(credit, 1.0);
   // All callers together, those that have not come yet too: guards against a cold server that falls by the
   // sum of what each was offered.
-  if (warmth() < 1) credit = std::min(credit, crowd() / std::max(told_callers, active_callers()));
+  if (warmth() < 1) credit = std::min(credit, crowd() / std::max(configured_callers, active_callers()));
   credit = takes_work() ? credit * offered : 0;
-  if (said >= 0 && std::abs(credit - said) < 0.02 * said) return;
-  said = credit;
+  if (advertised_credit >= 0 && std::abs(credit - advertised_credit) < 0.02 * advertised_credit) return;
+  advertised_credit = credit;
   act(AdvertiseCredit{credit});
 }
 
--- a/src/policy/deadlines.cpp
+++ b/src/policy/deadlines.cpp
@@ -21,7 +21,7 @@
   if (it == due_timers.end()) return;
   auto* r = find(it->second);
   due_timers.erase(it);
-  if (r && !r->answered && !r->gone) give_up(*r, false);
+  if (r && !r->answered && !r->gone) reject_or_fail(*r, false);
 }
 
 TimePoint AdmissionController::Impl::last_answer() const {
--- a/src/policy/downstream_calls.cpp
+++ b/src/policy/downstream_calls.cpp
@@ -92,7 +92,7 @@
   const auto left = std::min(r.useful_until, r.due) - now;
   const bool may_skip = cls(r).skip_worth > 0;
   const bool spent = r.call_may_have_run && (once(r) || r.call_tries >= kCallTries);
-  if (spent && !may_skip) return give_up(r, true);
+  if (spent && !may_skip) return reject_or_fail(r, true);
   if (may_skip && (spent || left < 2 * run_time(r.in))) {
     enter(r, Phase::running);
     return act(SkipCall{r.in.id});
--- a/src/policy/estimates.cpp
+++ b/src/policy/estimates.cpp
@@ -104,7 +104,7 @@
 // ---- Memory: held + run_factor x running + keys ----
 
 double AdmissionController::Impl::memory_of(bool held_only) const {
-  double sum = double(key_units) * double(entries.size());
+  double sum = double(key_units) * double(cached_results.size());
   for (const auto& [id, r] : requests) {
     const bool held = r.phase == Phase::held;
     if (held || !held_only) sum += double(units(r.in.memory)) * (held ? 1 : run_factor);
--- a/src/policy/final_answers.cpp
+++ b/src/policy/final_answers.cpp
@@ -10,7 +10,7 @@
 // ---- Ending requests: one final answer each ----
 
 void AdmissionController::Impl::forget_entry(Request& r) {
-  if (!r.ran && entries.erase(r.in.id)) act(Forget{r.in.id});
+  if (!r.ran && cached_results.erase(r.in.id)) act(Forget{r.in.id});
 }
 
 void AdmissionController::Impl::refuse(Request& r, bool last, Duration keep_off) {
@@ -38,7 +38,7 @@
     stop_work(r);
 }
 
-void AdmissionController::Impl::give_up(Request& r, bool last) {
+void AdmissionController::Impl::reject_or_fail(Request& r, bool last) {
   if (r.ran || r.phase == Phase::reusing)
     fail(r);
   else
--- a/src/policy/run_queue.cpp
+++ b/src/policy/run_queue.cpp
@@ -22,7 +22,7 @@
   limit = std::clamp(limit, cores, std::max(cores, crowd() * kLimitCrowdShare));
 }
 
-Request* AdmissionController::Impl::best_to_run() {
+Request* AdmissionController::Impl::next_to_run() {
   Request* best = nullptr;
   double best_score = -1;
   for (auto& [id, r] : requests) {
@@ -33,9 +33,9 @@
   return best;
 }
 
-void AdmissionController::Impl::run_held() {
+void AdmissionController::Impl::start_queued() {
   while (count(Phase::running) < int(limit) && begun() < std::max(1.0, std::floor(crowd() * kCrowdShare))) {
-    auto* r = best_to_run();
+    auto* r = next_to_run();
     if (!r) return;
     if (r->phase == Phase::held && !memory_for_run(*r)) return;
     begin(*r);
@@ -53,7 +53,7 @@
 }
 
 // A held request that can no longer earn anything goes; so does a run past its use, which keeps a core.
-void AdmissionController::Impl::drop_hopeless() {
+void AdmissionController::Impl::shed_hopeless() {
   for (auto it = requests.begin(); it != requests.end();) {
     auto& r = (it++)->second;
     if (r.answered || r.gone) {
@@ -62,7 +62,8 @@
     }
     if (r.phase == Phase::reusing || cls(r).late_worth > 0) continue;
     const bool late = now >= r.useful_until;
-    if (r.phase == Phase::held ? late || now + time_needed(r) / 2 > r.useful_until : late) give_up(r, true);
+    if (r.phase == Phase::held ? late || now + time_needed(r) / 2 > r.useful_until : late)
+      reject_or_fail(r, true);
   }
 }
 
@@ -101,7 +102,7 @@
 // Pause: long runs make way for work worth more per expected work (heavy tails).
 void AdmissionController::Impl::pause_long_runs() {
   if (suspend != SuspendKind::pause || count(Phase::running) < int(limit)) return;
-  auto* next = best_to_run();
+  auto* next = next_to_run();
   if (!next || (next->phase == Phase::held && !memory_for_run(*next))) return;
   Request* longest = nullptr;
   for (auto& [id, r] : requests) {
--- a/src/policy/settings_defaults.cpp
+++ b/src/policy/settings_defaults.cpp
@@ -23,7 +23,7 @@
   };
   cores = std::floor(take(s.cores, 1, 1, "cores"));
   servers = take(s.servers, 1, 1, "servers");
-  told_callers = std::min(take(s.callers, 1, 1, "callers"), 1e6);
+  configured_callers = std::min(take(s.callers, 1, 1, "callers"), 1e6);
   overload = take(s.overload_factor, 1, 2, "overload_factor");
   cold_from = std::clamp(take(s.cold_from, 0, 0.1, "cold_from"), 0.0, 1.0);
   run_factor = take(s.run_factor, 1, 16, "run_factor");
