--- a/bench/micro.cpp
+++ b/bench/micro.cpp
@@ -23,7 +23,7 @@
 #include <nlohmann/json.hpp>
 #include <unordered_map>
 
-#include "deps/gatherer.h"
+#include "deps/scatter_gather.h"
 #include "handover/shared_table.h"
 #include "snapshot/snapshot.h"
 
@@ -78,7 +78,7 @@
 // One request's gather, begun, called, ended, settled and released, while four calls of others are open to
 // each dependency it asks.
 void play_gather(benchmark::State& state, const char* name, bool all) {
-  Gatherer g(spec(all), options.seed);
+  ScatterGather g(spec(all), options.seed);
   std::mt19937_64 random(options.seed);
   TimePoint now(std::chrono::seconds(1000));
   std::uint32_t next = 1;
@@ -87,7 +87,7 @@
   std::size_t first = 0, last = 0;
   const std::size_t others = 4 * options.dependencies;
   const auto body = std::make_shared<const std::string>("812");
-  const Gatherer::Facts facts{0, "route", "route-profile"};
+  const ScatterGather::RequestAttributes facts{0, "route", "route-profile"};
   auto with = facts;
   const auto one = [&] {
     now += Duration(500);
@@ -209,7 +209,7 @@
 
 // ---- The largest that can be learned: what the io thread does for a snapshot, and what the disk's thread
 // does ----
-Gatherer& full_gatherer() {
+ScatterGather& full_gatherer() {
   static auto gatherer = [] {
     auto spec = std::make_shared<Spec>();
     spec->cache_bytes = std::size_t(64) << 20;
@@ -228,7 +228,7 @@
       g.parts.push_back(part);
     }
     spec->gathers.push_back(g);
-    Gatherer full(spec, options.seed);
+    ScatterGather full(spec, options.seed);
     const TimePoint now(std::chrono::hours(2));
     learned::Learned what;
     for (std::size_t n = 0; n < 100000; ++n)
--- a/src/deps/path_template.cpp
+++ b/src/deps/path_template.cpp
@@ -59,21 +59,21 @@
   return t;
 }
 
-bool PathTemplate::fill(const PathFacts& facts, std::string& to, std::size_t most) const {
+bool PathTemplate::fill(const PathVariables& variables, std::string& to, std::size_t most) const {
   const auto start = to.size();
   for (const auto& piece : pieces_) {
     to += piece.literal;
-    if (piece.hole == Hole::obj) encode_hex(facts.obj, to);
-    if (piece.hole == Hole::body) encode(facts.body.substr(0, most), to);
-    if (piece.hole == Hole::cls) encode(facts.cls, to);
-    if (piece.hole == Hole::needed) encode(facts.needed.substr(0, most), to);
+    if (piece.hole == Hole::obj) encode_hex(variables.obj, to);
+    if (piece.hole == Hole::body) encode(variables.body.substr(0, most), to);
+    if (piece.hole == Hole::cls) encode(variables.cls, to);
+    if (piece.hole == Hole::needed) encode(variables.needed.substr(0, most), to);
     if (to.size() - start > most) return false;
   }
   // What was cut would be another path than the one meant.
-  const bool cut = facts.body.size() > most || facts.needed.size() > most;
+  const bool cut = variables.body.size() > most || variables.needed.size() > most;
   return !cut || std::none_of(pieces_.begin(), pieces_.end(), [&](const auto& p) {
-    return (p.hole == Hole::body && facts.body.size() > most) ||
-           (p.hole == Hole::needed && facts.needed.size() > most);
+    return (p.hole == Hole::body && variables.body.size() > most) ||
+           (p.hole == Hole::needed && variables.needed.size() > most);
   });
 }
 
--- a/src/deps/path_template.h
+++ b/src/deps/path_template.h
@@ -9,7 +9,7 @@
 
 namespace granitegap::deps {
 
-struct PathFacts {
+struct PathVariables {
   std::uint64_t obj = 0;  // what a read is about
   std::string_view body, cls, needed;
 };
@@ -23,7 +23,7 @@
   static std::variant<PathTemplate, Bad> parse(std::string_view text);
   // Appends; whatever is filled in is percent-encoded, so that no request can end its path, name another host
   // or add a header. False where it grows over `most` bytes.
-  bool fill(const PathFacts& facts, std::string& to, std::size_t most = 2048) const;
+  bool fill(const PathVariables& variables, std::string& to, std::size_t most = 2048) const;
   bool uses_needed() const;
 
  private:
--- a/src/deps/gatherer.cpp
+++ b/src/deps/scatter_gather.cpp
@@ -1,4 +1,4 @@
-#include "deps/gatherer.h"
+#include "deps/scatter_gather.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,20 +8,20 @@
 
 constexpr std::uint32_t kSamplesForTimeout = 10, kSamplesForHedge = 20;
 constexpr double kTimeoutQuantile = 0.99;
-constexpr double kFairTry =
+constexpr double kFairAttemptMedians =
     1.5;  // median times a try must have had for its timeout to be held against anyone
-constexpr std::uint32_t kUsualSamples = 16;  // new ones after which what is usual is looked up anew
-constexpr Duration kUsualLasts = std::chrono::milliseconds(50);
+constexpr std::uint32_t kSamplesPerSummary = 16;  // new samples after which the summary is computed anew
+constexpr Duration kSummaryLifetime = std::chrono::milliseconds(50);
 constexpr std::size_t kFailures = 1024;
 constexpr Duration kLeastAsked = std::chrono::milliseconds(5);  // under it another member is not asked
 constexpr std::size_t kHotLooked = 2048;  // kept answers: looked at in well under a millisecond
-constexpr unsigned kTryBits = 4, kSlotBits = 24;
+constexpr unsigned kAttemptBits = 4, kSlotBits = 24;
 
 std::uint64_t hash_of(RequestId id) { return std::uint64_t(id); }
 
 }  // namespace
 
-Gatherer::Dependency::Dependency(const DependencySpec& s)
+ScatterGather::Dependency::Dependency(const DependencySpec& s)
     : spec(s),
       endpoints(s),
       limit(s.least_open, s.most_open),
@@ -30,7 +30,7 @@
   name_endpoints();
 }
 
-void Gatherer::Dependency::name_endpoints() {
+void ScatterGather::Dependency::name_endpoints() {
   fleet_keys.clear();
   for (std::uint32_t i = 0; i < endpoints.places(); ++i) {
     const auto& a = endpoints.address(i);
@@ -38,33 +38,33 @@
   }
 }
 
-void Gatherer::Dependency::note_probe(std::uint32_t endpoint, bool out, TimePoint now) {
+void ScatterGather::Dependency::note_probe(std::uint32_t endpoint, bool out, TimePoint now) {
   const auto key = fleet_keys[endpoint];
   std::erase_if(probed, [&](const auto& p) { return p.key == key || now - p.at >= 4 * spec.probe_most; });
   probed.push_back({key, now, out});
 }
 
-void Gatherer::Dependency::heard(Duration took, TimePoint now) {
+void ScatterGather::Dependency::heard(Duration took, TimePoint now) {
   latency.add(took, now);
-  ++since_usual;
+  ++samples_since_summary;
 }
 
-const Gatherer::Usual& Gatherer::Dependency::usual_now(TimePoint now) {
-  if (since_usual < kUsualSamples && now - usual_at < kUsualLasts) return usual;
-  since_usual = 0;
-  usual_at = now;
+const ScatterGather::LatencySummary& ScatterGather::Dependency::latency_summary(TimePoint now) {
+  if (samples_since_summary < kSamplesPerSummary && now - summary_taken_at < kSummaryLifetime) return summary;
+  samples_since_summary = 0;
+  summary_taken_at = now;
   // The median of a window follows a change by seconds, the mean of the newest answers within a few: guards
   // against slowness read as failure.
-  usual.median = latency.quantile(0.5, now, kSamplesForTimeout).value_or(Duration{});
-  if (usual.median.count() > 0) usual.median = std::max(usual.median, limit.recent());
-  usual.high = latency.quantile(kTimeoutQuantile, now, kSamplesForTimeout).value_or(Duration{});
-  usual.hedge = spec.hedge_after > 0
-                    ? latency.quantile(spec.hedge_after, now, kSamplesForHedge).value_or(Duration{})
-                    : Duration{};
-  return usual;
+  summary.median = latency.quantile(0.5, now, kSamplesForTimeout).value_or(Duration{});
+  if (summary.median.count() > 0) summary.median = std::max(summary.median, limit.recent());
+  summary.high = latency.quantile(kTimeoutQuantile, now, kSamplesForTimeout).value_or(Duration{});
+  summary.hedge = spec.hedge_after > 0
+                      ? latency.quantile(spec.hedge_after, now, kSamplesForHedge).value_or(Duration{})
+                      : Duration{};
+  return summary;
 }
 
-Gatherer::Gatherer(std::shared_ptr<const Spec> spec, std::uint64_t seed, bool guarded)
+ScatterGather::ScatterGather(std::shared_ptr<const Spec> spec, std::uint64_t seed, bool guarded)
     : guarded_(guarded),
       hash_seed_(mix_bits(seed + 1)),
       random_(seed),
@@ -73,7 +73,8 @@
   loaded_ = load(std::move(spec), TimePoint{});
 }
 
-std::shared_ptr<const Gatherer::Loaded> Gatherer::load(std::shared_ptr<const Spec> spec, TimePoint now) {
+std::shared_ptr<const ScatterGather::Loaded> ScatterGather::load(std::shared_ptr<const Spec> spec,
+                                                                 TimePoint now) {
   auto fresh = std::make_shared<Loaded>();
   for (const auto& d : spec->dependencies) {
     const auto known =
@@ -123,23 +124,23 @@
   return fresh;
 }
 
-void Gatherer::change(std::shared_ptr<const Spec> spec, TimePoint now) {
+void ScatterGather::change(std::shared_ptr<const Spec> spec, TimePoint now) {
   loaded_ = load(std::move(spec), now);
 }
 
-bool Gatherer::gathers(ClassId cls) const {
+bool ScatterGather::gathers(ClassId cls) const {
   const auto i = std::size_t(cls);
   return i < loaded_->gather_of.size() && loaded_->gather_of[i] >= 0;
 }
 
-Gatherer::Slot Gatherer::find_gather(RequestId id) const {
+ScatterGather::Slot ScatterGather::find_gather(RequestId id) const {
   return by_request_.find(hash_of(id), [&](Slot s) { return gathers_[s].id == id; });
 }
 
 // ---- Gathers ----
 
-void Gatherer::begin(RequestId id, ClassId cls, const Facts& facts, Duration budget, bool may_call,
-                     TimePoint now) {
+void ScatterGather::begin(RequestId id, ClassId cls, const RequestAttributes& attributes, Duration budget,
+                          bool may_call, TimePoint now) {
   if (!gathers(cls) || find_gather(id) != kNone) return;
   const Slot slot = new_gather(id, loaded_, std::size_t(loaded_->gather_of[std::size_t(cls)]));
   auto& g = gathers_[slot];
@@ -147,15 +148,16 @@
   g.began = now;
   g.deadline = now + (guarded_ ? std::clamp(budget, Duration{}, spec.budget) : std::max(budget, Duration{}));
   g.may_call = may_call;
-  g.obj = facts.obj;
-  g.body.assign(facts.body);
-  g.cls.assign(facts.cls);
+  g.obj = attributes.obj;
+  g.body.assign(attributes.body);
+  g.cls.assign(attributes.cls);
   if (g.pending == 0) return finish(slot, true, now);
   for (std::uint32_t p = 0; p < g.parts.size() && !g.over; ++p)
     if (!spec.parts[p].needs) start_part(slot, p, now);
 }
 
-Gatherer::Slot Gatherer::new_gather(RequestId id, std::shared_ptr<const Loaded> loaded, std::size_t which) {
+ScatterGather::Slot ScatterGather::new_gather(RequestId id, std::shared_ptr<const Loaded> loaded,
+                                              std::size_t which) {
   if (free_gathers_.empty()) {
     gathers_.emplace_back();
     free_gathers_.push_back(Slot(gathers_.size() - 1));
@@ -174,7 +176,7 @@
   return slot;
 }
 
-bool Gatherer::fill(RequestId id, const FillQuestion& q, TimePoint now) {
+bool ScatterGather::fill(RequestId id, const FillQuestion& q, TimePoint now) {
   const auto& declared = loaded_->spec->dependencies;
   const auto d = std::find_if(declared.begin(), declared.end(),
                               [&](const auto& spec) { return spec.name == q.dependency; });
@@ -192,23 +194,23 @@
   return true;
 }
 
-void Gatherer::start_part(Slot slot, std::uint32_t number, TimePoint now) {
+void ScatterGather::start_part(Slot slot, std::uint32_t number, TimePoint now) {
   auto& g = gathers_[slot];
   auto& part = g.parts[number];
   const auto& spec = what(g).parts[number];
   part.begun = true;
-  PathFacts facts{g.obj, g.body, g.cls, {}};
+  PathVariables attributes{g.obj, g.body, g.cls, {}};
   if (spec.needs)
-    if (const auto& needed = g.parts[*spec.needs].body) facts.needed = *needed;
+    if (const auto& needed = g.parts[*spec.needs].body) attributes.needed = *needed;
   path_.clear();
   const auto d = g.loaded->dependency[spec.dependency];
-  if (!g.loaded->paths[g.which][number].fill(facts, path_) || path_.empty())
+  if (!g.loaded->paths[g.which][number].fill(attributes, path_) || path_.empty())
     return settle(slot, number, spec.fallback ? PartStatus::fallback : PartStatus::absent, nullptr, {}, now);
   seek(slot, number, d, spec.fresh_for, !guarded_ || !deps_[d].spec.fleet_fill, now);
 }
 
-void Gatherer::seek(Slot slot, std::uint32_t number, std::uint32_t d, Duration fresh, bool own,
-                    TimePoint now) {
+void ScatterGather::seek(Slot slot, std::uint32_t number, std::uint32_t d, Duration fresh, bool own,
+                         TimePoint now) {
   auto& g = gathers_[slot];
   auto& part = g.parts[number];
   const auto& spec = what(g).parts[number];
@@ -216,7 +218,7 @@
   part.fresh = fresh;
   if (const auto kept = cache_.find(part.key, now); kept && kept->age <= fresh && fresh.count() > 0)
     return settle(slot, number, PartStatus::fresh, kept->body, kept->age, now);
-  if (!g.may_call) return ladder(slot, number, now);
+  if (!g.may_call) return fall_back(slot, number, now);
 
   // What others of the same gather need first leaves time for them: an even share of what is left for each
   // step of the longest chain from here on.
@@ -230,18 +232,18 @@
   part.deadline = now + (g.deadline - now) / steps;
   if (guarded_ && spec.within.count() > 0) part.deadline = std::min(part.deadline, now + spec.within);
   ++totals_.asked;
-  if (part.deadline <= now) return ladder(slot, number, now);
+  if (part.deadline <= now) return fall_back(slot, number, now);
   auto& dep = deps_[d];
   if (guarded_) {
-    if (failed_lately(part.key, now)) return ladder(slot, number, now);
+    if (failed_lately(part.key, now)) return fall_back(slot, number, now);
     if (dep.outage.out()) {
       if (dep.outage.may_probe(now)) probe(d, part.key, path_, now);
-      return ladder(slot, number, now);
+      return fall_back(slot, number, now);
     }
   }
   auto flight = by_key_.find(part.key.low, [&](Slot f) { return flights_[f].key == part.key; });
   // A probe's end nobody waits for: it may take as long as a try ever may.
-  if (flight != kNone && flights_[flight].detached) return ladder(slot, number, now);
+  if (flight != kNone && flights_[flight].detached) return fall_back(slot, number, now);
   const bool joins = flight != kNone;
   if (joins) {
     ++totals_.shared;
@@ -257,7 +259,7 @@
 
 // One of the fleet asks below and tells the others: guards against a fleet that comes back with empty caches
 // and asks for everything once a member. In vain it costs half of the time left at the most.
-bool Gatherer::ask_owner(Slot slot, Duration fresh, TimePoint now) {
+bool ScatterGather::ask_owner(Slot slot, Duration fresh, TimePoint now) {
   auto& f = flights_[slot];
   const auto& d = deps_[f.dependency];
   if (fresh.count() <= 0) return false;
@@ -267,13 +269,13 @@
   ++totals_.owners_asked;
   // It is told of less time than it has: its answer has a way to go.
   f.asking = {*owner, target_of({owner->life, d.spec.name, f.path, fresh, within - within / 8}), now, true};
-  set_timer(now + within, TimerKind::owner, slot, f.generation, kOwnersTry);
+  set_timer(now + within, TimerKind::owner, slot, f.generation, kOwnerAttempt);
   actions_.emplace_back(
-      StartCall{call_id(slot, kOwnersTry), f.dependency, 0, &f.asking.target, &f.asking.owner});
+      StartCall{call_id(slot, kOwnerAttempt), f.dependency, 0, &f.asking.target, &f.asking.owner});
   return true;
 }
 
-void Gatherer::owner_ended(Slot slot, const CallReport& report, TimePoint now) {
+void ScatterGather::owner_ended(Slot slot, const CallReport& report, TimePoint now) {
   auto& f = flights_[slot];
   f.asking.open = false;
   const auto filled = report.fate == CallFate::ok && report.body ? read_filled(*report.body) : std::nullopt;
@@ -291,14 +293,14 @@
 }
 
 // The rest of the way alone.
-void Gatherer::owner_failed(Slot slot, TimePoint now) {
+void ScatterGather::owner_failed(Slot slot, TimePoint now) {
   auto& f = flights_[slot];
   f.asking.open = false;
   if (deps_[f.dependency].outage.out()) return give_up(slot, now);
   launch(slot, now);
 }
 
-void Gatherer::ladder(Slot slot, std::uint32_t number, TimePoint now) {
+void ScatterGather::fall_back(Slot slot, std::uint32_t number, TimePoint now) {
   auto& g = gathers_[slot];
   const auto& spec = what(g).parts[number];
   const auto& key = g.parts[number].key;
@@ -308,8 +310,8 @@
   settle(slot, number, spec.fallback ? PartStatus::fallback : PartStatus::absent, nullptr, {}, now);
 }
 
-void Gatherer::settle(Slot slot, std::uint32_t number, PartStatus status, Bytes body, Duration age,
-                      TimePoint now) {
+void ScatterGather::settle(Slot slot, std::uint32_t number, PartStatus status, Bytes body, Duration age,
+                           TimePoint now) {
   auto& g = gathers_[slot];
   auto& part = g.parts[number];
   if (g.over || part.status != PartStatus::pending) return;
@@ -336,18 +338,18 @@
   if (!g.over && g.pending == 0) finish(slot, true, now);
 }
 
-void Gatherer::finish(Slot slot, bool whole_enough, TimePoint now) {
+void ScatterGather::finish(Slot slot, bool required_parts_present, TimePoint now) {
   auto& g = gathers_[slot];
   g.over = true;
   for (std::uint32_t p = 0; p < g.parts.size(); ++p) {
     leave(slot, p, now);
     if (g.parts[p].status == PartStatus::pending) g.parts[p].status = PartStatus::absent;
   }
-  actions_.emplace_back(GatherEnded{g.id, whole_enough});
+  actions_.emplace_back(GatherEnded{g.id, required_parts_present});
 }
 
 // Nothing of this part is waited for any more; a call that nobody waits for is abandoned.
-void Gatherer::leave(Slot slot, std::uint32_t number, TimePoint now) {
+void ScatterGather::leave(Slot slot, std::uint32_t number, TimePoint now) {
   auto& part = gathers_[slot].parts[number];
   const auto flight = std::exchange(part.flight, kNone);
   if (flight == kNone) return;
@@ -355,12 +357,12 @@
   std::erase_if(f.waiters, [&](const Waiter& w) { return w.gather == slot && w.part == number; });
   if (!f.waiters.empty() || f.detached) return;
   const auto d = f.dependency;
-  abandon_tries(flight);
+  abandon_attempts(flight);
   free_flight(flight);
   pump(d, now);
 }
 
-void Gatherer::abandon(RequestId id, TimePoint now) {
+void ScatterGather::abandon(RequestId id, TimePoint now) {
   const auto slot = find_gather(id);
   if (slot == kNone) return;
   auto& g = gathers_[slot];
@@ -369,7 +371,7 @@
   release(id);
 }
 
-std::vector<PartValue> Gatherer::parts(RequestId id) const {
+std::vector<PartValue> ScatterGather::parts(RequestId id) const {
   std::vector<PartValue> values;
   const auto slot = find_gather(id);
   if (slot == kNone) return values;
@@ -382,7 +384,7 @@
   return values;
 }
 
-void Gatherer::release(RequestId id) {
+void ScatterGather::release(RequestId id) {
   const auto slot = find_gather(id);
   if (slot == kNone) return;
   auto& g = gathers_[slot];
@@ -395,7 +397,7 @@
 
 // ---- Calls ----
 
-Gatherer::Slot Gatherer::new_flight(std::uint32_t dependency, const Key& key) {
+ScatterGather::Slot ScatterGather::new_flight(std::uint32_t dependency, const Key& key) {
   if (free_flights_.empty()) {
     flights_.emplace_back();
     free_flights_.push_back(Slot(flights_.size() - 1));
@@ -406,8 +408,8 @@
   f.dependency = dependency;
   f.state = FlightState::calling;
   f.key = key;
-  f.tries = {};
-  f.tried = 0;
+  f.attempts = {};
+  f.attempts_made = 0;
   f.detached = false;
   f.only.reset();
   f.used = true;
@@ -418,7 +420,7 @@
   return slot;
 }
 
-void Gatherer::free_flight(Slot slot) {
+void ScatterGather::free_flight(Slot slot) {
   auto& f = flights_[slot];
   unqueue(slot);
   by_key_.erase(f.key.low, slot);
@@ -430,14 +432,14 @@
 
 // Started at once under the limit, and queued over it while there is room. Guards against a slow dependency
 // that takes the connections and the memory of all others.
-void Gatherer::launch(Slot slot, TimePoint now) {
+void ScatterGather::launch(Slot slot, TimePoint now) {
   auto& f = flights_[slot];
   auto& d = deps_[f.dependency];
-  if (!guarded_ || (d.open < d.limit.limit() && d.waiting == 0)) return start_try(slot, now);
-  // Guards against a wait for a slot that can't be free in time: those ahead take turns of a usual answer
+  if (!guarded_ || (d.open < d.limit.limit() && d.waiting == 0)) return start_attempt(slot, now);
+  // Guards against a wait for a slot that can't be free in time: those ahead take turns of a median answer
   // each.
   const auto turns = std::int64_t(d.waiting / std::max(d.limit.limit(), 1u)) + 1;
-  const bool in_vain = now + d.usual_now(now).median * (turns + 1) > latest_deadline(f);
+  const bool in_vain = now + d.latency_summary(now).median * (turns + 1) > latest_deadline(f);
   if (d.waiting >= d.spec.most_waiting || in_vain) {
     ++totals_.shed;
     return give_up(slot, now);
@@ -449,7 +451,7 @@
   ++d.waiting;
 }
 
-void Gatherer::unqueue(Slot slot) {
+void ScatterGather::unqueue(Slot slot) {
   auto& f = flights_[slot];
   if (f.state != FlightState::queued) return;
   auto& d = deps_[f.dependency];
@@ -460,7 +462,7 @@
   --d.waiting;
 }
 
-void Gatherer::pump(std::uint32_t number, TimePoint now) {
+void ScatterGather::pump(std::uint32_t number, TimePoint now) {
   auto& d = deps_[number];
   while (d.oldest != kNone && (d.outage.out() || d.open < d.limit.limit())) {
     const auto slot = d.oldest;
@@ -468,34 +470,34 @@
     if (d.outage.out())
       give_up(slot, now);
     else
-      start_try(slot, now);
+      start_attempt(slot, now);
   }
 }
 
-TimePoint Gatherer::latest_deadline(const Flight& f) const {
+TimePoint ScatterGather::latest_deadline(const Flight& f) const {
   TimePoint latest{};
   for (const auto& w : f.waiters) latest = std::max(latest, gathers_[w.gather].parts[w.part].deadline);
   return latest;
 }
 
-bool Gatherer::any_open(const Flight& f) const {
-  return std::any_of(f.tries.begin(), f.tries.end(), [](const Try& t) { return t.open; });
+bool ScatterGather::any_open(const Flight& f) const {
+  return std::any_of(f.attempts.begin(), f.attempts.end(), [](const Attempt& t) { return t.open; });
 }
 
-CallId Gatherer::call_id(Slot slot, std::uint32_t number) const {
-  return CallId(std::uint64_t(flights_[slot].generation) << (kTryBits + kSlotBits) |
-                std::uint64_t(slot) << kTryBits | number);
+CallId ScatterGather::call_id(Slot slot, std::uint32_t number) const {
+  return CallId(std::uint64_t(flights_[slot].generation) << (kAttemptBits + kSlotBits) |
+                std::uint64_t(slot) << kAttemptBits | number);
 }
 
-void Gatherer::start_try(Slot slot, TimePoint now) {
+void ScatterGather::start_attempt(Slot slot, TimePoint now) {
   auto& f = flights_[slot];
   auto& d = deps_[f.dependency];
   std::optional<std::uint32_t> other;
-  if (f.tried > 0) other = f.tries[f.tried - 1].endpoint;
-  const auto& usual = d.usual_now(now);
+  if (f.attempts_made > 0) other = f.attempts[f.attempts_made - 1].endpoint;
+  const auto& summary = d.latency_summary(now);
   const auto left = f.detached ? d.spec.timeout_most : latest_deadline(f) - now;
   // Guards against calls that can't be back in time: they would only take slots from those that can.
-  const bool hopeless = !f.detached && (left.count() <= 0 || (guarded_ && left < usual.median));
+  const bool hopeless = !f.detached && (left.count() <= 0 || (guarded_ && left < summary.median));
   const auto endpoint = hopeless ? std::nullopt
                         : f.only ? f.only
                                  : d.endpoints.pick(now, roll(), roll(), other);
@@ -505,41 +507,41 @@
     return;
   }
   auto timeout = d.spec.timeout_most;
-  if (usual.high.count() > 0 && !f.detached)
-    timeout = std::clamp(Duration(std::llround(double(usual.high.count()) * d.spec.timeout_factor)),
+  if (summary.high.count() > 0 && !f.detached)
+    timeout = std::clamp(Duration(std::llround(double(summary.high.count()) * d.spec.timeout_factor)),
                          d.spec.timeout_least, d.spec.timeout_most);
   timeout = guarded_ ? std::min(timeout, left) : left;
   f.state = FlightState::calling;
-  const auto number = f.tried++;
-  f.tries[number] = {*endpoint, true, now, now + timeout};
+  const auto number = f.attempts_made++;
+  f.attempts[number] = {*endpoint, true, now, now + timeout};
   d.endpoints.started(*endpoint);
   totals_.most_open = std::max(totals_.most_open, ++d.open);
   ++totals_.calls;
   set_timer(now + timeout, TimerKind::call, slot, f.generation, number);
   actions_.emplace_back(StartCall{call_id(slot, number), f.dependency, *endpoint, &f.path});
-  if (!guarded_ || number > 0 || f.detached || usual.hedge.count() == 0 || usual.hedge >= timeout) return;
-  set_timer(now + usual.hedge, TimerKind::hedge, slot, f.generation, number);
+  if (!guarded_ || number > 0 || f.detached || summary.hedge.count() == 0 || summary.hedge >= timeout) return;
+  set_timer(now + summary.hedge, TimerKind::hedge, slot, f.generation, number);
 }
 
-void Gatherer::end_try(Slot slot, std::uint32_t number) {
+void ScatterGather::end_attempt(Slot slot, std::uint32_t number) {
   auto& f = flights_[slot];
-  f.tries[number].open = false;
+  f.attempts[number].open = false;
   --deps_[f.dependency].open;
 }
 
-void Gatherer::abandon_tries(Slot slot) {
+void ScatterGather::abandon_attempts(Slot slot) {
   auto& f = flights_[slot];
-  if (std::exchange(f.asking.open, false)) actions_.emplace_back(AbandonCall{call_id(slot, kOwnersTry)});
-  for (std::uint32_t t = 0; t < f.tried; ++t) {
-    if (!f.tries[t].open) continue;
-    end_try(slot, t);
-    deps_[f.dependency].endpoints.abandoned(f.tries[t].endpoint);
+  if (std::exchange(f.asking.open, false)) actions_.emplace_back(AbandonCall{call_id(slot, kOwnerAttempt)});
+  for (std::uint32_t t = 0; t < f.attempts_made; ++t) {
+    if (!f.attempts[t].open) continue;
+    end_attempt(slot, t);
+    deps_[f.dependency].endpoints.abandoned(f.attempts[t].endpoint);
     if (f.detached) deps_[f.dependency].outage.probe_lost();
     actions_.emplace_back(AbandonCall{call_id(slot, t)});
   }
 }
 
-void Gatherer::note_success(Dependency& d, std::uint32_t number, TimePoint now) {
+void ScatterGather::note_success(Dependency& d, std::uint32_t number, TimePoint now) {
   d.budget.succeeded(now);
   const auto since = d.outage.since();
   if (!d.outage.succeeded(now)) return;
@@ -549,7 +551,7 @@
   actions_.emplace_back(DependencyChanged{number, false, now - since});
 }
 
-void Gatherer::note_failure(std::uint32_t number, TimePoint now) {
+void ScatterGather::note_failure(std::uint32_t number, TimePoint now) {
   auto& d = deps_[number];
   d.limit.failed();
   if (!d.outage.failed(now, roll())) return;
@@ -557,30 +559,30 @@
   actions_.emplace_back(DependencyChanged{number, true, {}});
 }
 
-void Gatherer::ended(const CallReport& report, TimePoint now) {
+void ScatterGather::ended(const CallReport& report, TimePoint now) {
   const auto bits = std::uint64_t(report.id);
-  const auto number = std::uint32_t(bits & ((1u << kTryBits) - 1));
-  const auto slot = Slot(bits >> kTryBits & ((1u << kSlotBits) - 1));
-  if (number == kOwnersTry && slot < flights_.size() && flights_[slot].used && flights_[slot].asking.open &&
-      call_id(slot, number) == report.id)
+  const auto number = std::uint32_t(bits & ((1u << kAttemptBits) - 1));
+  const auto slot = Slot(bits >> kAttemptBits & ((1u << kSlotBits) - 1));
+  if (number == kOwnerAttempt && slot < flights_.size() && flights_[slot].used &&
+      flights_[slot].asking.open && call_id(slot, number) == report.id)
     return owner_ended(slot, report, now);
   // Guards against ends of calls that were given up: their slot may be another call's by now.
-  if (slot >= flights_.size() || !flights_[slot].used || number >= flights_[slot].tried ||
-      call_id(slot, number) != report.id || !flights_[slot].tries[number].open) {
+  if (slot >= flights_.size() || !flights_[slot].used || number >= flights_[slot].attempts_made ||
+      call_id(slot, number) != report.id || !flights_[slot].attempts[number].open) {
     ++totals_.late;
     return;
   }
   auto& f = flights_[slot];
   auto& d = deps_[f.dependency];
-  const auto took = std::max(now - f.tries[number].started, Duration(1));
+  const auto took = std::max(now - f.attempts[number].started, Duration(1));
   if (report.fate != CallFate::ok && report.fate != CallFate::no_data) {
-    failed_try(slot, number, report.fate, true, report.retry_after, now);
+    attempt_failed(slot, number, report.fate, true, report.retry_after, now);
     return;
   }
   const auto open_then = d.open;
-  end_try(slot, number);
+  end_attempt(slot, number);
   if (f.only) d.note_probe(*f.only, false, now);
-  d.endpoints.succeeded(f.tries[number].endpoint, took, now);
+  d.endpoints.succeeded(f.attempts[number].endpoint, took, now);
   d.heard(took, now);
   if (guarded_) {
     d.limit.succeeded(took, open_then);
@@ -591,14 +593,14 @@
     answered(slot, report.body ? report.body : std::make_shared<const std::string>(), {}, now);
   } else {
     remember_failure(f.key, now);
-    abandon_tries(slot);
+    abandon_attempts(slot);
     give_up(slot, now);
   }
   pump(dependency, now);
 }
 
-void Gatherer::answered(Slot slot, const Bytes& body, Duration age, TimePoint now) {
-  abandon_tries(slot);
+void ScatterGather::answered(Slot slot, const Bytes& body, Duration age, TimePoint now) {
+  abandon_attempts(slot);
   auto& f = flights_[slot];
   cache_.put(f.key, f.dependency, f.path, body, now - age);
   const auto generation = f.generation;
@@ -619,7 +621,7 @@
   free_flight(slot);
 }
 
-void Gatherer::give_up(Slot slot, TimePoint now) {
+void ScatterGather::give_up(Slot slot, TimePoint now) {
   auto& f = flights_[slot];
   unqueue(slot);
   const auto generation = f.generation;
@@ -627,30 +629,30 @@
     const auto w = f.waiters.back();
     f.waiters.pop_back();
     gathers_[w.gather].parts[w.part].flight = kNone;
-    ladder(w.gather, w.part, now);
+    fall_back(w.gather, w.part, now);
   }
   if (f.used && f.generation == generation) free_flight(slot);
 }
 
-void Gatherer::time_out(Slot slot, std::uint32_t number, TimePoint now) {
+void ScatterGather::time_out(Slot slot, std::uint32_t number, TimePoint now) {
   auto& f = flights_[slot];
   auto& d = deps_[f.dependency];
-  const auto waited = now - f.tries[number].started;
+  const auto waited = now - f.attempts[number].started;
   // Guards against blame for a try that was cut short by its caller's budget.
-  const bool fair =
-      f.detached || double(waited.count()) >= kFairTry * double(d.usual_now(now).median.count());
+  const bool fair = f.detached || double(waited.count()) >=
+                                      kFairAttemptMedians * double(d.latency_summary(now).median.count());
   actions_.emplace_back(AbandonCall{call_id(slot, number)});
   if (fair && guarded_) d.heard(waited, now);  // it takes at least this long
-  failed_try(slot, number, CallFate::too_long, fair, std::nullopt, now);
+  attempt_failed(slot, number, CallFate::too_long, fair, std::nullopt, now);
 }
 
-void Gatherer::failed_try(Slot slot, std::uint32_t number, CallFate fate, bool fair,
-                          std::optional<Duration> retry_after, TimePoint now) {
+void ScatterGather::attempt_failed(Slot slot, std::uint32_t number, CallFate fate, bool fair,
+                                   std::optional<Duration> retry_after, TimePoint now) {
   auto& f = flights_[slot];
   const auto dependency = f.dependency;
   auto& d = deps_[dependency];
-  const auto endpoint = f.tries[number].endpoint;
-  end_try(slot, number);
+  const auto endpoint = f.attempts[number].endpoint;
+  end_attempt(slot, number);
   if (!fair) {
     d.endpoints.abandoned(endpoint);
     if (f.detached) d.outage.probe_lost();
@@ -670,18 +672,19 @@
   pump(dependency, now);
 }
 
-void Gatherer::after_failure(Slot slot, TimePoint now) {
+void ScatterGather::after_failure(Slot slot, TimePoint now) {
   auto& f = flights_[slot];
   auto& d = deps_[f.dependency];
-  const auto most = std::min<std::uint32_t>(d.spec.most_tries, kMostTries);
-  if (guarded_ && !f.detached && !f.waiters.empty() && f.tried < most && !d.outage.out()) {
-    const auto grown = d.spec.retry_pause * (std::int64_t(1) << std::min(f.tried - 1, 10u));
+  const auto most = std::min<std::uint32_t>(d.spec.most_tries, kMaxAttempts);
+  if (guarded_ && !f.detached && !f.waiters.empty() && f.attempts_made < most && !d.outage.out()) {
+    const auto grown = d.spec.retry_pause * (std::int64_t(1) << std::min(f.attempts_made - 1, 10u));
     const auto pause =
         Duration(std::llround(roll() * double(std::min(grown, d.spec.retry_pause_most).count())));
-    if (now + pause + d.usual_now(now).median < latest_deadline(f) && d.budget.take(now)) {
+    if (now + pause + d.latency_summary(now).median < latest_deadline(f) && d.budget.take(now)) {
       ++totals_.retries;
       f.state = FlightState::pausing;
-      return set_timer(now + std::max(pause, Duration(1)), TimerKind::retry, slot, f.generation, f.tried);
+      return set_timer(now + std::max(pause, Duration(1)), TimerKind::retry, slot, f.generation,
+                       f.attempts_made);
     }
   }
   if (guarded_) remember_failure(f.key, now);
@@ -690,7 +693,7 @@
 
 // One call at a time while a dependency is out, for which nobody waits: who asked goes on without at once,
 // and its answer, should one come, is kept for the next.
-void Gatherer::probe(std::uint32_t dependency, const Key& key, const std::string& path, TimePoint now) {
+void ScatterGather::probe(std::uint32_t dependency, const Key& key, const std::string& path, TimePoint now) {
   if (by_key_.find(key.low, [&](Slot f) { return flights_[f].key == key; }) != kNone) return;
   auto& d = deps_[dependency];
   const auto only = to_probe(d);
@@ -702,12 +705,12 @@
   f.only = only;
   d.outage.probe_started();
   ++totals_.probes;
-  start_try(slot, now);
-  if (only && f.used && f.tried > 0) d.note_probe(*only, true, now);
+  start_attempt(slot, now);
+  if (only && f.used && f.attempts_made > 0) d.note_probe(*only, true, now);
 }
 
 // First what another has found back, then this one's own in turns.
-std::optional<std::uint32_t> Gatherer::to_probe(Dependency& d) const {
+std::optional<std::uint32_t> ScatterGather::to_probe(Dependency& d) const {
   if (!fleet_) return std::nullopt;
   const auto n = std::uint32_t(d.endpoints.places());
   std::optional<std::uint32_t> mine;
@@ -728,7 +731,7 @@
 // An even share for each member that is there. Where it can't be told who is, all that were agreed on count
 // as there, and before there is any view one call at a time is all: guards against a fleet that comes back as
 // one and falls on what it had emptied, each member with the whole limit.
-void Gatherer::share_limits() {
+void ScatterGather::share_limits() {
   std::uint32_t members = 0;
   if (fleet_) {
     const auto there = 1 + std::count_if(fleet_->peers.begin(), fleet_->peers.end(), [](const auto& p) {
@@ -746,7 +749,7 @@
 }
 
 // Other members may be probing it; one of them that has found it back is taken at its word for one try.
-void Gatherer::fleet(std::shared_ptr<const membership::View> view, TimePoint now) {
+void ScatterGather::fleet(std::shared_ptr<const membership::View> view, TimePoint now) {
   fleet_ = std::move(view);
   owners_.see(*fleet_);
   share_limits();
@@ -756,7 +759,7 @@
       if (!d.endpoints.gone(i) && membership::told_back(*fleet_, d.fleet_keys[i])) d.outage.probe_now(now);
 }
 
-std::vector<membership::Finding> Gatherer::findings(TimePoint now) const {
+std::vector<membership::Finding> ScatterGather::findings(TimePoint now) const {
   std::vector<membership::Finding> found;
   if (!fleet_) return found;
   for (const auto& d : deps_)
@@ -768,7 +771,7 @@
   return found;
 }
 
-void Gatherer::export_to(learned::Learned& to, TimePoint now) const {
+void ScatterGather::export_to(learned::Learned& to, TimePoint now) const {
   for (const auto& d : deps_)
     for (std::uint32_t i = 0; i < d.endpoints.places(); ++i)
       if (const auto k = d.endpoints.known(i, now)) {
@@ -780,14 +783,14 @@
   for (const auto& hot : cache_.hottest(kHotLooked)) {
     learned::Part part{deps_[hot.dependency].spec.name, *hot.path, hot.body,
                        std::max(now - hot.stored, Duration{})};
-    if (!learned::fits(part) || part.age >= kept_for(hot.dependency)) continue;
+    if (!learned::fits(part) || part.age >= cached_for(hot.dependency)) continue;
     bytes += learned::bytes_of(part);
     if (bytes > learned::kMostPartBytes || to.parts.size() >= learned::kMostParts) break;
     to.parts.push_back(std::move(part));
   }
 }
 
-Duration Gatherer::kept_for(std::uint32_t dependency) const {
+Duration ScatterGather::cached_for(std::uint32_t dependency) const {
   Duration longest{};
   for (const auto& g : loaded_->spec->gathers)
     for (const auto& p : g.parts)
@@ -796,12 +799,12 @@
   return longest;
 }
 
-Gatherer::Used Gatherer::learn(const learned::Learned& from, TimePoint now) {
+ScatterGather::Used ScatterGather::learn(const learned::Learned& from, TimePoint now) {
   Used used;
   // The hottest last, so that it is the newest here too.
   for (auto p = from.parts.rbegin(); p != from.parts.rend(); ++p)
     for (std::uint32_t d = 0; d < deps_.size(); ++d) {
-      if (deps_[d].spec.name != p->dependency || p->age < Duration{} || p->age >= kept_for(d)) continue;
+      if (deps_[d].spec.name != p->dependency || p->age < Duration{} || p->age >= cached_for(d)) continue;
       const auto key = key_of(d, p->path, hash_seed_);
       const auto at = now - p->age;
       if (const auto own = cache_.stored(key); own && *own >= at) continue;
@@ -818,32 +821,32 @@
   return used;
 }
 
-bool Gatherer::failed_lately(const Key& key, TimePoint now) const {
+bool ScatterGather::failed_lately(const Key& key, TimePoint now) const {
   const auto& f = failures_[std::size_t(key.low % kFailures)];
   return f.key == key && now < f.until;
 }
 
-void Gatherer::remember_failure(const Key& key, TimePoint now) {
+void ScatterGather::remember_failure(const Key& key, TimePoint now) {
   failures_[std::size_t(key.low % kFailures)] = {key, now + loaded_->spec->remember_failures};
 }
 
 // ---- Timers ----
 
-void Gatherer::set_timer(TimePoint at, TimerKind kind, Slot slot, std::uint32_t generation,
-                         std::uint32_t number) {
+void ScatterGather::set_timer(TimePoint at, TimerKind kind, Slot slot, std::uint32_t generation,
+                              std::uint32_t number) {
   timers_.push_back({at, timer_order_++, kind, slot, generation, number});
   std::push_heap(timers_.begin(), timers_.end(), std::greater<>());
 }
 
-bool Gatherer::stands(const Timer& t) const {
+bool ScatterGather::stands(const Timer& t) const {
   switch (t.kind) {
     case TimerKind::part:
       return gathers_[t.slot].generation == t.generation && gathers_[t.slot].parts[t.number].flight != kNone;
     case TimerKind::call:
-      return flights_[t.slot].generation == t.generation && flights_[t.slot].tries[t.number].open;
+      return flights_[t.slot].generation == t.generation && flights_[t.slot].attempts[t.number].open;
     case TimerKind::hedge:
-      return flights_[t.slot].generation == t.generation && flights_[t.slot].tries[t.number].open &&
-             flights_[t.slot].tried == t.number + 1;
+      return flights_[t.slot].generation == t.generation && flights_[t.slot].attempts[t.number].open &&
+             flights_[t.slot].attempts_made == t.number + 1;
     case TimerKind::retry:
       return flights_[t.slot].generation == t.generation && flights_[t.slot].state == FlightState::pausing;
     case TimerKind::owner:
@@ -852,7 +855,7 @@
   return false;
 }
 
-std::optional<TimePoint> Gatherer::next_timer() {
+std::optional<TimePoint> ScatterGather::next_timer() {
   while (!timers_.empty() && !stands(timers_.front())) {
     std::pop_heap(timers_.begin(), timers_.end(), std::greater<>());
     timers_.pop_back();
@@ -861,7 +864,7 @@
   return timers_.front().at;
 }
 
-void Gatherer::tick(TimePoint now) {
+void ScatterGather::tick(TimePoint now) {
   while (!timers_.empty() && timers_.front().at <= now) {
     const auto timer = timers_.front();
     std::pop_heap(timers_.begin(), timers_.end(), std::greater<>());
@@ -870,25 +873,26 @@
   }
 }
 
-void Gatherer::fire(const Timer& t, TimePoint now) {
+void ScatterGather::fire(const Timer& t, TimePoint now) {
   switch (t.kind) {
     case TimerKind::part: {
       // A try whose time is over at the same moment is told of first, or the budget's end would hide that the
       // dependency hangs.
       const auto flight = gathers_[t.slot].parts[t.number].flight;
       const auto generation = flights_[flight].generation;
-      for (std::uint32_t i = 0; flights_[flight].generation == generation && i < flights_[flight].tried; ++i)
-        if (flights_[flight].tries[i].open && flights_[flight].tries[i].until <= now)
+      for (std::uint32_t i = 0;
+           flights_[flight].generation == generation && i < flights_[flight].attempts_made; ++i)
+        if (flights_[flight].attempts[i].open && flights_[flight].attempts[i].until <= now)
           time_out(flight, i, now);
       if (gathers_[t.slot].generation != t.generation || gathers_[t.slot].parts[t.number].flight == kNone)
         return;
       leave(t.slot, t.number, now);
-      return ladder(t.slot, t.number, now);
+      return fall_back(t.slot, t.number, now);
     }
     case TimerKind::call:
       return time_out(t.slot, t.number, now);
     case TimerKind::owner:
-      actions_.emplace_back(AbandonCall{call_id(t.slot, kOwnersTry)});
+      actions_.emplace_back(AbandonCall{call_id(t.slot, kOwnerAttempt)});
       owners_.failed(flights_[t.slot].asking.owner.hash, now);
       return owner_failed(t.slot, now);
     case TimerKind::hedge: {
@@ -898,7 +902,7 @@
           !d.budget.take(now))
         return;
       ++totals_.hedges;
-      return start_try(t.slot, now);
+      return start_attempt(t.slot, now);
     }
     case TimerKind::retry: {
       auto& d = deps_[flights_[t.slot].dependency];
--- a/src/deps/gatherer.h
+++ b/src/deps/scatter_gather.h
@@ -5,17 +5,17 @@
 //     kept and fresh ............................................. settled: fresh
 //     the same call is in flight ................................. waits with it
 //     may be kept, and another member fills it for the fleet ..... that one is asked; in vain: as below
-//     failed a moment ago, dependency out or asked for quiet ..... ladder
+//     failed a moment ago, dependency out or asked for quiet ..... fall_back
 //     under the concurrency limit ................................ called
 //     room among those that wait ................................. waits for a slot
-//     else ....................................................... ladder
-//   ladder: kept and stale within its bound -> stale; declared default -> fallback; else absent.
+//     else ....................................................... fall_back
+//   fall_back: kept and stale within its bound -> stale; declared default -> fallback; else absent.
 //   A part settles once; when all have, or a required one is absent, GatherEnded follows once, never later
 //   than the gather's budget.
 //
-// A call is shared by all parts that ask the same of the same dependency. Its tries: the first, a hedge, and
-// retries, all but the first paid for by RetryBudget. It ends with its first good answer, when its tries are
-// spent, or when nobody waits for it any more; what is open of it then is abandoned.
+// A call is shared by all parts that ask the same of the same dependency. Its attempts: the first, a hedge,
+// and retries, all but the first paid for by RetryBudget. It ends with its first good answer, when its
+// attempts are spent, or when nobody waits for it any more; what is open of it then is abandoned.
 //
 // Ownership: the actions since the last take_actions() are kept here; a StartCall's path is valid until the
 // next call of any member. A gather's parts stay until release().
@@ -75,7 +75,7 @@
 };
 struct GatherEnded {
   RequestId id{};
-  bool whole_enough = false;  // every required part is there
+  bool required_parts_present = false;  // every required part is there
 };
 struct DependencyChanged {  // for those on call
   std::uint32_t dependency = 0;
@@ -100,19 +100,20 @@
   std::uint32_t most_open = 0;
 };
 
-class Gatherer {
+class ScatterGather {
  public:
   // `guarded` false: the plain policy that measurements compare with: one try, no limit, no breaker, no
   // timeout but the budget's end.
-  Gatherer(std::shared_ptr<const Spec> spec, std::uint64_t seed, bool guarded = true);
+  ScatterGather(std::shared_ptr<const Spec> spec, std::uint64_t seed, bool guarded = true);
   bool gathers(ClassId cls) const;
 
-  struct Facts {
+  struct RequestAttributes {
     std::uint64_t obj = 0;
     std::string_view body, cls;
   };
   // `may_call` false: only what is kept or declared.
-  void begin(RequestId id, ClassId cls, const Facts& facts, Duration budget, bool may_call, TimePoint now);
+  void begin(RequestId id, ClassId cls, const RequestAttributes& attributes, Duration budget, bool may_call,
+             TimePoint now);
   // What another member asks of this one, the owner of that key: GatherEnded follows, and parts() has the one
   // value where it is whole enough. False where nothing of the kind is declared here.
   bool fill(RequestId id, const FillQuestion& question, TimePoint now);
@@ -158,8 +159,8 @@
  private:
   using Slot = SlotIndex::Slot;
   static constexpr Slot kNone = SlotIndex::kNone;
-  static constexpr std::size_t kMostTries = 4;
-  static constexpr std::uint32_t kOwnersTry = 15;  // the number of the one that goes to a member
+  static constexpr std::size_t kMaxAttempts = 4;
+  static constexpr std::uint32_t kOwnerAttempt = 15;  // the number of the one that goes to a member
 
   struct Loaded {  // a spec, made ready
     std::shared_ptr<const Spec> spec;
@@ -193,7 +194,7 @@
     Slot gather = kNone;
     std::uint32_t part = 0;
   };
-  struct Try {
+  struct Attempt {
     std::uint32_t endpoint = 0;
     bool open = false;
     TimePoint started{}, until{};
@@ -204,8 +205,8 @@
     FlightState state = FlightState::queued;
     Key key;
     std::string path;
-    std::array<Try, kMostTries> tries;
-    std::uint32_t tried = 0;
+    std::array<Attempt, kMaxAttempts> attempts;
+    std::uint32_t attempts_made = 0;
     bool detached = false;                // a probe, for which nobody waits
     std::optional<std::uint32_t> only{};  // the endpoint that it is for
     bool used = false;
@@ -218,7 +219,7 @@
     Slot before = kNone, after = kNone;  // among those that wait for a slot
     std::vector<Waiter> waiters;
   };
-  struct Usual {  // of the recent latencies; zero where too few are known
+  struct LatencySummary {  // of the recent latencies; zero where too few are known
     Duration median{}, high{}, hedge{};
   };
   struct Dependency {
@@ -229,11 +230,11 @@
     RetryBudget budget;
     Outage outage;
     LatencyWindow latency;
-    Usual usual;
-    TimePoint usual_at{};
-    std::uint32_t since_usual = 0;
+    LatencySummary summary;
+    TimePoint summary_taken_at{};
+    std::uint32_t samples_since_summary = 0;
     void heard(Duration took, TimePoint now);
-    const Usual& usual_now(TimePoint now);
+    const LatencySummary& latency_summary(TimePoint now);
     struct Probed {  // as other members are told
       std::uint64_t key = 0;
       TimePoint at{};
@@ -265,7 +266,7 @@
   Owners owners_;
   void share_limits();
   // The longest that any part may still take a kept answer of it.
-  Duration kept_for(std::uint32_t dependency) const;
+  Duration cached_for(std::uint32_t dependency) const;
   std::shared_ptr<const Loaded> load(std::shared_ptr<const Spec> spec, TimePoint now);
   const GatherSpec& what(const Gather& g) const { return g.loaded->spec->gathers[g.which]; }
   Slot find_gather(RequestId id) const;
@@ -282,22 +283,22 @@
   bool ask_owner(Slot flight, Duration fresh, TimePoint now);
   void owner_ended(Slot flight, const CallReport& report, TimePoint now);
   void owner_failed(Slot flight, TimePoint now);
-  void ladder(Slot gather, std::uint32_t part, TimePoint now);
+  void fall_back(Slot gather, std::uint32_t part, TimePoint now);
   void settle(Slot gather, std::uint32_t part, PartStatus status, Bytes body, Duration age, TimePoint now);
-  void finish(Slot gather, bool whole_enough, TimePoint now);
+  void finish(Slot gather, bool required_parts_present, TimePoint now);
   void leave(Slot gather, std::uint32_t part, TimePoint now);
 
   Slot new_flight(std::uint32_t dependency, const Key& key);
   void launch(Slot flight, TimePoint now);
-  void start_try(Slot flight, TimePoint now);
-  void end_try(Slot flight, std::uint32_t number);
-  void failed_try(Slot flight, std::uint32_t number, CallFate fate, bool fair,
-                  std::optional<Duration> retry_after, TimePoint now);
+  void start_attempt(Slot flight, TimePoint now);
+  void end_attempt(Slot flight, std::uint32_t number);
+  void attempt_failed(Slot flight, std::uint32_t number, CallFate fate, bool fair,
+                      std::optional<Duration> retry_after, TimePoint now);
   void time_out(Slot flight, std::uint32_t number, TimePoint now);
   void after_failure(Slot flight, TimePoint now);
   void answered(Slot flight, const Bytes& body, Duration age, TimePoint now);
   void give_up(Slot flight, TimePoint now);
-  void abandon_tries(Slot flight);
+  void abandon_attempts(Slot flight);
   void free_flight(Slot flight);
   void unqueue(Slot flight);
   void pump(std::uint32_t dependency, TimePoint now);
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -666,7 +666,7 @@
   if (const auto fill = fills_.find(ended.id); fill != fills_.end()) {
     FillAnswer a{fill->second, nullptr, {}};
     const auto parts = gatherer_->parts(ended.id);
-    if (ended.whole_enough && parts.size() == 1) a.body = parts[0].body, a.age = parts[0].age;
+    if (ended.required_parts_present && parts.size() == 1) a.body = parts[0].body, a.age = parts[0].age;
     fills_.erase(fill);
     gatherer_->release(ended.id);
     out_.emplace_back(std::move(a));
@@ -679,9 +679,9 @@
   gatherer_->release(ended.id);
   if (!o || o->work != Work::gathering) return;
   o->gathered = now_.steady;
-  const auto how = ended.whole_enough ? CallResult::ok : CallResult::error;
+  const auto how = ended.required_parts_present ? CallResult::ok : CallResult::error;
   events_.emplace_back(CallEnded{ended.id, how, now_.steady - o->since});
-  if (ended.whole_enough) return begin_run(ended.id, *o);
+  if (ended.required_parts_present) return begin_run(ended.id, *o);
   events_.emplace_back(RunEnded{ended.id, RunResult::error, {}});
   answer(*o, Outcome::failed);
   end(ended.id, KeyTable::RunState::bad, nullptr);
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -183,7 +183,7 @@
   std::unordered_map<std::string, RequestId> by_rid_;
   std::map<PeerId, std::vector<RequestId>> by_peer_;  // what is open, in order of arrival
   KeyTable keys_;
-  std::optional<deps::Gatherer> gatherer_;
+  std::optional<deps::ScatterGather> gatherer_;
   std::vector<deps::GatherEnded> ended_gathers_;
   std::map<RequestId, std::uint64_t> fills_;  // asked by other members: their tags
   Compose compose_;
--- a/src/edge/types.h
+++ b/src/edge/types.h
@@ -9,7 +9,7 @@
 #include <variant>
 #include <vector>
 
-#include "deps/gatherer.h"
+#include "deps/scatter_gather.h"
 #include "granitegap/policy.h"
 #include "learned/learned.h"
 #include "membership/views.h"
--- a/tests/deps_test.cpp
+++ b/tests/deps_test.cpp
@@ -73,7 +73,7 @@
   const auto id = w.ask(7);
   w.run_for(milliseconds(11));
   ASSERT_TRUE(w.outcomes.count(id));
-  EXPECT_FALSE(w.outcomes[id].whole_enough);
+  EXPECT_FALSE(w.outcomes[id].required_parts_present);
   EXPECT_EQ(w.open_calls(), 0u);  // the other part's call is closed
   expect_sound(w);
 }
@@ -144,7 +144,7 @@
   const auto id = w.ask(7);
   w.run_for(seconds(1));
   EXPECT_EQ(parts_of(w, id), (std::vector{S::absent, S::absent}));
-  EXPECT_EQ(w.outcomes[id].whole_enough, true);
+  EXPECT_EQ(w.outcomes[id].required_parts_present, true);
   EXPECT_EQ(w.gatherer.totals().late, 2u);
   expect_sound(w);
 }
@@ -258,7 +258,7 @@
 
 TEST(Gather, RetriesArePaidForBySuccesses) {
   World w(two_dependencies(), 1);
-  // From the first moment on nothing succeeds: nothing is ever tried again.
+  // From the first moment on nothing succeeds: nothing is ever attempts_made again.
   w.behaviour = [](auto, auto, auto) { return Reply{.fate = CallFate::cut_off, .after = milliseconds(1)}; };
   flow(w, seconds(5), milliseconds(5), 1000);
   EXPECT_EQ(w.gatherer.totals().retries, 0u);
@@ -441,7 +441,7 @@
 }
 
 // Random schedules: whatever the dependencies do, each gather ends once and within its budget, open calls
-// stay under the limits and tries under 1 + the retry budget.
+// stay under the limits and attempts under 1 + the retry budget.
 TEST(Gather, HoldsItsBoundsOnRandomSchedules) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     std::mt19937_64 chance(seed);
--- a/tests/fill_test.cpp
+++ b/tests/fill_test.cpp
@@ -144,7 +144,7 @@
  public:
   explicit Members(std::size_t n, Spec spec) : spec_(std::make_shared<Spec>(std::move(spec))) {
     for (std::size_t k = 0; k < n; ++k) {
-      all_.push_back(std::make_unique<One>(Gatherer(spec_, k + 1)));
+      all_.push_back(std::make_unique<One>(ScatterGather(spec_, k + 1)));
       all_[k]->gatherer.fleet(std::make_shared<View>(view_for(k, n)), now);
     }
   }
@@ -168,7 +168,7 @@
   };
   std::map<std::pair<std::size_t, std::uint32_t>, Got> got;
 
-  Gatherer& at(std::size_t n) { return all_[n]->gatherer; }
+  ScatterGather& at(std::size_t n) { return all_[n]->gatherer; }
   std::uint32_t ask(std::size_t n, std::uint64_t obj, ClassId cls = ClassId{0}) {
     const auto id = ++next_;
     began_[{n, id}] = now;
@@ -207,8 +207,8 @@
 
  private:
   struct One {
-    explicit One(Gatherer g) : gatherer(std::move(g)) {}
-    Gatherer gatherer;
+    explicit One(ScatterGather g) : gatherer(std::move(g)) {}
+    ScatterGather gatherer;
     std::map<std::uint32_t, std::function<void(Bytes, Duration)>> fills;
   };
   void later(Duration after, std::function<void()> work) { queue_.emplace(now + after, std::move(work)); }
@@ -244,7 +244,7 @@
         if (const auto fill = all_[n]->fills.find(id); fill != all_[n]->fills.end()) {
           const auto tell = std::move(fill->second);
           all_[n]->fills.erase(fill);
-          const auto body = e->whole_enough ? parts.at(0).body : nullptr;
+          const auto body = e->required_parts_present ? parts.at(0).body : nullptr;
           const auto age = parts.at(0).age;
           at(n).release(e->id);
           tell(body, age);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -5,7 +5,7 @@
 
 #include <fstream>
 
-#include "deps/gatherer.h"
+#include "deps/scatter_gather.h"
 #include "recovery/lost_memory.h"
 #include "snapshot/life_file.h"
 #include "snapshot/snapshot.h"
--- a/tools/fleet/probers.h
+++ b/tools/fleet/probers.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "deps/gatherer.h"
+#include "deps/scatter_gather.h"
 
 namespace granitegap::fleet {
 
@@ -35,7 +35,7 @@
 
   struct Server {
     std::string name;
-    std::unique_ptr<deps::Gatherer> gatherer;
+    std::unique_ptr<deps::ScatterGather> gatherer;
     std::vector<std::pair<TimePoint, deps::CallReport>> ends;
     std::vector<membership::Finding> found;
     bool lives = true;
@@ -43,7 +43,7 @@
   std::vector<Server> all(servers);
   for (std::size_t n = 0; n < servers; ++n) {
     all[n].name = "n" + std::to_string(n);
-    all[n].gatherer = std::make_unique<deps::Gatherer>(shared, seed + n);
+    all[n].gatherer = std::make_unique<deps::ScatterGather>(shared, seed + n);
   }
   constexpr Duration kStep = 10ms, kNews = 500ms;  // a view is as old as gossip makes it
   const TimePoint began(1000s), out_from = began + 5s, out_to = out_from + 60s;
--- a/tools/standin/deps_world.h
+++ b/tools/standin/deps_world.h
@@ -6,7 +6,7 @@
 #include <queue>
 #include <set>
 
-#include "deps/gatherer.h"
+#include "deps/scatter_gather.h"
 
 namespace granitegap::deps {
 
@@ -67,7 +67,7 @@
   double roll() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   struct Outcome {
-    bool whole_enough = false;
+    bool required_parts_present = false;
     Duration took{};
     std::vector<PartStatus> parts;
     std::vector<std::string> bodies;
@@ -115,7 +115,7 @@
         }
         if (now > due->second) broken.insert("a gather ended after its budget");
         auto& o = outcomes[end->id];
-        o.whole_enough = end->whole_enough;
+        o.required_parts_present = end->required_parts_present;
         for (const auto& p : gatherer.parts(end->id)) {
           o.parts.push_back(p.status);
           o.bodies.push_back(p.body ? *p.body : "");
@@ -140,7 +140,7 @@
   std::priority_queue<End, std::vector<End>, std::greater<>> ends_;
 
  public:
-  Gatherer gatherer;
+  ScatterGather gatherer;
 };
 
 // Two dependencies of two endpoints; a class whose parts are both optional.
