--- a/tests/fill_test.cpp
+++ b/tests/cache_fill_test.cpp
@@ -38,7 +38,7 @@
   return v;
 }
 
-TEST(Owners, AllNameTheSameAndEachFillsItsShare) {
+TEST(FillOwners, AllNameTheSameAndEachFillsItsShare) {
   constexpr std::size_t kMembers = 8;
   std::map<std::uint64_t, int> share;
   std::vector<Owners> all(kMembers);
@@ -70,7 +70,7 @@
   }
 }
 
-TEST(Owners, NobodyIsAskedWhereTheViewIsInDoubtNorWhoDoesNotFill) {
+TEST(FillOwners, NobodyIsAskedWhereTheViewIsInDoubtNorWhoDoesNotFill) {
   const auto asked = [](const std::function<void(View&)>& change) {
     auto v = view_for(0, 3);
     change(v);
@@ -97,7 +97,7 @@
             0);
 }
 
-TEST(Owners, WhoDoesNotAnswerIsPassedOverForLongerEachTimeAndANewLifeIsNot) {
+TEST(FillOwners, WhoDoesNotAnswerIsPassedOverForLongerEachTimeAndANewLifeIsNot) {
   auto v = view_for(0, 2);
   Owners o;
   o.see(v);
@@ -286,7 +286,7 @@
 
 // All come back at once and ask for the same: one call below for each key, and the rest have it from its
 // owner.
-TEST(Fill, OneCallBelowForAKeyThatAllAskFor) {
+TEST(FleetCacheFill, OneCallBelowForAKeyThatAllAskFor) {
   Members m(6, Members::spec());
   for (std::uint64_t key = 0; key < 20; ++key)
     for (std::size_t n = 0; n < 6; ++n) m.ask(n, key);
@@ -301,7 +301,7 @@
 }
 
 // The control: without it each asks below.
-TEST(Fill, WithoutItEachAsksBelow) {
+TEST(FleetCacheFill, WithoutItEachAsksBelow) {
   auto spec = Members::spec();
   for (auto& d : spec.dependencies) d.fleet_fill = false;
   Members m(6, spec);
@@ -312,7 +312,7 @@
 }
 
 // What the owner has is as old as it is: told so, kept so, and not taken where that is too old.
-TEST(Fill, AnAgeIsCarriedOverAndKept) {
+TEST(FleetCacheFill, AnAgeIsCarriedOverAndKept) {
   Members m(4, Members::spec());
   const std::uint64_t key = 5;
   const auto owner = m.owner(key), other = (owner + 1) % 4;
@@ -332,7 +332,7 @@
 
 // The owner is gone, or stands still, and nobody knows yet: whoever asked it goes on alone within its budget,
 // and others are not asked in vain again and again.
-TEST(Fill, AnOwnerThatDoesNotAnswerCostsNoAnswer) {
+TEST(FleetCacheFill, AnOwnerThatDoesNotAnswerCostsNoAnswer) {
   Members m(4, Members::spec());
   const std::uint64_t key = 5;
   const auto owner = m.owner(key), other = (owner + 1) % 4;
@@ -351,7 +351,7 @@
 }
 
 // A later life on the owner's port does not answer for it.
-TEST(Fill, ALaterLifeOfTheOwnerIsNotTakenForIt) {
+TEST(FleetCacheFill, ALaterLifeOfTheOwnerIsNotTakenForIt) {
   Members m(4, Members::spec());
   const std::uint64_t key = 5;
   const auto owner = m.owner(key), other = (owner + 1) % 4;
@@ -363,7 +363,7 @@
 }
 
 // The service below is down: the owner says so, everyone ends within the budget, and nobody is held.
-TEST(Fill, ADependencyThatFailsHoldsNobody) {
+TEST(FleetCacheFill, ADependencyThatFailsHoldsNobody) {
   Members m(4, Members::spec());
   m.below_is_well = false;
   for (std::uint64_t key = 0; key < 30; ++key)
@@ -381,7 +381,7 @@
 }
 
 // Two whose views differ may each take the other for the owner: nobody passes a question on, so that it ends.
-TEST(Fill, ViewsThatDifferMakeNoRound) {
+TEST(FleetCacheFill, ViewsThatDifferMakeNoRound) {
   Members m(2, Members::spec());
   const std::uint64_t key = 5;
   const auto owner = m.owner(key);
@@ -408,7 +408,7 @@
 
 // Members that fall silent and come back, views that lag behind, a service that fails at times: each gather
 // ends once, within its budget, with nothing older than declared, and nothing stays open.
-TEST(Fill, RandomFaultsKeepTheProperties) {
+TEST(FleetCacheFill, RandomFaultsKeepTheProperties) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Members m(5, Members::spec());
     std::mt19937_64 random(seed);
--- a/tests/deps_test.cpp
+++ b/tests/deps_test.cpp
@@ -35,7 +35,7 @@
   return double(whole) / double(std::max<std::size_t>(ids.size(), 1));
 }
 
-TEST(Gather, TakesBothPartsAtOnce) {
+TEST(ScatterGather, TakesBothPartsAtOnce) {
   World w(two_dependencies(), 1);
   const auto id = w.ask(7);
   EXPECT_EQ(w.open_calls(), 2u);
@@ -45,7 +45,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, PartThatNeedsAnotherWaitsForItsValue) {
+TEST(ScatterGather, PartThatNeedsAnotherWaitsForItsValue) {
   auto spec = two_dependencies();
   spec.gathers[0].parts[1].needs = 0;
   spec.gathers[0].parts[1].path = "/n?of={needed}";
@@ -63,7 +63,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, RequiredPartThatFailsEndsItAtOnce) {
+TEST(ScatterGather, RequiredPartThatFailsEndsItAtOnce) {
   auto spec = two_dependencies();
   spec.gathers[0].parts[0].required = true;
   World w(spec, 1);
@@ -78,7 +78,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, LadderFreshStaleFallbackAbsent) {
+TEST(ScatterGather, FallsBackFromFreshToStaleToDefaultToAbsent) {
   auto spec = two_dependencies();
   auto& elevation = spec.gathers[0].parts[0];
   elevation.fresh_for = seconds(1);
@@ -101,7 +101,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, WithoutCallsTakesWhatIsKept) {
+TEST(ScatterGather, WithoutCallsTakesWhatIsKept) {
   auto spec = two_dependencies();
   spec.gathers[0].parts[0].stale_for = seconds(10);
   World w(spec, 1);
@@ -113,7 +113,7 @@
   EXPECT_EQ(w.gatherer.totals().calls, calls);
 }
 
-TEST(Gather, IdenticalCallsInFlightAreShared) {
+TEST(ScatterGather, IdenticalCallsInFlightAreShared) {
   World w(two_dependencies(), 1);
   const auto a = w.ask(7), b = w.ask(7);
   EXPECT_EQ(w.open_calls(), 2u);
@@ -124,7 +124,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, CallersThatLeaveCloseTheirCalls) {
+TEST(ScatterGather, CallersThatLeaveCloseTheirCalls) {
   World w(two_dependencies(), 1);
   w.behaviour = [](auto, auto, auto) { return Reply{.never = true}; };
   const auto a = w.ask(7), b = w.ask(8);
@@ -138,7 +138,7 @@
   EXPECT_FALSE(w.gatherer.next_timer());
 }
 
-TEST(Gather, PartThatComesJustAfterItsBudgetChangesNothing) {
+TEST(ScatterGather, PartThatComesJustAfterItsBudgetChangesNothing) {
   World w(two_dependencies(), 1);
   w.behaviour = [](auto, auto, auto) { return Reply{.after = milliseconds(401)}; };
   const auto id = w.ask(7);
@@ -149,7 +149,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, ClockThatStandsStillEndsNothingAndLosesNothing) {
+TEST(ScatterGather, ClockThatStandsStillEndsNothingAndLosesNothing) {
   World w(two_dependencies(), 1);
   std::vector<RequestId> ids;
   for (std::uint64_t key = 0; key < 300; ++key) ids.push_back(w.ask(key));
@@ -159,7 +159,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, HangingDependencyIsSoonGoneWithout) {
+TEST(ScatterGather, HangingDependencyIsSoonGoneWithout) {
   World w(two_dependencies(), 1);
   flow(w, seconds(3), milliseconds(10), 1000);
   const auto hang_from = w.now;
@@ -179,7 +179,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, HangIsNoticedWhereEveryBudgetEndsBeforeATimeout) {
+TEST(ScatterGather, HangIsNoticedWhereEveryBudgetEndsBeforeATimeout) {
   auto spec = two_dependencies();
   spec.dependencies[0].timeout_least = milliseconds(500);
   spec.gathers[0].parts[0].within = milliseconds(60);
@@ -192,7 +192,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, SlowDependencyTakesNeitherSlotsNorTime) {
+TEST(ScatterGather, SlowDependencyTakesNeitherSlotsNorTime) {
   auto spec = two_dependencies();
   spec.dependencies[0].most_open = 32;
   World w(spec, 3);
@@ -210,7 +210,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, TwoDependenciesFailingAtOnceAreBothGoneWithout) {
+TEST(ScatterGather, TwoDependenciesFailingAtOnceAreBothGoneWithout) {
   World w(two_dependencies(), 1);
   flow(w, seconds(2), milliseconds(10), 1000);
   w.behaviour = [](std::uint32_t d, auto, auto) {
@@ -225,7 +225,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, RecoveryAfterALongOutageIsNoStampede) {
+TEST(ScatterGather, RecoveryAfterALongOutageIsNoStampede) {
   auto spec = two_dependencies();
   spec.dependencies[0].least_open = 16;  // whatever the failures cut it to, it is begun anew from one
   World w(spec, 1);
@@ -256,7 +256,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, RetriesArePaidForBySuccesses) {
+TEST(ScatterGather, RetriesArePaidForBySuccesses) {
   World w(two_dependencies(), 1);
   // From the first moment on nothing succeeds: nothing is ever attempts_made again.
   w.behaviour = [](auto, auto, auto) { return Reply{.fate = CallFate::cut_off, .after = milliseconds(1)}; };
@@ -267,7 +267,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, SomeFailuresAreHealedByRetriesWithinTheBudget) {
+TEST(ScatterGather, SomeFailuresAreHealedByRetriesWithinTheBudget) {
   World w(two_dependencies(), 1);
   w.behaviour = [&](auto, auto, auto) {
     return w.roll() < 0.05 ? Reply{.fate = CallFate::error, .after = milliseconds(2)} : Reply{};
@@ -281,7 +281,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, HedgeBeatsAHangingEndpoint) {
+TEST(ScatterGather, HedgeBeatsAHangingEndpoint) {
   World w(two_dependencies(), 1);
   flow(w, seconds(2), milliseconds(10), 1000);
   // One call in fifty never ends; the second try goes to the other endpoint.
@@ -296,7 +296,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, RetryAfterIsHeeded) {
+TEST(ScatterGather, RetryAfterIsHeeded) {
   auto spec = two_dependencies();
   spec.dependencies[0].endpoints.resize(1);
   World w(spec, 1);
@@ -318,7 +318,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, FailureOfAKeyIsRememberedBriefly) {
+TEST(ScatterGather, FailureOfAKeyIsRememberedBriefly) {
   World w(two_dependencies(), 1);
   w.behaviour = [](auto, auto, auto) { return Reply{.fate = CallFate::no_data, .after = milliseconds(5)}; };
   w.ask(7);
@@ -334,7 +334,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, QueueIsBoundedAndItsWaitersLeaveWithTheirBudget) {
+TEST(ScatterGather, QueueIsBoundedAndItsWaitersLeaveWithTheirBudget) {
   auto spec = two_dependencies();
   spec.dependencies[0].most_open = 4;
   spec.dependencies[0].most_waiting = 10;
@@ -351,7 +351,7 @@
 
 // A fleet's limit is shared over the members that are there; in doubt all that were agreed on count, and
 // before there is a view one call at a time is all.
-TEST(Gather, AFleetsLimitIsSharedOverTheLive) {
+TEST(ScatterGather, AFleetsLimitIsSharedOverTheLive) {
   auto spec = two_dependencies();
   spec.gathers[0].parts.resize(1);
   spec.dependencies[0].fleet_open = 24;
@@ -383,7 +383,7 @@
   EXPECT_EQ(w.gatherer.open_calls(0), 4u);
 }
 
-TEST(Gather, NobodyWaitsForASlotThatCannotBeFreeInTime) {
+TEST(ScatterGather, NobodyWaitsForASlotThatCannotBeFreeInTime) {
   auto spec = two_dependencies();
   spec.dependencies[0].least_open = spec.dependencies[0].most_open = 2;
   spec.dependencies[0].hedge_after = 0;
@@ -402,7 +402,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, NewDeclarationDropsNoCallInFlight) {
+TEST(ScatterGather, NewDeclarationDropsNoCallInFlight) {
   World w(two_dependencies(), 1);
   const auto id = w.ask(7);
   auto changed = *w.spec();
@@ -425,7 +425,7 @@
   expect_sound(w);
 }
 
-TEST(Gather, SameSeedSameDecisions) {
+TEST(ScatterGather, SameSeedSameDecisions) {
   const auto play = [] {
     World w(two_dependencies(), 42);
     w.behaviour = [&](auto, auto, auto) {
@@ -442,7 +442,7 @@
 
 // Random schedules: whatever the dependencies do, each gather ends once and within its budget, open calls
 // stay under the limits and attempts under 1 + the retry budget.
-TEST(Gather, HoldsItsBoundsOnRandomSchedules) {
+TEST(ScatterGather, HoldsItsBoundsOnRandomSchedules) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     std::mt19937_64 chance(seed);
     const auto draw = [&](double most) { return std::uniform_real_distribution<double>(0, most)(chance); };
@@ -652,7 +652,7 @@
 }
 
 // What one life kept the next one has, as old as it is: fresh as long as it is fresh, stale after that.
-TEST(Gather, ANextLifeHasWhatWasKeptAtItsAge) {
+TEST(ScatterGather, ANextLifeHasWhatWasKeptAtItsAge) {
   auto spec = two_dependencies();
   for (auto& p : spec.gathers[0].parts) p.fresh_for = seconds(10), p.stale_for = seconds(60);
   World before(spec, 1);
