--- a/tests/fill_test.cpp
+++ b/tests/cache_fill_test.cpp
@@ -38,7 +38,7 @@
   return v;
 }
 
-TEST(Owners, AllNameTheSameAndEachFillsItsShare) {
+TEST(FillOwners, AllNameTheSameAndEachFillsItsShare) {
   constexpr std::size_t kMembers = 8;
   std::map<std::uint64_t, int> share;
   std::vector<Owners> all(kMembers);
@@ -70,7 +70,7 @@
   }
 }
 
-TEST(Owners, NobodyIsAskedWhereTheViewIsInDoubtNorWhoDoesNotFill) {
+TEST(FillOwners, NobodyIsAskedWhereTheViewIsInDoubtNorWhoDoesNotFill) {
   const auto asked = [](const std::function<void(View&)>& change) {
     auto v = view_for(0, 3);
     change(v);
@@ -97,7 +97,7 @@
             0);
 }
 
-TEST(Owners, WhoDoesNotAnswerIsPassedOverForLongerEachTimeAndANewLifeIsNot) {
+TEST(FillOwners, WhoDoesNotAnswerIsPassedOverForLongerEachTimeAndANewLifeIsNot) {
   auto v = view_for(0, 2);
   Owners o;
   o.see(v);
@@ -144,7 +144,7 @@
  public:
   explicit Members(std::size_t n, Spec spec) : spec_(std::make_shared<Spec>(std::move(spec))) {
     for (std::size_t k = 0; k < n; ++k) {
-      all_.push_back(std::make_unique<One>(Gatherer(spec_, k + 1)));
+      all_.push_back(std::make_unique<One>(ScatterGather(spec_, k + 1)));
       all_[k]->gatherer.fleet(std::make_shared<View>(view_for(k, n)), now);
     }
   }
@@ -168,7 +168,7 @@
   };
   std::map<std::pair<std::size_t, std::uint32_t>, Got> got;
 
-  Gatherer& at(std::size_t n) { return all_[n]->gatherer; }
+  ScatterGather& at(std::size_t n) { return all_[n]->gatherer; }
   std::uint32_t ask(std::size_t n, std::uint64_t obj, ClassId cls = ClassId{0}) {
     const auto id = ++next_;
     began_[{n, id}] = now;
@@ -207,8 +207,8 @@
 
  private:
   struct One {
-    explicit One(Gatherer g) : gatherer(std::move(g)) {}
-    Gatherer gatherer;
+    explicit One(ScatterGather g) : gatherer(std::move(g)) {}
+    ScatterGather gatherer;
     std::map<std::uint32_t, std::function<void(Bytes, Duration)>> fills;
   };
   void later(Duration after, std::function<void()> work) { queue_.emplace(now + after, std::move(work)); }
@@ -244,7 +244,7 @@
         if (const auto fill = all_[n]->fills.find(id); fill != all_[n]->fills.end()) {
           const auto tell = std::move(fill->second);
           all_[n]->fills.erase(fill);
-          const auto body = e->whole_enough ? parts.at(0).body : nullptr;
+          const auto body = e->required_parts_present ? parts.at(0).body : nullptr;
           const auto age = parts.at(0).age;
           at(n).release(e->id);
           tell(body, age);
@@ -286,7 +286,7 @@
 
 // All come back at once and ask for the same: one call below for each key, and the rest have it from its
 // owner.
-TEST(Fill, OneCallBelowForAKeyThatAllAskFor) {
+TEST(FleetCacheFill, OneCallBelowForAKeyThatAllAskFor) {
   Members m(6, Members::spec());
   for (std::uint64_t key = 0; key < 20; ++key)
     for (std::size_t n = 0; n < 6; ++n) m.ask(n, key);
@@ -301,7 +301,7 @@
 }
 
 // The control: without it each asks below.
-TEST(Fill, WithoutItEachAsksBelow) {
+TEST(FleetCacheFill, WithoutItEachAsksBelow) {
   auto spec = Members::spec();
   for (auto& d : spec.dependencies) d.fleet_fill = false;
   Members m(6, spec);
@@ -312,7 +312,7 @@
 }
 
 // What the owner has is as old as it is: told so, kept so, and not taken where that is too old.
-TEST(Fill, AnAgeIsCarriedOverAndKept) {
+TEST(FleetCacheFill, AnAgeIsCarriedOverAndKept) {
   Members m(4, Members::spec());
   const std::uint64_t key = 5;
   const auto owner = m.owner(key), other = (owner + 1) % 4;
@@ -332,7 +332,7 @@
 
 // The owner is gone, or stands still, and nobody knows yet: whoever asked it goes on alone within its budget,
 // and others are not asked in vain again and again.
-TEST(Fill, AnOwnerThatDoesNotAnswerCostsNoAnswer) {
+TEST(FleetCacheFill, AnOwnerThatDoesNotAnswerCostsNoAnswer) {
   Members m(4, Members::spec());
   const std::uint64_t key = 5;
   const auto owner = m.owner(key), other = (owner + 1) % 4;
@@ -351,7 +351,7 @@
 }
 
 // A later life on the owner's port does not answer for it.
-TEST(Fill, ALaterLifeOfTheOwnerIsNotTakenForIt) {
+TEST(FleetCacheFill, ALaterLifeOfTheOwnerIsNotTakenForIt) {
   Members m(4, Members::spec());
   const std::uint64_t key = 5;
   const auto owner = m.owner(key), other = (owner + 1) % 4;
@@ -363,7 +363,7 @@
 }
 
 // The service below is down: the owner says so, everyone ends within the budget, and nobody is held.
-TEST(Fill, ADependencyThatFailsHoldsNobody) {
+TEST(FleetCacheFill, ADependencyThatFailsHoldsNobody) {
   Members m(4, Members::spec());
   m.below_is_well = false;
   for (std::uint64_t key = 0; key < 30; ++key)
@@ -381,7 +381,7 @@
 }
 
 // Two whose views differ may each take the other for the owner: nobody passes a question on, so that it ends.
-TEST(Fill, ViewsThatDifferMakeNoRound) {
+TEST(FleetCacheFill, ViewsThatDifferMakeNoRound) {
   Members m(2, Members::spec());
   const std::uint64_t key = 5;
   const auto owner = m.owner(key);
@@ -408,7 +408,7 @@
 
 // Members that fall silent and come back, views that lag behind, a service that fails at times: each gather
 // ends once, within its budget, with nothing older than declared, and nothing stays open.
-TEST(Fill, RandomFaultsKeepTheProperties) {
+TEST(FleetCacheFill, RandomFaultsKeepTheProperties) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Members m(5, Members::spec());
     std::mt19937_64 random(seed);
