--- a/bench/dependencies.cpp
+++ b/bench/dependencies.cpp
@@ -312,7 +312,7 @@
 
 struct Played {
   std::vector<Answer> answers;
-  std::size_t most_open = 0;
+  std::size_t max_open = 0;
   std::vector<Duration> calls;
   int double_runs = 0, exit_status = -1;
   double rss_mb = 0;
@@ -404,7 +404,7 @@
   std::filesystem::remove_all(folder, ignored);
   for (const auto& [what, count] : kernel.runs())
     if (what.first == "trail-report") played.double_runs += count - 1;
-  played.most_open = std::max(elevation.seen().most_open, names.seen().most_open);
+  played.max_open = std::max(elevation.seen().max_open, names.seen().max_open);
   for (const auto* d : {&elevation, &names})
     played.calls.insert(played.calls.end(), d->seen().requests.begin(), d->seen().requests.end());
   return played;
@@ -482,7 +482,7 @@
           {"calls_per_request", parts_asked > 0 ? rounded(double(calls) / parts_asked, 0.001) : 0},
           {"p50_ms", centile(0.5)},
           {"p99_ms", centile(0.99)},
-          {"most_open_calls", played.most_open},
+          {"most_open_calls", played.max_open},
           {"recovered_ms", recovered},
           {"rss_mb", rounded(played.rss_mb, 0.1)},
           {"exit_status", played.exit_status}};
@@ -511,10 +511,10 @@
       files.push_back(std::string(SCENARIOS "/") + name + ".cue");
   std::vector<standin::Scenario> scenarios;
   for (const auto& file : files) {
-    const auto document = records::load(file);
-    const auto* bad = std::get_if<records::Error>(&document);
+    const auto document = typed_config::load(file);
+    const auto* bad = std::get_if<typed_config::Error>(&document);
     auto scenario = bad ? std::variant<standin::Scenario, standin::Errors>(standin::Errors{*bad})
-                        : standin::read_scenario(std::get<records::Document>(document));
+                        : standin::read_scenario(std::get<typed_config::Document>(document));
     if (const auto* errors = std::get_if<standin::Errors>(&scenario)) {
       for (const auto& e : *errors) std::fprintf(stderr, "%s\n", e.text().c_str());
       return 2;
--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -19,14 +19,14 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "fleet/runner.h"
+#include "fleet/process_fleet.h"
 #include "membership_schema.h"
 
 namespace granitegap::bench {
 namespace {
 
 using fleet::Fleet;
-using membership::Hearing;
+using membership::LocalConnectivity;
 using membership::Status;
 using Json = nlohmann::ordered_json;
 using Clock = std::chrono::steady_clock;
@@ -192,7 +192,8 @@
     for (const auto& [who, v] : views) {
       const bool who_struck = struck.contains(who) && done;
       if (s.deed == Deed::cut_halves && v.majority) majority_right = false;
-      if (s.deed == Deed::cut_output && who_struck && knows_ms < 0 && v.hearing == Hearing::unheard)
+      if (s.deed == Deed::cut_output && who_struck && knows_ms < 0 &&
+          v.local_connectivity == LocalConnectivity::unheard)
         knows_ms = ms(at - deed);
       if (s.deed == Deed::cut_pair && (who == order[0] || who == order[1])) {
         bool unheard = false, not_reaching = false;
@@ -257,14 +258,14 @@
               {"seconds", seconds}};
 }
 
-std::variant<Scenario, std::vector<records::Error>> read(const std::string& path) {
-  const auto document = records::load(path);
-  if (const auto* error = std::get_if<records::Error>(&document)) return std::vector{*error};
+std::variant<Scenario, std::vector<typed_config::Error>> read(const std::string& path) {
+  const auto document = typed_config::load(path);
+  if (const auto* error = std::get_if<typed_config::Error>(&document)) return std::vector{*error};
   static const auto schema =
-      std::get<records::Document>(records::parse(kMembershipSchema, "membership.schema.cue"));
-  auto checked = records::validate(std::get<records::Document>(document), schema, "#Scenario");
-  if (auto* errors = std::get_if<std::vector<records::Error>>(&checked)) return std::move(*errors);
-  const auto& v = std::get<records::Value>(checked);
+      std::get<typed_config::Document>(typed_config::parse(kMembershipSchema, "membership.schema.cue"));
+  auto checked = typed_config::validate(std::get<typed_config::Document>(document), schema, "#Scenario");
+  if (auto* errors = std::get_if<std::vector<typed_config::Error>>(&checked)) return std::move(*errors);
+  const auto& v = std::get<typed_config::Value>(checked);
   Scenario s;
   s.name = v["name"].as_text();
   s.length = v["seconds"].as_span();
@@ -303,7 +304,7 @@
   app.add_flag("--only-guarded", no_plain, "Leave the plain policy out");
   CLI11_PARSE(app, argc, argv);
   const auto scenario = read(file);
-  if (const auto* errors = std::get_if<std::vector<granitegap::records::Error>>(&scenario)) {
+  if (const auto* errors = std::get_if<std::vector<granitegap::typed_config::Error>>(&scenario)) {
     for (const auto& e : *errors) std::fprintf(stderr, "%s\n", e.text().c_str());
     return 2;
   }
--- a/bench/membership_sim.cpp
+++ b/bench/membership_sim.cpp
@@ -14,13 +14,13 @@
 #include <cstdio>
 #include <nlohmann/json.hpp>
 
-#include "fleet/probers.h"
-#include "fleet/simulated.h"
+#include "fleet/health_check_simulation.h"
+#include "fleet/simulated_fleet.h"
 
 namespace granitegap::bench {
 namespace {
 
-using fleet::Simulated;
+using fleet::SimulatedFleet;
 using membership::ChangeKind;
 using membership::Status;
 using Json = nlohmann::ordered_json;
@@ -47,7 +47,7 @@
 Json probers(const Play& p) {
   Json out{{"scenario", p.scenario}, {"seed", p.seed}, {"size", p.size}};
   for (const bool together : {true, false}) {
-    const auto probed = fleet::probe_outage(p.size, together, p.seed);
+    const auto probed = fleet::simulate_outage(p.size, together, p.seed);
     out[together ? "together" : "alone"] = {{"probes_per_s", probed.calls_a_second},
                                             {"all_back_within_s", probed.back_within_s}};
   }
@@ -59,7 +59,7 @@
   const auto wall = std::chrono::steady_clock::now();
   membership::Options options;
   options.plain = p.plain;
-  Simulated f(options, p.seed, p.size);
+  SimulatedFleet f(options, p.seed, p.size);
   std::vector<TimePoint> known(p.size);  // when each first held the killed one other than alive
   std::vector<std::size_t> killed;
   std::vector<double> detect;
@@ -93,7 +93,7 @@
   if (p.scenario == "loss") {
     standin::Rule r;
     r.loss = p.loss;
-    f.weather().add(r);
+    f.fault_injector().add(r);
     f.run_for(std::chrono::seconds(p.seconds));
   } else if (p.scenario == "kill" || p.scenario == "mass_kill") {
     const auto count = p.scenario == "kill" ? std::size_t(1) : std::max<std::size_t>(1, p.size / 3);
@@ -124,9 +124,9 @@
     standin::Rule r;
     r.both = r.cut = true;
     for (std::size_t n = 0; n < p.size; ++n) (n < p.size / 2 ? r.from : r.to).insert(f.name(n));
-    const auto rule = f.weather().add(r);
+    const auto rule = f.fault_injector().add(r);
     f.run_for(20s);
-    f.weather().remove(rule);
+    f.fault_injector().remove(rule);
     fault = f.now();
     if (f.run_until(alive_everywhere, 120s)) agree_ms = ms(f.now() - fault);
   } else {
--- a/bench/micro.cpp
+++ b/bench/micro.cpp
@@ -24,7 +24,7 @@
 #include <unordered_map>
 
 #include "deps/scatter_gather.h"
-#include "handover/shared_table.h"
+#include "hot_restart/shared_lease_table.h"
 #include "snapshot/snapshot.h"
 
 namespace {
@@ -178,12 +178,12 @@
     for (const auto n : keys) {
       const auto key = key_of_number(n);
       bool hit;
-      if constexpr (std::is_same_v<Cache, PartCache>)
+      if constexpr (std::is_same_v<Cache, ResponseCache>)
         hit = cache.find(key, now).has_value();
       else
         hit = cache.find(key);
       if (!hit) {
-        if constexpr (std::is_same_v<Cache, PartCache>)
+        if constexpr (std::is_same_v<Cache, ResponseCache>)
           cache.put(key, 0, {}, body, now);
         else
           cache.put(key, body);
@@ -197,7 +197,7 @@
   figures["cache"][name]["hit_rate"] = std::round(hits / asked * 10000) / 10000;
 }
 void cache_tiny_lfu(benchmark::State& state) {
-  play_cache<PartCache>(state, "w_tiny_lfu", [](std::uint64_t n) {
+  play_cache<ResponseCache>(state, "w_tiny_lfu", [](std::uint64_t n) {
     return Key{mix_bits(n + 1), mix_bits(n * 3 + 7)};
   });
 }
@@ -230,7 +230,7 @@
     spec->gathers.push_back(g);
     ScatterGather full(spec, options.seed);
     const TimePoint now(std::chrono::hours(2));
-    learned::Learned what;
+    warm_state::WarmState what;
     for (std::size_t n = 0; n < 100000; ++n)
       what.parts.push_back({spec->dependencies[n % 16].name, "/" + std::to_string(n),
                             std::make_shared<const std::string>(256, 'x'), Duration(1)});
@@ -242,8 +242,8 @@
   }();
   return gatherer;
 }
-learned::Learned exported() {
-  learned::Learned what;
+warm_state::WarmState exported() {
+  warm_state::WarmState what;
   full_gatherer().export_to(what, TimePoint(std::chrono::hours(2)));
   return what;
 }
@@ -273,14 +273,14 @@
 void claim_shared(benchmark::State& state) {
   auto folder = (std::filesystem::temp_directory_path() / "granitegap_bench_XXXXXX").string();
   if (!::mkdtemp(folder.data())) return state.SkipWithError("no folder");
-  const handover::UnixTime now(Duration(1764576000000000));
-  auto opened = handover::SharedTable::open(folder, "n", 1, std::chrono::seconds(10), now);
-  auto* table = std::get_if<handover::SharedTable>(&opened);
+  const hot_restart::UnixTime now(Duration(1764576000000000));
+  auto opened = hot_restart::SharedLeaseTable::open(folder, "n", 1, std::chrono::seconds(10), now);
+  auto* table = std::get_if<hot_restart::SharedLeaseTable>(&opened);
   std::uint64_t n = 0, doubts = 0;
   for (auto _ : state) {
     const auto at = now + Duration(n * 5000);  // 200 a second
-    const auto token = handover::token_of("trail-report", std::to_string(n++));
-    doubts += table->claim(token, at, std::chrono::seconds(10), at) != handover::Verdict::mine;
+    const auto token = hot_restart::token_of("trail-report", std::to_string(n++));
+    doubts += table->claim(token, at, std::chrono::seconds(10), at) != hot_restart::Verdict::mine;
   }
   if (doubts > 0) state.SkipWithError("a claim was refused");
   std::filesystem::remove_all(folder);
--- a/bench/comeback.cpp
+++ b/bench/recovery.cpp
@@ -1,10 +1,10 @@
 // How a fleet of real processes comes back after most of them have restarted at once, under callers of
 // several habits, on stand-in kernels that restart cold with them.
 //
-//   granitegap_bench_comeback [--scenario FILE] [--seed N] [--size N] [--program PATH] [--svg FILE]
-//   granitegap_bench_comeback --draw RESULT --svg FILE    # of a play before, whose object lies in RESULT
+//   granitegap_bench_recovery [--scenario FILE] [--seed N] [--size N] [--program PATH] [--svg FILE]
+//   granitegap_bench_recovery --draw RESULT --svg FILE    # of a play before, whose object lies in RESULT
 //
-// Scenarios are records (bench/scenarios/comeback_*.cue; schema: bench/comeback.schema.cue). Each is played
+// Scenarios are records (bench/scenarios/comeback_*.cue; schema: bench/recovery.schema.cue). Each is played
 // on the same arrivals by `guided` (membership and recovery declared, with a directory) and `plain`
 // (neither). The last line is one JSON object.
 //
@@ -14,7 +14,7 @@
 // restarted served in the ten seconds after, of what they had served a second before. `double_runs`: of one
 // keyed request on one kernel. With services below: `peak_dependency_calls`, the most calls of one in any
 // second after the restart, of its mean a second before (`steady_peak`: the most before, of the same);
-// `most_open_below`: calls that one of them had open at once; `stale_decisions`: parts served as fresh or as
+// `max_open_below`: calls that one of them had open at once; `stale_decisions`: parts served as fresh or as
 // stale that were older than declared, were said to be younger than they were, or were of another thing.
 // `unserved`: first tries that nobody served by their deadline; `late`: served
 // past their aim.
@@ -28,19 +28,19 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "comeback_schema.h"
-#include "fleet/crowd.h"
-#include "fleet/runner.h"
+#include "fleet/load_generator.h"
+#include "fleet/process_fleet.h"
 #include "partial_answer.pb.h"
-#include "records/records.h"
-#include "return_svg.h"
+#include "recovery_schema.h"
+#include "recovery_svg.h"
 #include "standin/dependency.h"
+#include "typed_config/typed_config.h"
 
 namespace granitegap::bench {
 namespace {
 
-using fleet::Crowd;
 using fleet::Fleet;
+using fleet::LoadGenerator;
 using Json = nlohmann::ordered_json;
 using namespace std::chrono_literals;
 
@@ -52,7 +52,7 @@
   std::uint64_t things = 0;
   std::uint32_t capacity = 8, fleet_open = 24;
   Duration latency{}, fresh_for{}, stale_for{}, away{};
-  std::array<double, fleet::kHabits> habits{};
+  std::array<double, fleet::kRetryBehaviors> habits{};
 };
 
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
@@ -142,8 +142,8 @@
       return all;
     });
   }
-  std::size_t most_open() {
-    return on_io([&] { return std::max(services_[0]->seen().most_open, services_[1]->seen().most_open); });
+  std::size_t max_open() {
+    return on_io([&] { return std::max(services_[0]->seen().max_open, services_[1]->seen().max_open); });
   }
   Duration elapsed() const { return std::chrono::duration_cast<Duration>(Clock::now() - start_); }
 
@@ -218,14 +218,15 @@
   const auto settled = [&] {
     return std::all_of(names.begin(), names.end(), [&](auto& n) {
       const auto r = membership_udp::ask(f.bound(n), 2s, true);
-      return r && r->way_back && r->way_back->phase == "full" && r->way_back->keyed_wait_ms == 0;
+      return r && r->recovery_report && r->recovery_report->phase == "full" &&
+             r->recovery_report->keyed_wait_ms == 0;
     });
   };
   if (guided && !f.until([&] { return f.agree() && settled(); }, 120s))
     throw std::runtime_error("the fleet did not settle:\n" + f.state());
   std::this_thread::sleep_for(1s);
 
-  fleet::CrowdOptions c;
+  fleet::LoadOptions c;
   c.seed = seed;
   c.rate = s.load * double(size) / seconds(s.cost);
   c.proxies = 16;
@@ -236,14 +237,14 @@
                {"trail-report", 0.1, 5, 0.2, 1200ms, 3000ms, true}};
   if (below) {
     c.classes[1].things = s.things;
-    c.check = [&](const fleet::CrowdClass& cls, const std::string& asked, const std::string& body,
+    c.check = [&](const fleet::LoadClass& cls, const std::string& asked, const std::string& body,
                   Duration took) { return cls.things ? below->wrong(asked, body, took) : std::uint16_t(0); };
   }
   // Where each serves; looked up once a life, as a list would tell it.
   std::mutex mutex;
   std::vector<std::uint16_t> ports;
   for (const auto& n : names) ports.push_back(f.port(n));
-  Crowd crowd(c, size, [&](std::size_t n) {
+  LoadGenerator crowd(c, size, [&](std::size_t n) {
     const std::lock_guard lock(mutex);
     return ports[n];
   });
@@ -337,16 +338,16 @@
   if (below) {
     double peak = 0, steady_peak = 0, steady = 0;
     for (const auto& calls : below->calls()) {
-      const auto [before_most, mean] = rates(calls, below_hit - (hit - Duration(2s)), below_hit);
+      const auto [max_before, mean_before] = rates(calls, below_hit - (hit - Duration(2s)), below_hit);
       const auto after = rates(calls, below_hit, below_hit + s.after);
-      steady_peak = std::max(steady_peak, before_most / std::max(mean, 1.0));
-      peak = std::max(peak, after.first / std::max(mean, 1.0));
-      steady = std::max(steady, mean);
+      steady_peak = std::max(steady_peak, max_before / std::max(mean_before, 1.0));
+      peak = std::max(peak, after.first / std::max(mean_before, 1.0));
+      steady = std::max(steady, mean_before);
     }
     under = {{"peak_dependency_calls", peak},
              {"steady_peak", steady_peak},
              {"steady_calls_s", steady},
-             {"most_open_below", below->most_open()},
+             {"most_open_below", below->max_open()},
              {"stale_decisions", stale}};
   }
   return Json{{"below", under},
@@ -368,14 +369,14 @@
               {"worth", series}};
 }
 
-std::variant<Scenario, std::vector<records::Error>> read(const std::string& path) {
-  const auto document = records::load(path);
-  if (const auto* error = std::get_if<records::Error>(&document)) return std::vector{*error};
+std::variant<Scenario, std::vector<typed_config::Error>> read(const std::string& path) {
+  const auto document = typed_config::load(path);
+  if (const auto* error = std::get_if<typed_config::Error>(&document)) return std::vector{*error};
   static const auto schema =
-      std::get<records::Document>(records::parse(kComebackSchema, "comeback.schema.cue"));
-  auto checked = records::validate(std::get<records::Document>(document), schema, "#Scenario");
-  if (auto* errors = std::get_if<std::vector<records::Error>>(&checked)) return std::move(*errors);
-  const auto& v = std::get<records::Value>(checked);
+      std::get<typed_config::Document>(typed_config::parse(kComebackSchema, "comeback.schema.cue"));
+  auto checked = typed_config::validate(std::get<typed_config::Document>(document), schema, "#Scenario");
+  if (auto* errors = std::get_if<std::vector<typed_config::Error>>(&checked)) return std::move(*errors);
+  const auto& v = std::get<typed_config::Value>(checked);
   Scenario s;
   s.name = v["name"].as_text();
   s.before = v["before"].as_span();
@@ -404,7 +405,7 @@
 
 int main(int argc, char** argv) {
   using namespace granitegap::bench;
-  CLI::App app("Coming back after a mass restart.", "granitegap_bench_comeback");
+  CLI::App app("Coming back after a mass restart.", "granitegap_bench_recovery");
   std::string file = SCENARIOS "/comeback_most.cue", program = PROGRAM;
   std::uint64_t seed = 1;
   std::size_t size = 24;
@@ -412,7 +413,7 @@
   std::string svg, drawn;
   app.add_option("--svg", svg, "Draw served worth over time into this file");
   app.add_option("--draw", drawn, "Play nothing: draw what this file holds");
-  app.add_option("--scenario", file, "A record; bench/comeback.schema.cue");
+  app.add_option("--scenario", file, "A record; bench/recovery.schema.cue");
   app.add_option("--seed", seed, "For arrivals and who is struck");
   app.add_option("--size", size, "Processes")->check(CLI::Range(2, 200));
   app.add_option("--program", program, "granitegap");
@@ -428,11 +429,11 @@
       std::ifstream in(drawn);
       return draw(Json::parse(in)) ? 0 : 1;
     } catch (const std::exception& e) {
-      std::fprintf(stderr, "granitegap_bench_comeback: %s: %s\n", drawn.c_str(), e.what());
+      std::fprintf(stderr, "granitegap_bench_recovery: %s: %s\n", drawn.c_str(), e.what());
       return 2;
     }
   const auto scenario = read(file);
-  if (const auto* errors = std::get_if<std::vector<granitegap::records::Error>>(&scenario)) {
+  if (const auto* errors = std::get_if<std::vector<granitegap::typed_config::Error>>(&scenario)) {
     for (const auto& e : *errors) std::fprintf(stderr, "%s\n", e.text().c_str());
     return 2;
   }
@@ -445,7 +446,7 @@
       throw std::runtime_error("can't write " + svg);
     std::printf("%s\n", out.dump().c_str());
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "granitegap_bench_comeback: %s\n", e.what());
+    std::fprintf(stderr, "granitegap_bench_recovery: %s\n", e.what());
     return 1;
   }
 }
--- a/bench/comeback_sim.cpp
+++ b/bench/recovery_sim.cpp
@@ -1,7 +1,7 @@
 // The metastable case at sizes that no machine holds: most of a simulated fleet restarts, callers try again
 // without limit, with and without recovery's guards, on the same options.
 //
-//   granitegap_bench_comeback_sim [--seed N] [--seeds N] [--size N] [--load X] [--struck X]
+//   granitegap_bench_recovery_sim [--seed N] [--seeds N] [--size N] [--load X] [--struck X]
 //
 // And a newcomer to a fleet of `--members` that knows one endpoint of a dependency to be slow, ten times as
 // slow as the others: told by three of them, and blind. `slow_calls`: its calls of that one in each of its
@@ -13,8 +13,8 @@
 #include <cstdio>
 #include <nlohmann/json.hpp>
 
-#include "fleet/return_sim.h"
-#include "standin/deps_world.h"
+#include "fleet/recovery_simulation.h"
+#include "standin/dependency_simulation.h"
 
 namespace granitegap {
 namespace {
@@ -44,7 +44,7 @@
   spec.gathers[0].parts.pop_back();
   spec.dependencies[0].endpoints = {
       {"127.0.0.1", 9001}, {"127.0.0.1", 9002}, {"127.0.0.1", 9003}, {"127.0.0.1", 9004}};
-  std::vector<learned::Learned> told;
+  std::vector<warm_state::WarmState> told;
   for (std::size_t n = 1; n < members; ++n) {
     deps::World w(spec, seed * 1000 + n);
     play_member(w);
@@ -53,7 +53,7 @@
   nlohmann::ordered_json out{{"members", members}};
   for (const bool blind : {false, true}) {
     deps::World w(spec, seed * 1000);
-    if (!blind) w.gatherer.learn(learned::merged(told), w.now);
+    if (!blind) w.gatherer.learn(warm_state::merged(told), w.now);
     const auto slow = play_member(w);
     std::size_t after = slow.size();
     while (after > 0 && slow[after - 1] <= 2) --after;
@@ -66,12 +66,12 @@
 }  // namespace granitegap
 
 int main(int argc, char** argv) {
-  using granitegap::fleet::ReturnOptions;
-  ReturnOptions o;
+  using granitegap::fleet::RecoverySimulationOptions;
+  RecoverySimulationOptions o;
   std::uint64_t seeds = 1;
   std::size_t members = 8;
   bool only_newcomer = false;
-  CLI::App app("Coming back in a simulated fleet.", "granitegap_bench_comeback_sim");
+  CLI::App app("Coming back in a simulated fleet.", "granitegap_bench_recovery_sim");
   app.add_option("--seed", o.seed, "The first; decides everything");
   app.add_option("--seeds", seeds, "So many plays, one seed after the other")->check(CLI::Range(1, 1000));
   app.add_option("--size", o.servers, "Servers")->check(CLI::Range(2, 5000));
@@ -92,13 +92,13 @@
     double lost = 0, slowest = 0, runs = 0, answered = 0, over = 0;
     nlohmann::ordered_json full = nlohmann::ordered_json::array(), series;
     for (o.seed = first; o.seed < first + seeds; ++o.seed) {
-      const auto f = granitegap::fleet::play_return(o);
+      const auto f = granitegap::fleet::simulate_recovery(o);
       stayed += f.full_service_s < 0;
       slowest = std::max(slowest, f.full_service_s);
       lost += f.lost / double(seeds);
       runs += double(f.runs);
       answered += double(f.answered);
-      over = std::max(over, f.most_over_proven);
+      over = std::max(over, f.max_over_proven);
       on_the_way += f.still_on_the_way;
       full.push_back(f.full_service_s);
       if (o.seed == first)
--- a/bench/return_svg.h
+++ b/bench/recovery_svg.h
@@ -7,16 +7,16 @@
 
 namespace granitegap::bench {
 
-// `result`: the object that granitegap_bench_comeback prints.
+// `result`: the object that granitegap_bench_recovery prints.
 inline std::string draw_return(const nlohmann::ordered_json& result) {
-  constexpr double kWidth = 720, kHeight = 320, kLeft = 50, kRight = 14, kTop = 34, kBottom = 40, kMost = 1.4;
+  constexpr double kWidth = 720, kHeight = 320, kLeft = 50, kRight = 14, kTop = 34, kBottom = 40, kMax = 1.4;
   const auto& guided = result.at("guided");
   const auto& plain = result.at("plain");
   const double from = guided.at("from_s").get<double>(), hit = guided.at("hit_s").get<double>();
   const double last = from + double(std::max(guided.at("worth").size(), plain.at("worth").size()));
   const auto x = [&](double s) { return kLeft + (kWidth - kLeft - kRight) * (s - from) / (last - from); };
   const auto y = [&](double w) {
-    return kHeight - kBottom - (kHeight - kTop - kBottom) * std::min(w, kMost) / kMost;
+    return kHeight - kBottom - (kHeight - kTop - kBottom) * std::min(w, kMax) / kMax;
   };
   std::string out;
   const auto add = [&](const char* form, auto... values) {
@@ -29,7 +29,7 @@
       "font-size=\"12\">",
       kWidth, kHeight);
   add("<rect width=\"%g\" height=\"%g\" fill=\"white\"/>", kWidth, kHeight);
-  for (double w = 0; w <= kMost; w += 0.2) {
+  for (double w = 0; w <= kMax; w += 0.2) {
     add("<path d=\"M%g %.1fH%g\" stroke=\"#ddd\"/>", kLeft, y(w), kWidth - kRight);
     add("<text x=\"%g\" y=\"%.1f\" text-anchor=\"end\" fill=\"#555\">%.1f</text>", kLeft - 6, y(w) + 4, w);
   }
--- a/include/granitegap/policy.h
+++ b/include/granitegap/policy.h
@@ -112,10 +112,10 @@
   std::optional<double> core_use, on_cores, memory_share, connections;  // gauges, where the host has them
 };
 // What a host that sees more than this instance asks of it for a while, as when a fleet comes back: arrivals
-// whose expected wait on the cores exceeds `most_wait` times their class's target are refused (absent: no
+// whose expected wait on the cores exceeds `max_wait` times their class's target are refused (absent: no
 // such bound), and the credit told is `offered` (0 to 1) of what it would be. Holds until the next one.
 struct BoundSet {
-  std::optional<double> most_wait;
+  std::optional<double> max_wait;
   double offered = 1;
 };
 using Event = std::variant<RequestArrived, RunEnded, CallNeeded, CallEnded, CallerGone, DrainNotice,
--- a/src/admin/codec.cpp
+++ b/src/admin/codec.cpp
@@ -28,8 +28,8 @@
 
 std::optional<std::variant<Call, BadCall>> Reader::add(std::string_view bytes) {
   const auto end = bytes.find('\n');
-  line_.append(bytes.substr(0, std::min(end, kMostLine + 2)));
-  if (line_.size() > kMostLine + 1) return BadCall{"line too long"};
+  line_.append(bytes.substr(0, std::min(end, kMaxLine + 2)));
+  if (line_.size() > kMaxLine + 1) return BadCall{"line too long"};
   if (end == std::string_view::npos) return std::nullopt;
   return parse(line_);
 }
--- a/src/admin/codec.h
+++ b/src/admin/codec.h
@@ -17,7 +17,7 @@
   std::string text;
 };
 
-constexpr std::size_t kMostLine = 256;  // bytes before its end
+constexpr std::size_t kMaxLine = 256;  // bytes before its end
 
 // `line`: without its LF; a CR before that is left out here.
 std::variant<Call, BadCall> parse(std::string_view line);
--- a/src/admin/door.cpp
+++ b/src/admin/server.cpp
@@ -1,4 +1,4 @@
-#include "admin/door.h"
+#include "admin/server.h"
 
 #include <sys/socket.h>
 
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-struct Door::Connection {
+struct AdminServer::Connection {
   explicit Connection(tcp::socket s) : socket(std::move(s)), limit(socket.get_executor()) {}
   // At `span` from now the connection ends, whatever is under way.
   static void end_after(const std::shared_ptr<Connection>& self, std::chrono::milliseconds span) {
@@ -42,7 +42,8 @@
   bool answered = false;
 };
 
-Door::Door(const asio::any_io_executor& executor, const tcp::endpoint& at, Answer answer, Logger& log)
+AdminServer::AdminServer(const asio::any_io_executor& executor, const tcp::endpoint& at, Answer answer,
+                         Logger& log)
     : acceptor_(executor), answer_(std::move(answer)), log_(log) {
   acceptor_.open(at.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
@@ -50,16 +51,16 @@
   acceptor_.listen();
 }
 
-void Door::close() {
+void AdminServer::close() {
   closed_ = true;
   error_code ignored;
   acceptor_.close(ignored);
 }
 
-asio::awaitable<void> Door::serve() {
+asio::awaitable<void> AdminServer::serve() {
   co_await net::accept_each(acceptor_, closed_, [this](tcp::socket socket, const asio::ip::address&) {
     // Guards against callers that say nothing and stay: the oldest of them makes room.
-    if (open_.size() >= kMostConnections) {
+    if (open_.size() >= kMaxConnections) {
       error_code ignored;
       open_.front()->socket.close(ignored);
       open_.pop_front();
@@ -71,7 +72,7 @@
   });
 }
 
-asio::awaitable<void> Door::talk(std::shared_ptr<Connection> with) {
+asio::awaitable<void> AdminServer::talk(std::shared_ptr<Connection> with) {
   auto& socket = with->socket;
   Connection::end_after(with, kWholeLine);
   Reader reader;
--- a/src/admin/door.h
+++ b/src/admin/server.h
@@ -12,21 +12,21 @@
 
 namespace granitegap::admin {
 
-class Door {
+class AdminServer {
  public:
   // Called on the loop's thread; answers at once.
   using Answer = std::function<Reply(Call)>;
   // Throws boost::system::system_error where the address can't be bound.
-  Door(const boost::asio::any_io_executor& executor, const boost::asio::ip::tcp::endpoint& at, Answer answer,
-       Logger& log);
+  AdminServer(const boost::asio::any_io_executor& executor, const boost::asio::ip::tcp::endpoint& at,
+              Answer answer, Logger& log);
   boost::asio::awaitable<void> serve();
   boost::asio::ip::tcp::endpoint local() const { return acceptor_.local_endpoint(); }
   void close();
 
   // The descriptors that are kept free for it. One more caller takes the place of the one that has said
   // nothing for longest.
-  static constexpr std::size_t kMostConnections = 16;
-  static constexpr std::size_t kDescriptors = kMostConnections + 2;
+  static constexpr std::size_t kMaxConnections = 16;
+  static constexpr std::size_t kDescriptors = kMaxConnections + 2;
 
  private:
   struct Connection;
--- a/src/fill_http/door.cpp
+++ b/src/cache_fill_http/server.cpp
@@ -1,4 +1,4 @@
-#include "fill_http/door.h"
+#include "cache_fill_http/server.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -11,7 +11,7 @@
 
 #include "net/accept.h"
 
-namespace granitegap::fill_http {
+namespace granitegap::cache_fill_http {
 namespace {
 
 namespace asio = boost::asio;
@@ -20,62 +20,62 @@
 using beast::error_code;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMostQuestion = 4096;
+constexpr std::size_t kMaxQuestion = 4096;
 constexpr auto kIdle = 30s, kWrite = 2s;
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
 }  // namespace
 
-struct Door::Waiting {
+struct CacheFillServer::Waiting {
   explicit Waiting(const asio::any_io_executor& executor) : over(executor) {}
   asio::steady_timer over;
-  std::optional<edge::FillAnswer> answer;
+  std::optional<edge::CacheFillReply> answer;
 };
 
-Door::Door(const asio::any_io_executor& executor, const Tcp::endpoint& at, Logger& log)
+CacheFillServer::CacheFillServer(const asio::any_io_executor& executor, const Tcp::endpoint& at, Logger& log)
     : executor_(executor), log_(log), door_(executor, at) {
   log_.line("fill: others ask for keys at port " + std::to_string(port()),
             {{"event", "fill_door"}, {"port", std::int64_t(port())}});
 }
 
-void Door::begin(membership::Life life, Hooks hooks) {
-  life_ = life;
+void CacheFillServer::begin(membership::BootId boot_id, Hooks hooks) {
+  boot_id_ = boot_id;
   hooks_ = std::move(hooks);
 }
 
-void Door::close() {
+void CacheFillServer::close() {
   closed_ = true;
   error_code ignored;
   door_.close(ignored);
 }
 
-void Door::answer(edge::FillAnswer answer) {
+void CacheFillServer::answer(edge::CacheFillReply answer) {
   const auto it = waiting_.find(answer.tag);
   if (it == waiting_.end()) return;  // it waits no more
   it->second->answer = std::move(answer);
   it->second->over.cancel();
 }
 
-asio::awaitable<void> Door::serve() {
+asio::awaitable<void> CacheFillServer::serve() {
   // In a name of its own: GCC 12 destroys a temporary in a co_await expression twice.
   const net::Take take = [this](Tcp::socket socket, const asio::ip::address& from) {
     // Guards against a fleet whose members each keep as many as they like: they ask below themselves.
-    if (connections_ < kMostConnections && hooks_.may_ask(from))
+    if (connections_ < kMaxConnections && hooks_.may_ask(from))
       asio::co_spawn(executor_, converse(std::move(socket)), asio::detached);
   };
   co_await net::accept_each(door_, closed_, take);
 }
 
-asio::awaitable<void> Door::converse(Tcp::socket socket) {
+asio::awaitable<void> CacheFillServer::converse(Tcp::socket socket) {
   const net::Counted counted(connections_);
   error_code error;
   socket.set_option(Tcp::no_delay(true), error);
   beast::tcp_stream stream(std::move(socket));
-  beast::flat_buffer buffer(2 * kMostQuestion);
+  beast::flat_buffer buffer(2 * kMaxQuestion);
   while (!closed_) {
     http::request_parser<http::empty_body> parser;
-    parser.header_limit(kMostQuestion);
+    parser.header_limit(kMaxQuestion);
     stream.expires_after(kIdle);
     co_await http::async_read(stream, buffer, parser, into(error));
     if (error) co_return;
@@ -84,7 +84,7 @@
     response.keep_alive(request.keep_alive());
     const auto target = request.target();
     auto question = deps::read_target({target.data(), target.size()});
-    if (question && question->to != life_) {
+    if (question && question->to != boot_id_) {
       response.result(http::status::gone);  // of an earlier life, or of whoever had this port then
     } else if (question) {
       const auto waiting = std::make_shared<Waiting>(executor_);
@@ -108,4 +108,4 @@
   }
 }
 
-}  // namespace granitegap::fill_http
+}  // namespace granitegap::cache_fill_http
--- a/src/fill_http/door.h
+++ b/src/cache_fill_http/server.h
@@ -2,7 +2,7 @@
 // connection, only for whoever may ask. A question goes to the module's mailbox, its answer comes back under
 // its tag. docs/recovery.md tells why it is a call like any other to the one who asks.
 //
-// Bounds: connections (kMostConnections), bytes of a question (4 KiB), silence (kIdle), and the time that a
+// Bounds: connections (kMaxConnections), bytes of a question (4 KiB), silence (kIdle), and the time that a
 // question names, of which a fifth more passes before it is answered with 503.
 #pragma once
 #include <boost/asio/any_io_executor.hpp>
@@ -15,21 +15,22 @@
 #include "edge/types.h"
 #include "log/logger.h"
 
-namespace granitegap::fill_http {
+namespace granitegap::cache_fill_http {
 
-class Door {
+class CacheFillServer {
  public:
-  static constexpr std::size_t kMostConnections = 32;
+  static constexpr std::size_t kMaxConnections = 32;
   struct Hooks {  // called on the io thread
     std::function<bool(const boost::asio::ip::address&)> may_ask;
-    std::function<bool(edge::FillAsked)> ask;  // false: there is no room for it
+    std::function<bool(edge::CacheFillQuery)> ask;  // false: there is no room for it
   };
   // Throws boost::system::system_error where it can't be opened.
-  Door(const boost::asio::any_io_executor& executor, const boost::asio::ip::tcp::endpoint& at, Logger& log);
-  void begin(membership::Life life, Hooks hooks);
+  CacheFillServer(const boost::asio::any_io_executor& executor, const boost::asio::ip::tcp::endpoint& at,
+                  Logger& log);
+  void begin(membership::BootId boot_id, Hooks hooks);
   std::uint16_t port() const { return door_.local_endpoint().port(); }
   boost::asio::awaitable<void> serve();
-  void answer(edge::FillAnswer answer);
+  void answer(edge::CacheFillReply answer);
   void close();
 
  private:
@@ -40,7 +41,7 @@
   boost::asio::any_io_executor executor_;
   Logger& log_;
   Tcp::acceptor door_;
-  membership::Life life_{};
+  membership::BootId boot_id_{};
   Hooks hooks_;
   std::map<std::uint64_t, std::shared_ptr<Waiting>> waiting_;  // by tag
   std::uint64_t next_ = 1;
@@ -48,4 +49,4 @@
   bool closed_ = false;
 };
 
-}  // namespace granitegap::fill_http
+}  // namespace granitegap::cache_fill_http
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -32,7 +32,7 @@
   Limits limits;
   std::string settings_text;  // as path=value lines
   ParsedSettings parsed;
-  edge::Catalog catalog;
+  edge::NameRegistry catalog;
 };
 struct Problem {
   std::string what;  // one line
--- a/src/deps/fill.cpp
+++ b/src/deps/cache_fill.cpp
@@ -1,4 +1,4 @@
-#include "deps/fill.h"
+#include "deps/cache_fill.h"
 
 #include <arpa/inet.h>
 #include <xxhash.h>
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::string_view kFill = "/fill/";
-constexpr std::size_t kMostPath = 4096, kMostName = 253;
-constexpr Duration kMostSpan = std::chrono::hours(24 * 7);
+constexpr std::size_t kMaxPath = 4096, kMaxName = 253;
+constexpr Duration kMaxSpan = std::chrono::hours(24 * 7);
 
 // Up to the next '/', which is taken away too.
 std::string_view cut(std::string_view& text) {
@@ -29,24 +29,24 @@
 
 bool span(std::string_view text, Duration& to) {
   std::int64_t us = 0;
-  if (!number(text, us) || us < 0 || us > kMostSpan.count()) return false;
+  if (!number(text, us) || us < 0 || us > kMaxSpan.count()) return false;
   to = Duration(us);
   return true;
 }
 
 }  // namespace
 
-void Owners::see(const membership::View& view) {
+void KeyOwners::see(const membership::View& view) {
   own_ = view.own_hash;
-  sure_ = membership::can_rely(view) && !view.twin;
+  sure_ = membership::can_rely(view) && !view.duplicate;
   std::vector<Other> fresh;
   for (const auto& p : view.peers) {
-    if (!membership::serves(p) || p.told.fill_port == 0) continue;
+    if (!membership::serves(p) || p.metadata.fill_port == 0) continue;
     char host[INET6_ADDRSTRLEN];
     if (!::inet_ntop(p.address.v6 ? AF_INET6 : AF_INET, p.address.ip.data(), host, sizeof host)) continue;
-    Other o{{p.hash, p.life, {host, p.told.fill_port}}, {}, 0};
+    Other o{{p.hash, p.boot_id, {host, p.metadata.fill_port}}, {}, 0};
     // Of another life nothing is held against it.
-    if (const auto* known = find(p.hash); known && known->owner.life == p.life)
+    if (const auto* known = find(p.hash); known && known->owner.boot_id == p.boot_id)
       o.until = known->until, o.in_a_row = known->in_a_row;
     fresh.push_back(std::move(o));
   }
@@ -55,13 +55,13 @@
   others_ = std::move(fresh);
 }
 
-Owners::Other* Owners::find(std::uint64_t member) {
+KeyOwners::Other* KeyOwners::find(std::uint64_t member) {
   const auto at = std::lower_bound(others_.begin(), others_.end(), member,
                                    [](const Other& o, std::uint64_t hash) { return o.owner.hash < hash; });
   return at != others_.end() && at->owner.hash == member ? &*at : nullptr;
 }
 
-std::optional<Owner> Owners::of(std::uint64_t key, TimePoint now) const {
+std::optional<KeyOwner> KeyOwners::of(std::uint64_t key, TimePoint now) const {
   if (!sure_) return std::nullopt;
   const Other* best = nullptr;
   std::uint64_t most = membership::score(own_, key), whose = own_;
@@ -75,38 +75,38 @@
   return best->owner;
 }
 
-void Owners::failed(std::uint64_t member, TimePoint now) {
+void KeyOwners::failed(std::uint64_t member, TimePoint now) {
   auto* o = find(member);
   if (!o || now < o->until) return;  // of those asked together the first failure counts
   o->until = now + std::min(kPassedOver * (std::int64_t(1) << std::min(o->in_a_row, 10u)), kPassedOverMost);
   ++o->in_a_row;
 }
 
-void Owners::answered(std::uint64_t member) {
+void KeyOwners::answered(std::uint64_t member) {
   if (auto* o = find(member)) o->until = {}, o->in_a_row = 0;
 }
 
-std::uint64_t fill_key(std::string_view dependency, std::string_view path) {
+std::uint64_t cache_fill_key(std::string_view dependency, std::string_view path) {
   return XXH3_64bits_withSeed(path.data(), path.size(), XXH3_64bits(dependency.data(), dependency.size()));
 }
 
-std::string target_of(const FillQuestion& q) {
-  char life[17];
-  const auto end = std::to_chars(life, life + sizeof life, std::uint64_t(q.to), 16).ptr;
-  return std::string(kFill) + std::string(life, end) + "/" + std::to_string(q.fresh.count()) + "/" +
+std::string target_of(const CacheFillRequest& q) {
+  char boot_id[17];
+  const auto end = std::to_chars(boot_id, boot_id + sizeof boot_id, std::uint64_t(q.to), 16).ptr;
+  return std::string(kFill) + std::string(boot_id, end) + "/" + std::to_string(q.fresh.count()) + "/" +
          std::to_string(q.within.count()) + "/" + q.dependency + q.path;
 }
 
-std::optional<FillQuestion> read_target(std::string_view text) {
-  if (!text.starts_with(kFill) || text.size() > kMostPath) return std::nullopt;
+std::optional<CacheFillRequest> read_target(std::string_view text) {
+  if (!text.starts_with(kFill) || text.size() > kMaxPath) return std::nullopt;
   text.remove_prefix(kFill.size());
-  FillQuestion q;
-  std::uint64_t life = 0;
-  if (!number(cut(text), life, 16) || !span(cut(text), q.fresh) || !span(cut(text), q.within))
+  CacheFillRequest q;
+  std::uint64_t boot_id = 0;
+  if (!number(cut(text), boot_id, 16) || !span(cut(text), q.fresh) || !span(cut(text), q.within))
     return std::nullopt;
-  q.to = membership::Life(life);
+  q.to = membership::BootId(boot_id);
   const auto path = text.find('/');
-  if (path == std::string_view::npos || path == 0 || path > kMostName) return std::nullopt;
+  if (path == std::string_view::npos || path == 0 || path > kMaxName) return std::nullopt;
   q.dependency = text.substr(0, path);
   q.path = text.substr(path);
   // Guards against a target that would become more than one line of the call below.
@@ -119,9 +119,9 @@
   return std::to_string(std::max<std::int64_t>(age.count(), 0)).append("\n").append(body);
 }
 
-std::optional<Filled> read_filled(const std::string& bytes) {
+std::optional<CacheFillResponse> read_filled(const std::string& bytes) {
   const auto line = bytes.find('\n');
-  Filled f;
+  CacheFillResponse f;
   if (line == std::string::npos || !span(std::string_view(bytes).substr(0, line), f.age)) return std::nullopt;
   f.body = bytes.substr(line + 1);
   return f;
--- a/src/deps/fill.h
+++ b/src/deps/cache_fill.h
@@ -18,13 +18,13 @@
 
 namespace granitegap::deps {
 
-struct Owner {
+struct KeyOwner {
   std::uint64_t hash = 0;  // name_hash() of the member
-  membership::Life life{};
+  membership::BootId boot_id{};
   EndpointSpec at;
 };
 
-class Owners {
+class KeyOwners {
  public:
   // How long one that did not answer is passed over, doubling with each time in a row.
   static constexpr Duration kPassedOver = std::chrono::milliseconds(500),
@@ -32,14 +32,14 @@
 
   void see(const membership::View& view);
   // Who else fills this key; absent where that is this one, or it can't be told.
-  std::optional<Owner> of(std::uint64_t key, TimePoint now) const;
+  std::optional<KeyOwner> of(std::uint64_t key, TimePoint now) const;
   void failed(std::uint64_t member, TimePoint now);
   void answered(std::uint64_t member);
   std::size_t size() const { return others_.size(); }
 
  private:
   struct Other {
-    Owner owner;
+    KeyOwner owner;
     TimePoint until{};  // passed over
     std::uint32_t in_a_row = 0;
   };
@@ -50,27 +50,27 @@
 };
 
 // The same in every process, as keys of the cache are not.
-std::uint64_t fill_key(std::string_view dependency, std::string_view path);
+std::uint64_t cache_fill_key(std::string_view dependency, std::string_view path);
 
 // What is asked of the owner: the value of a path below, no older than `fresh`, within so long. `to`: the
 // life that is asked; a later one on the same port does not answer for it.
-struct FillQuestion {
-  membership::Life to{};
+struct CacheFillRequest {
+  membership::BootId to{};
   std::string dependency, path;
   Duration fresh{}, within{};
-  bool operator==(const FillQuestion&) const = default;
+  bool operator==(const CacheFillRequest&) const = default;
 };
 // As the target of an HTTP request, and back; absent where it is none.
-std::string target_of(const FillQuestion& question);
-std::optional<FillQuestion> read_target(std::string_view target);
+std::string target_of(const CacheFillRequest& question);
+std::optional<CacheFillRequest> read_target(std::string_view target);
 
-// The value and its age, as the body of the answer, and back; kMostFillHead: bytes more than the value's.
-inline constexpr std::size_t kMostFillHead = 24;
+// The value and its age, as the body of the answer, and back; kMaxFillHead: bytes more than the value's.
+inline constexpr std::size_t kMaxFillHead = 24;
 std::string filled(Duration age, std::string_view body);
-struct Filled {
+struct CacheFillResponse {
   Duration age{};
   std::string body;
 };
-std::optional<Filled> read_filled(const std::string& bytes);
+std::optional<CacheFillResponse> read_filled(const std::string& bytes);
 
 }  // namespace granitegap::deps
--- a/src/deps/endpoints.cpp
+++ b/src/deps/endpoints.cpp
@@ -9,8 +9,8 @@
 constexpr std::uint32_t kFailuresInARow = 5;
 constexpr double kDecaySeconds = 2;    // of the peak latency
 constexpr double kUnknownUs = 1000;    // of an endpoint not heard of yet: worth a try
-constexpr double kLeastShare = 0.1;    // at the beginning of a slow start
-constexpr std::uint32_t kGrowths = 8;  // of the time out; bounded by eject_most long before
+constexpr double kMinShare = 0.1;      // at the beginning of a slow start
+constexpr std::uint32_t kGrowths = 8;  // of the time out; bounded by max_eject long before
 
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
@@ -20,9 +20,9 @@
 
 void EndpointSet::change(const DependencySpec& spec) {
   all_in_ = false;  // looked at by the next pick
-  most_ejected_ = spec.most_ejected;
+  max_ejected_ = spec.max_ejected;
   eject_for_ = spec.eject_for;
-  eject_most_ = spec.eject_most;
+  max_eject_ = spec.max_eject;
   slow_start_ = spec.slow_start;
   for (auto& e : all_) {
     const bool stays =
@@ -49,7 +49,7 @@
   double share = 1;
   if (e.slow_start) {
     const double part = slow_start_.count() > 0 ? seconds(now - e.back_at) / seconds(slow_start_) : 1;
-    share = std::clamp(part, kLeastShare, 1.0);
+    share = std::clamp(part, kMinShare, 1.0);
   }
   return peak * (e.open + 1) / share;
 }
@@ -137,14 +137,14 @@
 bool EndpointSet::may_eject() const {
   std::size_t there = 0;
   for (const auto& e : all_) there += e.state != State::gone;
-  return count_out() + 1 <= std::size_t(most_ejected_ * double(there));
+  return count_out() + 1 <= std::size_t(max_ejected_ * double(there));
 }
 
 void EndpointSet::eject(Endpoint& e, TimePoint now) {
   e.state = State::ejected;
   all_in_ = false;
   const auto longer = eject_for_ * (std::int64_t(1) << std::min(e.times_out, kGrowths));
-  e.until = now + std::min(longer, eject_most_);
+  e.until = now + std::min(longer, max_eject_);
   ++e.times_out;
   e.in_a_row = 0;
 }
@@ -195,7 +195,7 @@
   if (k.out_for.count() <= 0 || !may_eject()) return true;
   e.state = State::ejected;
   all_in_ = false;
-  e.until = now + std::min(k.out_for, eject_most_);
+  e.until = now + std::min(k.out_for, max_eject_);
   e.times_out = std::clamp<std::uint32_t>(k.times_out, 1, kGrowths);
   return true;
 }
--- a/src/deps/endpoints.h
+++ b/src/deps/endpoints.h
@@ -67,8 +67,8 @@
   bool may_eject() const;  // one more
   std::vector<Endpoint> all_;
   bool all_in_ = true;  // none out, held or gone: a candidate is found without a search
-  double most_ejected_ = 0.5;
-  Duration eject_for_{}, eject_most_{}, slow_start_{};
+  double max_ejected_ = 0.5;
+  Duration eject_for_{}, max_eject_{}, slow_start_{};
 };
 
 }  // namespace granitegap::deps
--- a/src/deps/latency_window.cpp
+++ b/src/deps/latency_window.cpp
@@ -6,11 +6,11 @@
 namespace granitegap::deps {
 namespace {
 
-constexpr double kLeastUs = 50, kMostUs = 60e6;
+constexpr double kMinUs = 50, kMaxUs = 60e6;
 
 }  // namespace
 
-LatencyWindow::LatencyWindow(Duration slice) : axis_(kBins, kLeastUs, kMostUs), slice_(slice) {}
+LatencyWindow::LatencyWindow(Duration slice) : axis_(kBins, kMinUs, kMaxUs), slice_(slice) {}
 
 void LatencyWindow::clear() {
   for (auto& s : slices_) s.fill(0);
@@ -63,11 +63,11 @@
     seen += sum_[b];
     if (seen < std::max(rank, 1u)) continue;
     // The middle of the bin on its log axis; its bound where it has only one.
-    if (b == 0) return Duration(std::int64_t(kLeastUs));
-    if (b > kBins) return Duration(std::int64_t(kMostUs));
+    if (b == 0) return Duration(std::int64_t(kMinUs));
+    if (b > kBins) return Duration(std::int64_t(kMaxUs));
     return Duration(std::llround(axis_.value(double(b) - 0.5)));
   }
-  return Duration(std::int64_t(kMostUs));
+  return Duration(std::int64_t(kMaxUs));
 }
 
 }  // namespace granitegap::deps
--- a/src/deps/limits.cpp
+++ b/src/deps/limits.cpp
@@ -17,7 +17,7 @@
 constexpr double kOutCalls = 10, kOutShare = 0.8;
 constexpr double kProbeGrowth = 1.6;
 
-double faded(double value, Duration passed, double half_life) {
+double aged(double value, Duration passed, double half_life) {
   if (passed.count() <= 0 || value == 0) return value;
   return value * std::exp2(-std::chrono::duration<double>(passed).count() / half_life);
 }
@@ -71,7 +71,7 @@
 }
 
 double RetryBudget::saved(TimePoint now) {
-  saved_ = faded(saved_, now - at_, kBudgetHalfLife);
+  saved_ = aged(saved_, now - at_, kBudgetHalfLife);
   at_ = std::max(at_, now);
   return saved_;
 }
@@ -90,16 +90,16 @@
   saved_ = std::min(saved_, burst_);
 }
 
-Outage::Outage(Duration probe_every, Duration probe_most) { reset(probe_every, probe_most); }
+Outage::Outage(Duration probe_every, Duration max_probe) { reset(probe_every, max_probe); }
 
-void Outage::reset(Duration probe_every, Duration probe_most) {
+void Outage::reset(Duration probe_every, Duration max_probe) {
   probe_every_ = std::max(probe_every, Duration(1));
-  probe_most_ = std::max(probe_most, probe_every_);
+  max_probe_ = std::max(max_probe, probe_every_);
 }
 
 void Outage::fade(TimePoint now) {
-  good_ = faded(good_, now - at_, kOutageHalfLife);
-  bad_ = faded(bad_, now - at_, kOutageHalfLife);
+  good_ = aged(good_, now - at_, kOutageHalfLife);
+  bad_ = aged(bad_, now - at_, kOutageHalfLife);
   at_ = std::max(at_, now);
 }
 
@@ -126,7 +126,7 @@
   if (out_) {
     if (!probing_) return false;  // a call from before the outage
     probing_ = false;
-    pause_ = std::min(Duration(std::llround(double(pause_.count()) * kProbeGrowth)), probe_most_);
+    pause_ = std::min(Duration(std::llround(double(pause_.count()) * kProbeGrowth)), max_probe_);
     next();
     return false;
   }
--- a/src/deps/limits.h
+++ b/src/deps/limits.h
@@ -57,7 +57,7 @@
 // jitter. A success ends it.
 class Outage {
  public:
-  Outage(Duration probe_every, Duration probe_most);
+  Outage(Duration probe_every, Duration max_probe);
   bool out() const { return out_; }
   // Both return true when the state changes with this end.
   bool succeeded(TimePoint now);
@@ -68,11 +68,11 @@
   void probe_now(TimePoint now) { next_probe_ = std::min(next_probe_, now); }  // somebody found it back
   void probe_lost() { probing_ = false; }                                      // abandoned, its end unknown
   TimePoint since() const { return since_; }
-  void reset(Duration probe_every, Duration probe_most);
+  void reset(Duration probe_every, Duration max_probe);
 
  private:
   void fade(TimePoint now);
-  Duration probe_every_, probe_most_, pause_{};
+  Duration probe_every_, max_probe_, pause_{};
   bool out_ = false, probing_ = false;
   std::uint32_t in_a_row_ = 0;
   double good_ = 0, bad_ = 0;  // fading counts
--- a/src/deps/part_cache.cpp
+++ b/src/deps/response_cache.cpp
@@ -1,4 +1,4 @@
-#include "deps/part_cache.h"
+#include "deps/response_cache.h"
 
 #include <xxhash.h>
 
@@ -12,7 +12,7 @@
 constexpr double kWindowShare = 0.01, kProtectedShare = 0.8;
 constexpr std::size_t kUsualEntry = 1024;  // by which the sketch is sized
 constexpr unsigned kRows = 4;
-constexpr std::uint8_t kMostCount = 15;
+constexpr std::uint8_t kMaxCount = 15;
 
 }  // namespace
 
@@ -31,7 +31,7 @@
 
 void FrequencySketch::note(const Key& key) {
   const auto least = estimate(key);
-  if (least < kMostCount)
+  if (least < kMaxCount)
     for (unsigned row = 0; row < kRows; ++row)
       if (auto& n = nibbles_[slot(key, row)]; n == least) ++n;  // conservative update: fewer overcounts
   if (++samples_ < 10 * (mask_ + 1)) return;
@@ -40,23 +40,24 @@
 }
 
 std::uint32_t FrequencySketch::estimate(const Key& key) const {
-  std::uint8_t least = kMostCount;
+  std::uint8_t least = kMaxCount;
   for (unsigned row = 0; row < kRows; ++row) least = std::min(least, nibbles_[slot(key, row)]);
   return least;
 }
 
-PartCache::PartCache(std::size_t most_bytes) : most_(most_bytes), sketch_(most_bytes / kUsualEntry * 4) {}
+ResponseCache::ResponseCache(std::size_t max_bytes)
+    : most_(max_bytes), sketch_(max_bytes / kUsualEntry * 4) {}
 
-void PartCache::resize(std::size_t most_bytes) {
-  most_ = most_bytes;
+void ResponseCache::resize(std::size_t max_bytes) {
+  most_ = max_bytes;
   settle();
 }
 
-std::size_t PartCache::cost(const Entry& e) {
+std::size_t ResponseCache::cost(const Entry& e) {
   return kEntryBytes + (e.body ? e.body->capacity() : 0) + e.path.capacity();
 }
 
-void PartCache::unlink(Index i) {
+void ResponseCache::unlink(Index i) {
   auto& e = entries_[i];
   auto& list = lists_[e.where];
   (e.before == kNone ? list.newest : entries_[e.before].after) = e.after;
@@ -64,7 +65,7 @@
   list.bytes -= cost(e);
 }
 
-void PartCache::push(Index i, Where where) {
+void ResponseCache::push(Index i, Where where) {
   auto& e = entries_[i];
   auto& list = lists_[where];
   e.where = where;
@@ -75,7 +76,7 @@
   list.bytes += cost(e);
 }
 
-void PartCache::drop(Index i) {
+void ResponseCache::drop(Index i) {
   unlink(i);
   auto& e = entries_[i];
   bytes_ -= cost(e);
@@ -87,7 +88,7 @@
   free_.push_back(i);
 }
 
-std::optional<PartCache::Found> PartCache::find(const Key& key, TimePoint now) {
+std::optional<ResponseCache::Found> ResponseCache::find(const Key& key, TimePoint now) {
   sketch_.note(key);
   const auto i = lookup(key);
   if (i == kNone) return std::nullopt;
@@ -105,13 +106,13 @@
   return Found{e.body, std::max(now - e.stored, Duration{})};
 }
 
-std::optional<TimePoint> PartCache::stored(const Key& key) const {
+std::optional<TimePoint> ResponseCache::stored(const Key& key) const {
   const auto i = lookup(key);
   if (i == kNone) return std::nullopt;
   return entries_[i].stored;
 }
 
-std::vector<PartCache::Hot> PartCache::hottest(std::size_t most) const {
+std::vector<ResponseCache::Hot> ResponseCache::hottest(std::size_t most) const {
   std::vector<std::pair<std::uint32_t, Index>> seen;
   for (const auto where : {kProtected, kProbation, kWindow})
     for (auto i = lists_[where].newest; i != kNone && seen.size() < most; i = entries_[i].after)
@@ -124,8 +125,8 @@
   return hot;
 }
 
-void PartCache::put(const Key& key, std::uint32_t dependency, std::string_view path, Bytes body,
-                    TimePoint now) {
+void ResponseCache::put(const Key& key, std::uint32_t dependency, std::string_view path, Bytes body,
+                        TimePoint now) {
   if (!body) return;
   auto i = lookup(key);
   if (i != kNone) {
@@ -160,7 +161,7 @@
 
 // The window overflows into the main part as long as that has room; after that a newcomer must have been
 // asked for more often than the oldest on probation, or it goes itself.
-void PartCache::settle() {
+void ResponseCache::settle() {
   const auto window =
       std::max(std::size_t(double(most_) * kWindowShare), std::min(most_, kEntryBytes + kUsualEntry));
   while (lists_[kWindow].bytes > window && lists_[kWindow].oldest != kNone) {
@@ -188,7 +189,7 @@
   }
 }
 
-PartCache::Index PartCache::lookup(const Key& key) const {
+ResponseCache::Index ResponseCache::lookup(const Key& key) const {
   return index_.find(key.low, [&](Index i) { return entries_[i].key == key; });
 }
 
--- a/src/deps/part_cache.h
+++ b/src/deps/response_cache.h
@@ -41,9 +41,9 @@
   std::size_t samples_ = 0;
 };
 
-class PartCache {
+class ResponseCache {
  public:
-  explicit PartCache(std::size_t most_bytes);
+  explicit ResponseCache(std::size_t max_bytes);
   struct Found {
     Bytes body;
     Duration age{};
@@ -65,7 +65,7 @@
   std::vector<Hot> hottest(std::size_t most) const;
   std::size_t bytes() const { return bytes_; }
   std::size_t size() const { return size_; }
-  void resize(std::size_t most_bytes);
+  void resize(std::size_t max_bytes);
 
  private:
   using Index = std::uint32_t;
--- a/src/deps/scatter_gather.cpp
+++ b/src/deps/scatter_gather.cpp
@@ -25,9 +25,9 @@
 ScatterGather::Dependency::Dependency(const DependencySpec& s)
     : spec(s),
       endpoints(s),
-      limit(s.least_open, s.most_open),
+      limit(s.min_open, s.max_open),
       budget(s.retry_share, s.retry_burst),
-      outage(s.probe_every, s.probe_most) {
+      outage(s.probe_every, s.max_probe) {
   name_endpoints();
 }
 
@@ -41,7 +41,7 @@
 
 void ScatterGather::Dependency::note_probe(std::uint32_t endpoint, bool out, TimePoint now) {
   const auto key = fleet_keys[endpoint];
-  std::erase_if(probed, [&](const auto& p) { return p.key == key || now - p.at >= 4 * spec.probe_most; });
+  std::erase_if(probed, [&](const auto& p) { return p.key == key || now - p.at >= 4 * spec.max_probe; });
   probed.push_back({key, now, out});
 }
 
@@ -88,9 +88,9 @@
     known->spec = d;
     known->endpoints.change(d);
     known->name_endpoints();
-    known->limit.rebound(d.least_open, d.most_open);
+    known->limit.rebound(d.min_open, d.max_open);
     known->budget.reset(d.retry_share, d.retry_burst);
-    known->outage.reset(d.probe_every, d.probe_most);
+    known->outage.reset(d.probe_every, d.max_probe);
   }
   for (std::size_t g = 0; g < spec->gathers.size(); ++g) {
     const auto& gather = spec->gathers[g];
@@ -215,7 +215,7 @@
     case TimerKind::hedge: {
       auto& d = deps_[flights_[t.slot].dependency];
       // In the same budget as retries, and never past the limit: a hedge is a luxury.
-      if (d.outage.out() || d.waiting > 0 || d.open >= d.limit.limit() || d.spec.most_tries < 2 ||
+      if (d.outage.out() || d.waiting > 0 || d.open >= d.limit.limit() || d.spec.max_tries < 2 ||
           !d.budget.take(now))
         return;
       ++totals_.hedges;
--- a/src/deps/scatter_gather.h
+++ b/src/deps/scatter_gather.h
@@ -32,16 +32,16 @@
 #include <variant>
 #include <vector>
 
+#include "deps/cache_fill.h"
 #include "deps/endpoints.h"
-#include "deps/fill.h"
 #include "deps/latency_window.h"
 #include "deps/limits.h"
-#include "deps/part_cache.h"
 #include "deps/path_template.h"
+#include "deps/response_cache.h"
 #include "deps/slot_index.h"
 #include "deps/spec.h"
-#include "learned/learned.h"
 #include "membership/views.h"
+#include "warm_state/warm_state.h"
 
 namespace granitegap::deps {
 
@@ -68,7 +68,7 @@
   CallId id{};
   std::uint32_t dependency = 0, endpoint = 0;
   const std::string* path = nullptr;
-  const Owner* owner = nullptr;  // it goes to that member, not to an endpoint
+  const KeyOwner* owner = nullptr;  // it goes to that member, not to an endpoint
 };
 struct AbandonCall {
   CallId id{};
@@ -97,7 +97,7 @@
   std::uint64_t calls = 0, retries = 0, hedges = 0, probes = 0, shared = 0, shed = 0, late = 0;
   std::uint64_t fresh = 0, stale = 0, fallback = 0, absent = 0, outages = 0;
   std::uint64_t owners_asked = 0, owners_answered = 0, filled = 0;  // filled: asked by others
-  std::uint32_t most_open = 0;
+  std::uint32_t max_open = 0;
 };
 
 class ScatterGather {
@@ -116,7 +116,7 @@
              TimePoint now);
   // What another member asks of this one, the owner of that key: GatherEnded follows, and parts() has the one
   // value where it is whole enough. False where nothing of the kind is declared here.
-  bool fill(RequestId id, const FillQuestion& question, TimePoint now);
+  bool fill(RequestId id, const CacheFillRequest& question, TimePoint now);
   void abandon(RequestId id, TimePoint now);  // no GatherEnded follows
   void ended(const CallReport& report, TimePoint now);
   void tick(TimePoint now);
@@ -135,15 +135,15 @@
   // Where there is a fleet: one member probes each endpoint of a dependency that is out for all, and says
   // what it finds.
   void fleet(std::shared_ptr<const membership::View> view, TimePoint now);
-  std::vector<membership::Finding> findings(TimePoint now) const;
+  std::vector<membership::EndpointHealth> endpoint_health(TimePoint now) const;
 
   // What is known of endpoints and the hottest of what is kept, for another life; and what an earlier one
   // knew: the numbers that were of use. What was heard here since overrules it.
-  void export_to(learned::Learned& to, TimePoint now) const;
+  void export_to(warm_state::WarmState& to, TimePoint now) const;
   struct Used {
     std::size_t endpoints = 0, parts = 0;
   };
-  Used learn(const learned::Learned& from, TimePoint now);
+  Used learn(const warm_state::WarmState& from, TimePoint now);
 
   const EndpointSpec& address(std::uint32_t dependency, std::uint32_t endpoint) const {
     return deps_[dependency].endpoints.address(endpoint);
@@ -211,7 +211,7 @@
     std::optional<std::uint32_t> only{};  // the endpoint that it is for
     bool used = false;
     struct Asking {  // the owner
-      Owner owner;
+      KeyOwner owner;
       std::string target;
       TimePoint since{};
       bool open = false;
@@ -235,12 +235,12 @@
     std::uint32_t samples_since_summary = 0;
     void heard(Duration took, TimePoint now);
     const LatencySummary& latency_summary(TimePoint now);
-    struct Probed {  // as other members are told
+    struct HealthCheckTraffic {  // as other members are told
       std::uint64_t key = 0;
       TimePoint at{};
       bool out = true;
     };
-    std::vector<Probed> probed;  // by endpoint
+    std::vector<HealthCheckTraffic> probed;  // by endpoint
     std::uint32_t next_probed = 0;
     std::vector<std::uint64_t> fleet_keys;  // by endpoint: its name to other members
     void name_endpoints();                  // after every change of them
@@ -263,7 +263,7 @@
   };
 
   std::shared_ptr<const membership::View> fleet_;
-  Owners owners_;
+  KeyOwners owners_;
   void share_limits();
   // The longest that any part may still take a kept answer of it.
   Duration cached_for(std::uint32_t dependency) const;
@@ -327,7 +327,7 @@
   std::vector<Failure> failures_;  // direct-mapped: a newer failure may push an older one out
   std::vector<Action> actions_;
   std::string path_;  // being filled in
-  PartCache cache_;
+  ResponseCache cache_;
   Totals totals_;
 };
 
--- a/src/deps/scatter_gather_calls.cpp
+++ b/src/deps/scatter_gather_calls.cpp
@@ -60,7 +60,7 @@
   // each.
   const auto turns = std::int64_t(d.waiting / std::max(d.limit.limit(), 1u)) + 1;
   const bool in_vain = now + d.latency_summary(now).median * (turns + 1) > latest_deadline(f);
-  if (d.waiting >= d.spec.most_waiting || in_vain) {
+  if (d.waiting >= d.spec.max_waiting || in_vain) {
     ++totals_.shed;
     return give_up(slot, now);
   }
@@ -115,7 +115,7 @@
   std::optional<std::uint32_t> other;
   if (f.attempts_made > 0) other = f.attempts[f.attempts_made - 1].endpoint;
   const auto& summary = d.latency_summary(now);
-  const auto left = f.detached ? d.spec.timeout_most : latest_deadline(f) - now;
+  const auto left = f.detached ? d.spec.max_timeout : latest_deadline(f) - now;
   // Guards against calls that can't be back in time: they would only take slots from those that can.
   const bool hopeless = !f.detached && (left.count() <= 0 || (guarded_ && left < summary.median));
   const auto endpoint = hopeless ? std::nullopt
@@ -126,16 +126,16 @@
     if (!any_open(f)) give_up(slot, now);
     return;
   }
-  auto timeout = d.spec.timeout_most;
+  auto timeout = d.spec.max_timeout;
   if (summary.high.count() > 0 && !f.detached)
     timeout = std::clamp(Duration(std::llround(double(summary.high.count()) * d.spec.timeout_factor)),
-                         d.spec.timeout_least, d.spec.timeout_most);
+                         d.spec.min_timeout, d.spec.max_timeout);
   timeout = guarded_ ? std::min(timeout, left) : left;
   f.state = FlightState::calling;
   const auto number = f.attempts_made++;
   f.attempts[number] = {*endpoint, true, now, now + timeout};
   d.endpoints.started(*endpoint);
-  totals_.most_open = std::max(totals_.most_open, ++d.open);
+  totals_.max_open = std::max(totals_.max_open, ++d.open);
   ++totals_.calls;
   set_timer(now + timeout, TimerKind::call, slot, f.generation, number);
   actions_.emplace_back(StartCall{call_id(slot, number), f.dependency, *endpoint, &f.path});
@@ -279,7 +279,7 @@
   } else if (fate == CallFate::busy && retry_after && guarded_) {
     // It is well enough to say so: left alone for that long, not counted among the broken.
     d.endpoints.abandoned(endpoint);
-    d.endpoints.hold(endpoint, now + std::clamp(*retry_after, Duration{}, d.spec.eject_most));
+    d.endpoints.hold(endpoint, now + std::clamp(*retry_after, Duration{}, d.spec.max_eject));
     if (f.detached) d.outage.probe_lost();
     d.limit.failed();
   } else if (guarded_) {
@@ -295,11 +295,11 @@
 void ScatterGather::after_failure(Slot slot, TimePoint now) {
   auto& f = flights_[slot];
   auto& d = deps_[f.dependency];
-  const auto most = std::min<std::uint32_t>(d.spec.most_tries, kMaxAttempts);
+  const auto most = std::min<std::uint32_t>(d.spec.max_tries, kMaxAttempts);
   if (guarded_ && !f.detached && !f.waiters.empty() && f.attempts_made < most && !d.outage.out()) {
     const auto grown = d.spec.retry_pause * (std::int64_t(1) << std::min(f.attempts_made - 1, 10u));
     const auto pause =
-        Duration(std::llround(roll() * double(std::min(grown, d.spec.retry_pause_most).count())));
+        Duration(std::llround(roll() * double(std::min(grown, d.spec.max_retry_pause).count())));
     if (now + pause + d.latency_summary(now).median < latest_deadline(f) && d.budget.take(now)) {
       ++totals_.retries;
       f.state = FlightState::pausing;
--- a/src/deps/scatter_gather_fleet.cpp
+++ b/src/deps/scatter_gather_fleet.cpp
@@ -80,19 +80,19 @@
       if (!d.endpoints.gone(i) && membership::told_back(*fleet_, d.fleet_keys[i])) d.outage.probe_now(now);
 }
 
-std::vector<membership::Finding> ScatterGather::findings(TimePoint now) const {
-  std::vector<membership::Finding> found;
+std::vector<membership::EndpointHealth> ScatterGather::endpoint_health(TimePoint now) const {
+  std::vector<membership::EndpointHealth> found;
   if (!fleet_) return found;
   for (const auto& d : deps_)
     for (const auto& p : d.probed)
       // Guards against others that wait for this one's probes of what it no longer holds for out.
-      if ((!p.out || d.outage.out()) && now - p.at < 4 * d.spec.probe_most &&
-          found.size() < membership::kMostFindings)
+      if ((!p.out || d.outage.out()) && now - p.at < 4 * d.spec.max_probe &&
+          found.size() < membership::kMaxEndpointHealth)
         found.push_back({p.key, p.out});
   return found;
 }
 
-void ScatterGather::export_to(learned::Learned& to, TimePoint now) const {
+void ScatterGather::export_to(warm_state::WarmState& to, TimePoint now) const {
   for (const auto& d : deps_)
     for (std::uint32_t i = 0; i < d.endpoints.places(); ++i)
       if (const auto k = d.endpoints.known(i, now)) {
@@ -102,11 +102,11 @@
       }
   std::size_t bytes = 0;
   for (const auto& hot : cache_.hottest(kHotLooked)) {
-    learned::Part part{deps_[hot.dependency].spec.name, *hot.path, hot.body,
-                       std::max(now - hot.stored, Duration{})};
-    if (!learned::fits(part) || part.age >= cached_for(hot.dependency)) continue;
-    bytes += learned::bytes_of(part);
-    if (bytes > learned::kMostPartBytes || to.parts.size() >= learned::kMostParts) break;
+    warm_state::CachedResponse part{deps_[hot.dependency].spec.name, *hot.path, hot.body,
+                                    std::max(now - hot.stored, Duration{})};
+    if (!warm_state::fits(part) || part.age >= cached_for(hot.dependency)) continue;
+    bytes += warm_state::bytes_of(part);
+    if (bytes > warm_state::kMaxPartBytes || to.parts.size() >= warm_state::kMaxParts) break;
     to.parts.push_back(std::move(part));
   }
 }
@@ -120,7 +120,7 @@
   return longest;
 }
 
-ScatterGather::Used ScatterGather::learn(const learned::Learned& from, TimePoint now) {
+ScatterGather::Used ScatterGather::learn(const warm_state::WarmState& from, TimePoint now) {
   Used used;
   // The hottest last, so that it is the newest here too.
   for (auto p = from.parts.rbegin(); p != from.parts.rend(); ++p)
--- a/src/deps/scatter_gather_parts.cpp
+++ b/src/deps/scatter_gather_parts.cpp
@@ -9,7 +9,7 @@
 namespace granitegap::deps {
 namespace {
 
-constexpr Duration kLeastAsked = std::chrono::milliseconds(5);  // under it another member is not asked
+constexpr Duration kMinAsked = std::chrono::milliseconds(5);  // under it another member is not asked
 
 using detail::hash_of;
 
@@ -54,7 +54,7 @@
   return slot;
 }
 
-bool ScatterGather::fill(RequestId id, const FillQuestion& q, TimePoint now) {
+bool ScatterGather::fill(RequestId id, const CacheFillRequest& q, TimePoint now) {
   const auto& declared = loaded_->spec->dependencies;
   const auto d = std::find_if(declared.begin(), declared.end(),
                               [&](const auto& spec) { return spec.name == q.dependency; });
@@ -64,7 +64,7 @@
   const Slot slot = new_gather(id, loaded_->fills, which);
   auto& g = gathers_[slot];
   g.began = now;
-  g.deadline = now + std::clamp(q.within, Duration{}, d->timeout_most);
+  g.deadline = now + std::clamp(q.within, Duration{}, d->max_timeout);
   g.may_call = true;
   g.parts[0].begun = true;
   path_ = q.path;
@@ -141,12 +141,13 @@
   auto& f = flights_[slot];
   const auto& d = deps_[f.dependency];
   if (fresh.count() <= 0) return false;
-  const auto owner = owners_.of(fill_key(d.spec.name, f.path), now);
-  const auto within = std::min((latest_deadline(f) - now) / 2, d.spec.timeout_most);
-  if (!owner || within < kLeastAsked) return false;
+  const auto owner = owners_.of(cache_fill_key(d.spec.name, f.path), now);
+  const auto within = std::min((latest_deadline(f) - now) / 2, d.spec.max_timeout);
+  if (!owner || within < kMinAsked) return false;
   ++totals_.owners_asked;
   // It is told of less time than it has: its answer has a way to go.
-  f.asking = {*owner, target_of({owner->life, d.spec.name, f.path, fresh, within - within / 8}), now, true};
+  f.asking = {*owner, target_of({owner->boot_id, d.spec.name, f.path, fresh, within - within / 8}), now,
+              true};
   set_timer(now + within, TimerKind::owner, slot, f.generation, kOwnerAttempt);
   actions_.emplace_back(
       StartCall{call_id(slot, kOwnerAttempt), f.dependency, 0, &f.asking.target, &f.asking.owner});
--- a/src/deps/spec.h
+++ b/src/deps/spec.h
@@ -22,29 +22,29 @@
   std::vector<EndpointSpec> endpoints;
 
   // A try's time: `timeout_factor` times the 99th centile of recent answers, between these two.
-  Duration timeout_least = std::chrono::milliseconds(10), timeout_most = std::chrono::seconds(1);
+  Duration min_timeout = std::chrono::milliseconds(10), max_timeout = std::chrono::seconds(1);
   double timeout_factor = 3;
-  std::uint32_t most_tries = 3;  // of one call, the first and hedges included
-  double retry_share = 0.1;      // tries beyond the first, as a share of recent successes
-  double retry_burst = 10;       // the most that share saves up
-  Duration retry_pause = std::chrono::milliseconds(10), retry_pause_most = std::chrono::milliseconds(250);
+  std::uint32_t max_tries = 3;  // of one call, the first and hedges included
+  double retry_share = 0.1;     // tries beyond the first, as a share of recent successes
+  double retry_burst = 10;      // the most that share saves up
+  Duration retry_pause = std::chrono::milliseconds(10), max_retry_pause = std::chrono::milliseconds(250);
   double hedge_after = 0.95;  // the quantile of recent answers after which a second try starts; 0: never
 
-  std::uint32_t least_open = 2, most_open = 64;  // bounds of the concurrency limit
+  std::uint32_t min_open = 2, max_open = 64;  // bounds of the concurrency limit
   // Of the whole fleet together, shared evenly over the members that are there; 0: no such bound.
   std::uint32_t fleet_open = 0;
-  bool fleet_fill = false;           // one member of the fleet fills a key for all
-  std::uint32_t most_waiting = 128;  // calls that wait for it
+  bool fleet_fill = false;          // one member of the fleet fills a key for all
+  std::uint32_t max_waiting = 128;  // calls that wait for it
 
-  double most_ejected = 0.5;  // of the endpoints, rounded down
-  Duration eject_for = std::chrono::milliseconds(500), eject_most = std::chrono::seconds(30);
+  double max_ejected = 0.5;  // of the endpoints, rounded down
+  Duration eject_for = std::chrono::milliseconds(500), max_eject = std::chrono::seconds(30);
   Duration slow_start = std::chrono::seconds(2);
-  Duration probe_every = std::chrono::milliseconds(100), probe_most = std::chrono::seconds(1);
+  Duration probe_every = std::chrono::milliseconds(100), max_probe = std::chrono::seconds(1);
 
   // For whoever carries the calls out. Bytes, and times without any byte.
-  std::size_t most_answer = 65536, most_header = 8192;
-  Duration quiet_most = std::chrono::seconds(1), idle_most = std::chrono::seconds(20);
-  std::uint32_t most_idle = 16;  // connections kept for the next call
+  std::size_t max_answer = 65536, max_header = 8192;
+  Duration max_quiet = std::chrono::seconds(1), max_idle_time = std::chrono::seconds(20);
+  std::uint32_t max_idle_connections = 16;  // connections kept for the next call
 };
 
 struct PartSpec {
--- a/src/deps_http/caller.cpp
+++ b/src/deps_http/dependency_client.cpp
@@ -1,4 +1,4 @@
-#include "deps_http/caller.h"
+#include "deps_http/dependency_client.h"
 
 #include <sys/socket.h>
 
@@ -22,7 +22,7 @@
 using deps::CallFate;
 
 constexpr auto kLook = std::chrono::milliseconds(500);
-constexpr int kMostInterim = 4;  // 1xx answers before the one that counts
+constexpr int kMaxInterim = 4;  // 1xx answers before the one that counts
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
@@ -51,26 +51,27 @@
 
 }  // namespace
 
-struct Caller::Call {
-  Call(const asio::any_io_executor& executor, edge::CallBelow b)
+struct DependencyClient::Call {
+  Call(const asio::any_io_executor& executor, edge::DependencyCall b)
       : below(std::move(b)), stream(std::make_unique<beast::tcp_stream>(executor)) {}
-  edge::CallBelow below;
+  edge::DependencyCall below;
   std::unique_ptr<beast::tcp_stream> stream;
   bool connected = false, abandoned = false;
 };
 
-struct Caller::Idle {
+struct DependencyClient::Idle {
   std::unique_ptr<beast::tcp_stream> stream;
   Clock::time_point since;
   Duration most;
 };
 
-Caller::Caller(const asio::any_io_executor& executor, std::size_t most_connections, Report report)
-    : executor_(executor), look_(executor), most_(most_connections), report_(std::move(report)) {}
+DependencyClient::DependencyClient(const asio::any_io_executor& executor, std::size_t max_connections,
+                                   Report report)
+    : executor_(executor), look_(executor), most_(max_connections), report_(std::move(report)) {}
 
-Caller::~Caller() { close_all(); }
+DependencyClient::~DependencyClient() { close_all(); }
 
-void Caller::close_all() {
+void DependencyClient::close_all() {
   closed_ = true;
   while (!calls_.empty()) abandon(calls_.begin()->first);
   idle_.clear();
@@ -78,7 +79,7 @@
   look_.cancel();
 }
 
-void Caller::start(edge::CallBelow below) {
+void DependencyClient::start(edge::DependencyCall below) {
   if (closed_) return;
   const auto id = below.id;
   auto call = std::make_shared<Call>(executor_, std::move(below));
@@ -93,7 +94,7 @@
                  });
 }
 
-void Caller::abandon(deps::CallId id) {
+void DependencyClient::abandon(deps::CallId id) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
   auto& call = *it->second;
@@ -104,7 +105,7 @@
 }
 
 // One idle connection less: the one idle for longest.
-bool Caller::make_room() {
+bool DependencyClient::make_room() {
   if (connections_ < most_) return true;
   std::list<Idle>* oldest = nullptr;
   for (auto& [to, list] : idle_)
@@ -115,7 +116,7 @@
   return true;
 }
 
-asio::awaitable<deps::CallReport> Caller::carry_out(std::shared_ptr<Call> call) {
+asio::awaitable<deps::CallReport> DependencyClient::carry_out(std::shared_ptr<Call> call) {
   const auto began = Clock::now();
   const auto& below = call->below;
   const auto ended = [&](CallFate fate) {
@@ -147,7 +148,7 @@
       if (error) co_return ended(CallFate::unreachable);
       ++connections_;
       call->connected = true;
-      call->stream->expires_after(below.quiet_most);
+      call->stream->expires_after(below.max_quiet);
       co_await call->stream->async_connect(tcp::endpoint(address, below.to.port), into(error));
       if (call->abandoned) co_return ended(CallFate::cut_off);
       if (error) co_return ended(CallFate::unreachable);
@@ -156,26 +157,26 @@
       ++connections_;
       call->connected = true;
     }
-    call->stream->expires_after(below.quiet_most);
+    call->stream->expires_after(below.max_quiet);
     co_await http::async_write(*call->stream, request, into(error));
     if (call->abandoned) co_return ended(CallFate::cut_off);
 
-    beast::flat_buffer buffer(below.most_header + below.most_answer + 4096);
+    beast::flat_buffer buffer(below.max_header + below.max_answer + 4096);
     std::optional<http::response_parser<http::string_body>> parser;
     const auto fresh_parser = [&] {
       parser.emplace();
-      parser->header_limit(std::uint32_t(below.most_header));
-      parser->body_limit(below.most_answer);
+      parser->header_limit(std::uint32_t(below.max_header));
+      parser->body_limit(below.max_answer);
     };
     fresh_parser();
     std::size_t got = 0;
     int interim = 0;
     while (!error && !parser->is_done()) {
-      call->stream->expires_after(below.quiet_most);
+      call->stream->expires_after(below.max_quiet);
       got += co_await http::async_read_some(*call->stream, buffer, *parser, into(error));
       if (call->abandoned) co_return ended(CallFate::cut_off);
       if (!error && parser->is_done() && parser->get().result_int() / 100 == 1) {
-        if (++interim > kMostInterim) co_return ended(CallFate::error);
+        if (++interim > kMaxInterim) co_return ended(CallFate::error);
         fresh_parser();
       }
     }
@@ -206,9 +207,9 @@
     if (report.fate == CallFate::ok)
       report.body = std::make_shared<const std::string>(std::move(response.body()));
     auto& kept = idle_[place];
-    if (response.keep_alive() && buffer.size() == 0 && kept.size() < below.most_idle) {
+    if (response.keep_alive() && buffer.size() == 0 && kept.size() < below.max_idle_connections) {
       call->stream->expires_never();
-      kept.push_back({std::move(call->stream), Clock::now(), below.idle_most});
+      kept.push_back({std::move(call->stream), Clock::now(), below.max_idle_time});
       call->connected = false;  // it counts on, as an idle one
     } else if (kept.empty()) {
       idle_.erase(place);
@@ -217,7 +218,7 @@
   }
 }
 
-asio::awaitable<void> Caller::mind_idle() {
+asio::awaitable<void> DependencyClient::mind_idle() {
   while (!closed_) {
     look_.expires_after(kLook);
     error_code woken;
--- a/src/deps_http/caller.h
+++ b/src/deps_http/dependency_client.h
@@ -16,14 +16,14 @@
 
 namespace granitegap::deps_http {
 
-class Caller {
+class DependencyClient {
  public:
   using Report = std::function<void(deps::CallReport)>;
-  // `most_connections`: descriptors, idle ones included; at the bound an idle one makes room, and with none a
+  // `max_connections`: descriptors, idle ones included; at the bound an idle one makes room, and with none a
   // call ends as unreachable. `report` is never called for a call that was abandoned.
-  Caller(const boost::asio::any_io_executor& executor, std::size_t most_connections, Report report);
-  ~Caller();
-  void start(edge::CallBelow call);
+  DependencyClient(const boost::asio::any_io_executor& executor, std::size_t max_connections, Report report);
+  ~DependencyClient();
+  void start(edge::DependencyCall call);
   // Closes its connection: what is half read can't carry another call.
   void abandon(deps::CallId id);
   void close_all();  // calls and idle connections; nothing is reported or started after it
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -16,8 +16,8 @@
 constexpr Duration kBootsApart = std::chrono::seconds(2);   // between two words of one start
 constexpr Duration kClocksApart = std::chrono::seconds(1);  // one machine's clock, so hardly at all
 
-std::vector<KeyTable::Rules> key_rules(const Settings& settings) {
-  std::vector<KeyTable::Rules> rules;
+std::vector<IdempotencyTable::Rules> key_rules(const Settings& settings) {
+  std::vector<IdempotencyTable::Rules> rules;
   for (const auto& c : settings.classes)
     rules.push_back(
         {c.repeat_window.value_or(std::chrono::seconds(60)), c.deadline.value_or(std::chrono::seconds(5))});
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-Edge::Edge(ParsedSettings settings, Catalog catalog, std::uint64_t seed)
+Edge::Edge(ParsedSettings settings, NameRegistry catalog, std::uint64_t seed)
     : settings_(std::move(settings)),
       catalog_(std::move(catalog)),
       seed_(seed),
@@ -100,12 +100,12 @@
   events_.emplace_back(arrived);
 }
 
-void Edge::wait_out_lost_memory(Duration clock_back_most, bool has_folder, TimePoint started) {
-  recovery::LostMemory::Rules rules;
+void Edge::wait_out_lost_memory(Duration max_clock_back, bool has_folder, TimePoint started) {
+  recovery::RestartQuarantine::Rules rules;
   const auto by_class = key_rules(settings_.settings);
   for (std::size_t i = 0; i < by_class.size(); ++i)
     rules.windows.push_back(catalog_.is_keyed(ClassId(i)) ? by_class[i].window : Duration{});
-  rules.clock_back_most = clock_back_most;
+  rules.max_clock_back = max_clock_back;
   rules.has_folder = has_folder;
   lost_memory_.emplace(std::move(rules), started);
 }
@@ -123,7 +123,7 @@
   return true;
 }
 
-void Edge::on(const LearnedNews& news) {
+void Edge::on(const WarmStateReceived& news) {
   if (course_ && news.from_others == 0) course_->expected(news.what.members.size(), now_.steady);
   if (!gatherer_) return;
   const auto from = news.from_others == 0 ? std::string("an earlier life")
@@ -135,27 +135,27 @@
     remark("learned " + std::to_string(used.parts) + " kept answers from " + from, "learned_parts");
 }
 
-learned::Learned Edge::learned(TimePoint now) const {
-  learned::Learned what;
+warm_state::WarmState Edge::learned(TimePoint now) const {
+  warm_state::WarmState what;
   if (gatherer_) gatherer_->export_to(what, now);
   return what;
 }
 
 void Edge::on(const Closing&) { closing_ = true; }
 
-void Edge::on(const FillAsked& asked) {
+void Edge::on(const CacheFillQuery& asked) {
   const RequestId id{next_id_++};
   fills_.emplace(id, asked.tag);
   if (gatherer_ && gatherer_->fill(id, asked.question, now_.steady)) return pass_on_calls();
   fills_.erase(id);
-  out_.emplace_back(FillAnswer{asked.tag, nullptr, {}});
+  out_.emplace_back(CacheFillReply{asked.tag, nullptr, {}});
 }
 
-void Edge::guide_return(const recovery::CourseRules& rules, TimePoint started) {
+void Edge::guide_return(const recovery::RecoveryOptions& rules, TimePoint started) {
   course_.emplace(rules, started);
 }
 
-void Edge::on(const LearningOver& over) {
+void Edge::on(const StateTransferFinished& over) {
   if (course_) course_->learned(over.sources, now_.steady);
 }
 
@@ -168,13 +168,13 @@
   tell_course();
   if (!module_) return;
   const BoundSet bound{course_->wait_bound(), course_->offered()};
-  if (bound.most_wait == bound_.most_wait && bound.offered == bound_.offered) return;
+  if (bound.max_wait == bound_.max_wait && bound.offered == bound_.offered) return;
   bound_ = bound;
   events_.emplace_back(bound);
 }
 
 void Edge::tell_course() {
-  using News = recovery::Course::News;
+  using News = recovery::RecoveryController::News;
   const auto ms = [](Duration d) {
     return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(d).count());
   };
@@ -203,7 +203,7 @@
                "recovery_full", reached(m.full));
         break;
       case News::paused:
-        out_.emplace_back(AskOthers{});
+        out_.emplace_back(StateTransferWanted{});
         remark("recovery: this process stood still for long: what it remembers is old", "recovery_paused");
         break;
       case News::guarding:
@@ -214,7 +214,7 @@
     }
 }
 
-void Edge::on(const EarlierLifeNews& news) {
+void Edge::on(const PreviousIncarnationFound& news) {
   if (!lost_memory_) return;
   lost_memory_->learn(news.found, now_.steady);
   say_how_long();
@@ -270,7 +270,7 @@
 
 // Guards against work for a connection that can't carry its answer. What runs goes on under the module's
 // hand and its end is reported like any other.
-void Edge::on(const PeerGone& gone) {
+void Edge::on(const PeerDisconnected& gone) {
   if (const auto theirs = by_peer_.extract(gone.peer))
     for (const auto id : theirs.mapped())
       if (auto* o = find(id); o && !o->answered) {
@@ -281,7 +281,7 @@
   std::erase_if(deep_checks_, [&](const auto& c) { return c.second.peer == gone.peer; });
 }
 
-void Edge::on(const Withdrawn& withdrawn) {
+void Edge::on(const RequestCancelled& withdrawn) {
   const auto theirs = by_peer_.find(withdrawn.from.peer);
   if (theirs == by_peer_.end()) return;
   for (const auto id : std::vector<RequestId>(theirs->second))
@@ -311,7 +311,7 @@
     }
     events_.emplace_back(RunEnded{id, RunResult::moot, {}});
   }
-  end(id, KeyTable::RunState::bad, nullptr);
+  end(id, IdempotencyTable::RunState::bad, nullptr);
 }
 
 void Edge::on(const Drain& drain) {
@@ -332,7 +332,7 @@
 
 // The kernel's start is the module's: it may come long after this process's, and how warm the cores are
 // counts from it. Later links only repeat the news.
-void Edge::on(const Booted& booted) {
+void Edge::on(const KernelStarted& booted) {
   const auto born = now_.steady - std::min<Duration>(booted.ago, std::chrono::hours(24));
   const bool anew = module_ && booted.cold && born > born_ + kBootsApart;  // its machine has restarted
   if (course_ && (!module_ || anew)) {
@@ -369,13 +369,13 @@
   }
   events_.emplace_back(RunEnded{id, RunResult::cancelled, report.took});
   o.stopped = true;
-  if (o.answered) return end(id, KeyTable::RunState::bad, nullptr);
+  if (o.answered) return end(id, IdempotencyTable::RunState::bad, nullptr);
   o.work = settings_.settings.suspend == SuspendKind::pause ? Work::paused : Work::held;
 }
 
 // The kernel's protocol names no way to make a call for a run: the request is given up at once, and the
 // kernel ends the run of a request that is over.
-void Edge::on(const CallWanted& wanted) {
+void Edge::on(const DependencyCallRequested& wanted) {
   const auto it = by_rid_.find(wanted.rid);
   if (it == by_rid_.end()) return;
   const auto id = it->second;
@@ -459,11 +459,11 @@
   const auto* run = keys_.covering_run(o->request);
   if (run || o->too_late) {
     events_.emplace_back(RunEnded{id, RunResult::moot, {}});
-    if (run && run->state == KeyTable::RunState::good)
+    if (run && run->state == IdempotencyTable::RunState::good)
       answer(*o, Outcome::served, run->result);
     else
       answer(*o, run ? Outcome::failed : Outcome::refused);
-    return end(id, KeyTable::RunState::bad, nullptr);
+    return end(id, IdempotencyTable::RunState::bad, nullptr);
   }
   // What another process may have run, or may be running, is not run here; this try never was.
   if (claims_.claim && !o->request.token.empty() &&
@@ -471,7 +471,7 @@
     events_.emplace_back(RunEnded{id, RunResult::moot, {}});
     // Without advice to stay away: that would be from the whole server, which is well.
     answer(*o, o->ran ? Outcome::failed : Outcome::refused);
-    return end(id, KeyTable::RunState::bad, nullptr);
+    return end(id, IdempotencyTable::RunState::bad, nullptr);
   }
   o->work = Work::running;
   o->ran = true;
@@ -534,13 +534,14 @@
   o->work = Work::reusing;
   o->since = now_.steady;
   if (const auto* run = keys_.any_run(o->request)) {
-    if (run->state != KeyTable::RunState::going) return settle_follower(a.id, run->state, run->result);
+    if (run->state != IdempotencyTable::RunState::going)
+      return settle_follower(a.id, run->state, run->result);
     open_.at(run->by).followers.push_back(a.id);
     return;
   }
   auto* original = o->repeats ? find(*o->repeats) : nullptr;
   if (!original || (original->work != Work::held && original->work != Work::gathering))
-    return settle_follower(a.id, KeyTable::RunState::bad, nullptr);
+    return settle_follower(a.id, IdempotencyTable::RunState::bad, nullptr);
   original->followers.push_back(a.id);
 }
 
@@ -596,7 +597,7 @@
   pass_on_calls();
 }
 
-void Edge::on(const NewDeclaration& fresh) {
+void Edge::on(const DependencySpecUpdate& fresh) {
   if (!gatherer_ || !fresh.spec) return;
   gatherer_->change(fresh.spec, now_.steady);
   pass_on_calls();
@@ -604,25 +605,25 @@
 
 // ---- The fleet ----
 
-void Edge::on(const FleetNews& news) {
+void Edge::on(const MembershipUpdate& news) {
   if (!news.view) return;
   if (!fleet_) fleet_ = std::make_unique<Fleet>(Fleet{0, std::mt19937_64(seed_)});
   // Without a majority the missing may be this one: its advice stays as it is.
   fleet_->missing = news.view->majority ? membership::missing_share(*news.view) : 0;
-  if (course_) course_->fleet(recovery::facts_of(*news.view), now_.steady);
-  if (lost_memory_) lost_memory_->another_lives(news.view->twin, now_.steady);
+  if (course_) course_->fleet(recovery::fleet_status_of(*news.view), now_.steady);
+  if (lost_memory_) lost_memory_->another_lives(news.view->duplicate, now_.steady);
   if (gatherer_) gatherer_->fleet(news.view, now_.steady);
 }
 
 Edge::Standing Edge::standing(TimePoint now) const {
   Standing s;
-  if (gatherer_) s.findings = gatherer_->findings(now);
+  if (gatherer_) s.endpoint_health = gatherer_->endpoint_health(now);
   if (hint_) s.pressed = std::uint8_t(std::clamp(100 / (1 + std::max(*hint_, 0.0)), 0.0, 100.0));
   if (course_) {
     const auto full = course_->milestones().full;
-    s.course = {std::uint8_t(1 + std::uint8_t(course_->phase())),
-                std::uint8_t(std::lround(100 * course_->offered())), 0,
-                std::uint32_t(full ? std::clamp<std::int64_t>(full->count() / 1000, 1, 0xfffffff0) : 0)};
+    s.recovery_status = {
+        std::uint8_t(1 + std::uint8_t(course_->phase())), std::uint8_t(std::lround(100 * course_->offered())),
+        0, std::uint32_t(full ? std::clamp<std::int64_t>(full->count() / 1000, 1, 0xfffffff0) : 0)};
   }
   if (!module_) return s;
   const double warm_up = double(settings_.settings.warm_up.value_or(std::chrono::seconds(60)).count());
@@ -642,13 +643,13 @@
   for (const auto& action : gatherer_->actions()) {
     if (const auto* start = std::get_if<deps::StartCall>(&action)) {
       const auto& d = gatherer_->dependency(start->dependency);
-      out_.emplace_back(
-          CallBelow{start->id, *start->path,
-                    start->owner ? start->owner->at : gatherer_->address(start->dependency, start->endpoint),
-                    d.name, d.most_answer + (start->owner ? deps::kMostFillHead : 0), d.most_header,
-                    d.quiet_most, d.idle_most, d.most_idle});
+      out_.emplace_back(DependencyCall{
+          start->id, *start->path,
+          start->owner ? start->owner->at : gatherer_->address(start->dependency, start->endpoint), d.name,
+          d.max_answer + (start->owner ? deps::kMaxFillHead : 0), d.max_header, d.max_quiet, d.max_idle_time,
+          d.max_idle_connections});
     } else if (const auto* drop = std::get_if<deps::AbandonCall>(&action)) {
-      out_.emplace_back(DropCall{drop->id});
+      out_.emplace_back(CancelDependencyCall{drop->id});
     } else if (const auto* ended = std::get_if<deps::GatherEnded>(&action)) {
       ended_gathers_.push_back(*ended);
     } else if (const auto* changed = std::get_if<deps::DependencyChanged>(&action)) {
@@ -664,7 +665,7 @@
 
 void Edge::gather_ended(const deps::GatherEnded& ended) {
   if (const auto fill = fills_.find(ended.id); fill != fills_.end()) {
-    FillAnswer a{fill->second, nullptr, {}};
+    CacheFillReply a{fill->second, nullptr, {}};
     const auto parts = gatherer_->parts(ended.id);
     if (ended.required_parts_present && parts.size() == 1) a.body = parts[0].body, a.age = parts[0].age;
     fills_.erase(fill);
@@ -684,7 +685,7 @@
   if (ended.required_parts_present) return begin_run(ended.id, *o);
   events_.emplace_back(RunEnded{ended.id, RunResult::error, {}});
   answer(*o, Outcome::failed);
-  end(ended.id, KeyTable::RunState::bad, nullptr);
+  end(ended.id, IdempotencyTable::RunState::bad, nullptr);
 }
 
 Result Edge::product_of(Open& o, std::string result) {
@@ -721,19 +722,20 @@
         how == RunResult::ok && !o.answered && now_.unix - o.request.reached <= aim_of(o.request.cls),
         now_.steady);
   answer(o, how == RunResult::ok ? Outcome::served : Outcome::failed, result);
-  end(id, how == RunResult::ok ? KeyTable::RunState::good : KeyTable::RunState::bad, std::move(result));
+  end(id, how == RunResult::ok ? IdempotencyTable::RunState::good : IdempotencyTable::RunState::bad,
+      std::move(result));
 }
 
-void Edge::settle_follower(RequestId id, KeyTable::RunState state, const Result& result) {
+void Edge::settle_follower(RequestId id, IdempotencyTable::RunState state, const Result& result) {
   auto* o = find(id);
   if (!o) return;
-  const bool good = state == KeyTable::RunState::good;
+  const bool good = state == IdempotencyTable::RunState::good;
   events_.emplace_back(RunEnded{id, good ? RunResult::ok : RunResult::error, now_.steady - o->since});
   answer(*o, good ? Outcome::served : Outcome::failed, result);
   end(id, state, nullptr);
 }
 
-void Edge::end(RequestId id, KeyTable::RunState state, Result result) {
+void Edge::end(RequestId id, IdempotencyTable::RunState state, Result result) {
   auto node = open_.extract(id);
   auto& o = node.mapped();
   by_rid_.erase(o.request.rid);
@@ -761,7 +763,7 @@
 }
 
 void Edge::report_health() {
-  if (lifecycle_.reports() && (module_ || drain_from_)) out_.emplace_back(Report{fit() && !drain_from_});
+  if (lifecycle_.reports() && (module_ || drain_from_)) out_.emplace_back(LoadReport{fit() && !drain_from_});
 }
 
 }  // namespace granitegap::edge
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -14,7 +14,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "edge/keys.h"
+#include "edge/idempotency_table.h"
 #include "edge/types.h"
 #include "granitegap/policy.h"
 #include "lifecycle/lifecycle.h"
@@ -24,7 +24,7 @@
 
 class Edge {
  public:
-  Edge(ParsedSettings settings, Catalog catalog, std::uint64_t seed);
+  Edge(ParsedSettings settings, NameRegistry catalog, std::uint64_t seed);
 
   // Has classes gather parts from the services below; before the first step. `compose` makes one answer of
   // the kernel's result and the parts.
@@ -33,20 +33,20 @@
 
   // Keyed requests wait out what an earlier life may have run; before the first step. `margin` and the like
   // are the rules' own, windows come from the settings.
-  void wait_out_lost_memory(Duration clock_back_most, bool has_folder, TimePoint started);
+  void wait_out_lost_memory(Duration max_clock_back, bool has_folder, TimePoint started);
 
   // How it comes back is guided: before the first step.
-  void guide_return(const recovery::CourseRules& rules, TimePoint started);
-  const recovery::Course* course() const { return course_ ? &*course_ : nullptr; }
+  void guide_return(const recovery::RecoveryOptions& rules, TimePoint started);
+  const recovery::RecoveryController* course() const { return course_ ? &*course_ : nullptr; }
 
   // Another process may stand at the same door: keyed requests are claimed for all of them before they run.
   // Before the first step. `claim` is false where it must not run here; its window, counted from `reached`,
   // and margin are `span`.
-  struct ClaimHooks {
+  struct KeyLeaseHooks {
     std::function<bool(const Request& request, Duration span, UnixTime now)> claim;
     std::function<void(const Request& request)> never_ran;
   };
-  void claim_keyed(ClaimHooks hooks) { claims_ = std::move(hooks); }
+  void claim_keyed(KeyLeaseHooks hooks) { claims_ = std::move(hooks); }
   Duration longest_span() const;  // of the keyed classes
 
   // The one state that all who tell others of this process read. Whoever changes it hands in a
@@ -68,15 +68,15 @@
   struct Standing {
     membership::Stage stage = membership::Stage::starting;
     std::uint8_t warmth = 0, pressed = 0;  // in 100
-    std::vector<membership::Finding> findings;
-    membership::Course course;
+    std::vector<membership::EndpointHealth> endpoint_health;
+    membership::RecoveryStatus recovery_status;
   };
   Standing standing(TimePoint now) const;
   // How long keyed requests still wait for what an earlier life may have run; the greatest where no end is
   // seen.
   Duration keyed_wait(TimePoint now) const;
   // What another life of this process could use.
-  learned::Learned learned(TimePoint now) const;
+  warm_state::WarmState learned(TimePoint now) const;
 
  private:
   // gathering: the module let it run, and what it needs from below is asked for first.
@@ -103,24 +103,24 @@
   void on(Request request);
   void on(const UnusableRequest& request) { turn_away(request.from); }
   void on(const HealthCheck& check);
-  void on(const PeerGone& gone);
-  void on(const Withdrawn& withdrawn);
+  void on(const PeerDisconnected& gone);
+  void on(const RequestCancelled& withdrawn);
   void on(const Drain& drain);
   void on(const LifecycleChanged&) { report_health(); }
-  void on(const Booted& booted);
+  void on(const KernelStarted& booted);
   void on(RunReport report);
-  void on(const CallWanted& wanted);
+  void on(const DependencyCallRequested& wanted);
   void on(const CommandRejected& rejected);
   void on(const Gauges& gauges);
   void on(const DeepCheckDone& done);
   void on(const deps::CallReport& report);
-  void on(const NewDeclaration& fresh);
-  void on(const FleetNews& news);
-  void on(const EarlierLifeNews& news);
-  void on(const LearnedNews& news);
-  void on(const LearningOver& over);
+  void on(const DependencySpecUpdate& fresh);
+  void on(const MembershipUpdate& news);
+  void on(const PreviousIncarnationFound& news);
+  void on(const WarmStateReceived& news);
+  void on(const StateTransferFinished& over);
   void on(const Closing& closing);
-  void on(const FillAsked& asked);
+  void on(const CacheFillQuery& asked);
   void mind_course();
   void tell_course();
   bool waits_out(const Request& request);
@@ -157,15 +157,15 @@
   void abandon(RequestId id, Open& o);
   void answer(Open& o, Outcome outcome, Result result = nullptr, Duration backoff = {}, bool last = false);
   void turn_away(const Origin& to);
-  void end(RequestId id, KeyTable::RunState state, Result result);
-  void settle_follower(RequestId id, KeyTable::RunState state, const Result& result);
+  void end(RequestId id, IdempotencyTable::RunState state, Result result);
+  void settle_follower(RequestId id, IdempotencyTable::RunState state, const Result& result);
   void never_ran(const Open& o, RequestId id);
   void finish_run(RequestId id, RunResult how, Duration took, Result result);
   void report_health();
   Duration aim_of(ClassId cls) const;
   Duration keep_off(Duration advised);
   void remark(std::string text, std::string_view event, std::string subject = {}) {
-    out_.emplace_back(Remark{std::move(text), event, std::move(subject)});
+    out_.emplace_back(LogEvent{std::move(text), event, std::move(subject)});
   }
   template <class C>
   void command(C c) {
@@ -173,7 +173,7 @@
   }
 
   ParsedSettings settings_;
-  Catalog catalog_;
+  NameRegistry catalog_;
   std::uint64_t seed_;
   std::optional<AdmissionController> module_;
   Now now_{};
@@ -182,7 +182,7 @@
   std::map<RequestId, Open> open_;
   std::unordered_map<std::string, RequestId> by_rid_;
   std::map<PeerId, std::vector<RequestId>> by_peer_;  // what is open, in order of arrival
-  KeyTable keys_;
+  IdempotencyTable keys_;
   std::optional<deps::ScatterGather> gatherer_;
   std::vector<deps::GatherEnded> ended_gathers_;
   std::map<RequestId, std::uint64_t> fills_;  // asked by other members: their tags
@@ -193,17 +193,17 @@
   TimePoint gauges_at_, swept_at_;
   std::optional<double> hint_;
   lifecycle::Lifecycle lifecycle_;
-  ClaimHooks claims_;
+  KeyLeaseHooks claims_;
   std::optional<UnixTime> drain_from_;
   struct Fleet {
     double missing = 0;  // share of the agreed fleet
     std::mt19937_64 random;
   };
-  std::unique_ptr<Fleet> fleet_;                     // where membership is declared
-  std::optional<recovery::LostMemory> lost_memory_;  // where it is declared
-  std::optional<recovery::Course> course_;           // the same
-  std::mt19937_64 spread_;                           // of advice while it comes back
-  BoundSet bound_;                                   // as the module holds it
+  std::unique_ptr<Fleet> fleet_;                            // where membership is declared
+  std::optional<recovery::RestartQuarantine> lost_memory_;  // where it is declared
+  std::optional<recovery::RecoveryController> course_;      // the same
+  std::mt19937_64 spread_;                                  // of advice while it comes back
+  BoundSet bound_;                                          // as the module holds it
   TimePoint course_at_{};
   TimePoint born_{};  // the kernel
   std::uint64_t batch_ = 0, timer_order_ = 0, next_check_ = 1;
--- a/src/edge/module_actor.cpp
+++ b/src/edge/edge_actor.cpp
@@ -1,4 +1,4 @@
-#include "edge/module_actor.h"
+#include "edge/edge_actor.h"
 
 #include <boost/asio/post.hpp>
 #include <utility>
@@ -18,14 +18,14 @@
       std::chrono::time_point_cast<Duration>(std::chrono::system_clock::now())};
 }
 
-ModuleActor::ModuleActor(const boost::asio::any_io_executor& executor, Edge edge, std::size_t memory_mb,
-                         Dispatch dispatch, Clocks clocks)
+EdgeActor::EdgeActor(const boost::asio::any_io_executor& executor, Edge edge, std::size_t memory_mb,
+                     Dispatch dispatch, Clocks clocks)
     : mailbox_(executor, memory_mb * kMailPerMb),
       edge_(std::move(edge)),
       dispatch_(std::move(dispatch)),
       clocks_(std::move(clocks)) {}
 
-boost::asio::awaitable<void> ModuleActor::run() {
+boost::asio::awaitable<void> EdgeActor::run() {
   using Clock = std::chrono::steady_clock;
   while (!mailbox_.closed()) {
     const auto timer = edge_.next_timer();
--- a/src/edge/module_actor.h
+++ b/src/edge/edge_actor.h
@@ -3,20 +3,20 @@
 #include <boost/asio/awaitable.hpp>
 #include <functional>
 
+#include "actor/mailbox.h"
 #include "edge/edge.h"
-#include "mailbox/mailbox.h"
 
 namespace granitegap::edge {
 
 Now read_clocks();
 
-class ModuleActor {
+class EdgeActor {
  public:
   using Clocks = std::function<Now()>;
   using Dispatch = std::function<void(Output)>;
   // `memory_mb`: what the process may use; its mail may take a part of that.
-  ModuleActor(const boost::asio::any_io_executor& executor, Edge edge, std::size_t memory_mb,
-              Dispatch dispatch, Clocks clocks = read_clocks);
+  EdgeActor(const boost::asio::any_io_executor& executor, Edge edge, std::size_t memory_mb, Dispatch dispatch,
+            Clocks clocks = read_clocks);
   boost::asio::awaitable<void> run();
   Mailbox<Input>& mailbox() { return mailbox_; }
   const Edge& edge() const { return edge_; }
--- a/src/edge/keys.cpp
+++ b/src/edge/idempotency_table.cpp
@@ -1,4 +1,4 @@
-#include "edge/keys.h"
+#include "edge/idempotency_table.h"
 
 #include <algorithm>
 #include <functional>
@@ -12,21 +12,21 @@
 
 }  // namespace
 
-KeyTable::Key* KeyTable::find(const Request& request) {
+IdempotencyTable::Key* IdempotencyTable::find(const Request& request) {
   const auto it = keys_.find({request.cls, request.token});
   return it == keys_.end() ? nullptr : &it->second;
 }
-const KeyTable::Key* KeyTable::find(const Request& request) const {
+const IdempotencyTable::Key* IdempotencyTable::find(const Request& request) const {
   const auto it = keys_.find({request.cls, request.token});
   return it == keys_.end() ? nullptr : &it->second;
 }
 
-bool KeyTable::other_body(const Request& request) const {
+bool IdempotencyTable::other_body(const Request& request) const {
   const auto* key = request.token.empty() ? nullptr : find(request);
   return key && key->body != std::hash<std::string>{}(request.body);
 }
 
-std::optional<RequestId> KeyTable::arrive(const Request& request, RequestId id, std::uint64_t batch) {
+std::optional<RequestId> IdempotencyTable::arrive(const Request& request, RequestId id, std::uint64_t batch) {
   if (request.token.empty()) return std::nullopt;
   auto& key = keys_[{request.cls, request.token}];
   key.body = std::hash<std::string>{}(request.body);
@@ -45,53 +45,53 @@
   return same;
 }
 
-void KeyTable::keep(const Request& request, RequestId id, UnixTime until) {
+void IdempotencyTable::keep(const Request& request, RequestId id, UnixTime until) {
   if (request.token.empty()) return;
   keys_[{request.cls, request.token}].entry = Entry{id, until};
 }
 
-void KeyTable::forget(const Request& request, RequestId id) {
+void IdempotencyTable::forget(const Request& request, RequestId id) {
   if (auto* key = find(request); key && key->entry && key->entry->holder == id) key->entry.reset();
 }
 
-void KeyTable::leave_hold(const Request& request, RequestId id) {
+void IdempotencyTable::leave_hold(const Request& request, RequestId id) {
   auto* key = find(request);
   if (!key) return;
   std::erase_if(key->held, [&](const auto& h) { return h.id == id; });
   if (key->held.empty() && !key->entry && !key->run) keys_.erase({request.cls, request.token});
 }
 
-void KeyTable::started(const Request& request, RequestId id) {
+void IdempotencyTable::started(const Request& request, RequestId id) {
   if (request.token.empty()) return;
   auto& key = keys_[{request.cls, request.token}];
   key.run = Run{id, request.reached, RunState::going, nullptr};
   std::erase_if(key.held, [&](const auto& h) { return h.id == id; });
 }
 
-void KeyTable::ended(const Request& request, RequestId id, RunState state, Result result) {
+void IdempotencyTable::ended(const Request& request, RequestId id, RunState state, Result result) {
   auto* key = find(request);
   if (!key || !key->run || key->run->by != id) return;
   key->run->state = state;
   key->run->result = std::move(result);
 }
 
-void KeyTable::never_ran(const Request& request, RequestId id) {
+void IdempotencyTable::never_ran(const Request& request, RequestId id) {
   if (auto* key = find(request); key && key->run && key->run->by == id) key->run.reset();
 }
 
-const KeyTable::Run* KeyTable::any_run(const Request& request) const {
+const IdempotencyTable::Run* IdempotencyTable::any_run(const Request& request) const {
   const auto* key = find(request);
   return key && key->run ? &*key->run : nullptr;
 }
 
-Duration KeyTable::span(ClassId cls) const { return rules(cls).window + kWindowMargin; }
+Duration IdempotencyTable::span(ClassId cls) const { return rules(cls).window + kWindowMargin; }
 
-const KeyTable::Run* KeyTable::covering_run(const Request& request) const {
+const IdempotencyTable::Run* IdempotencyTable::covering_run(const Request& request) const {
   const auto* run = any_run(request);
   return run && request.reached <= run->reached + span(request.cls) ? run : nullptr;
 }
 
-void KeyTable::sweep(UnixTime now) {
+void IdempotencyTable::sweep(UnixTime now) {
   for (auto it = keys_.begin(); it != keys_.end();) {
     auto& [name, key] = *it;
     const auto& rule = rules(name.first);
--- a/src/edge/keys.h
+++ b/src/edge/idempotency_table.h
@@ -9,7 +9,7 @@
 
 namespace granitegap::edge {
 
-class KeyTable {
+class IdempotencyTable {
  public:
   enum class RunState : std::uint8_t { going, good, bad };
   struct Run {
@@ -22,7 +22,7 @@
     Duration window{};  // no second run within it
     Duration linger{};  // how late a repeat that came in time may still be read
   };
-  explicit KeyTable(std::vector<Rules> by_class) : rules_(std::move(by_class)) {}
+  explicit IdempotencyTable(std::vector<Rules> by_class) : rules_(std::move(by_class)) {}
 
   // The try that this one repeats, and from here on this one counts as held. `batch` links two tries that
   // are handled together even where neither is kept.
--- a/src/edge/types.h
+++ b/src/edge/types.h
@@ -11,10 +11,10 @@
 
 #include "deps/scatter_gather.h"
 #include "granitegap/policy.h"
-#include "learned/learned.h"
 #include "membership/views.h"
-#include "recovery/course.h"
-#include "recovery/lost_memory.h"
+#include "recovery/recovery_controller.h"
+#include "recovery/restart_quarantine.h"
+#include "warm_state/warm_state.h"
 
 namespace granitegap::edge {
 
@@ -26,7 +26,7 @@
 };
 
 // Names as they stand in the settings; an id is the position in its list.
-struct Catalog {
+struct NameRegistry {
   std::vector<std::string> classes, tenants;
   std::vector<bool> keyed;  // by class
 
@@ -104,41 +104,41 @@
 using Command = std::variant<StartRun, ResumeRun, StopRun, AskGauges, DeepCheck>;
 
 // ---- To the services below ----
-struct CallBelow {
+struct DependencyCall {
   deps::CallId id{};
   std::string path;
   deps::EndpointSpec to;
   std::string name;  // of the dependency
-  std::size_t most_answer = 0, most_header = 0;
-  Duration quiet_most{}, idle_most{};
-  std::uint32_t most_idle = 0;
+  std::size_t max_answer = 0, max_header = 0;
+  Duration max_quiet{}, max_idle_time{};
+  std::uint32_t max_idle_connections = 0;
 };
-struct DropCall {
+struct CancelDependencyCall {
   deps::CallId id{};
 };
-struct NewDeclaration {  // of the services below; takes the place of the one in force
+struct DependencySpecUpdate {  // of the services below; takes the place of the one in force
   std::shared_ptr<const deps::Spec> spec;
 };
-struct FleetNews {  // who else is there, by the newest view
+struct MembershipUpdate {  // who else is there, by the newest view
   std::shared_ptr<const membership::View> view;
 };
-struct FillAsked {  // by another member, of what this one fills for all
+struct CacheFillQuery {  // by another member, of what this one fills for all
   std::uint64_t tag = 0;
-  deps::FillQuestion question;
+  deps::CacheFillRequest question;
 };
-struct FillAnswer {  // without a body: there is none in time
+struct CacheFillReply {  // without a body: there is none in time
   std::uint64_t tag = 0;
   deps::Bytes body;
   Duration age{};
 };
-struct EarlierLifeNews {  // what is found of the life before this one
-  recovery::EarlierLife found;
+struct PreviousIncarnationFound {  // what is found of the life before this one
+  recovery::PreviousIncarnation found;
 };
-struct LearnedNews {  // what an earlier life or others knew, faded by its age
-  learned::Learned what;
+struct WarmStateReceived {  // what an earlier life or others knew, aged by its age
+  warm_state::WarmState what;
   std::size_t from_others = 0;  // how many of them; 0: an earlier life
 };
-struct LearningOver {  // nobody is left to ask, or nobody ever was
+struct StateTransferFinished {  // nobody is left to ask, or nobody ever was
   std::size_t sources = 0;
 };
 struct Closing {};  // nothing that comes from here on may run: the end is being written down
@@ -150,7 +150,7 @@
 };
 
 // ---- From the kernel ----
-struct Booted {
+struct KernelStarted {
   bool cold = true;
   std::chrono::milliseconds ago{};
 };
@@ -161,7 +161,7 @@
   Duration took{};
   std::string result;
 };
-struct CallWanted {  // the run stands until a call below is made for it
+struct DependencyCallRequested {  // the run stands until a call below is made for it
   std::string rid;
 };
 enum class CommandKind : std::uint8_t { start, resume, stop, other };
@@ -178,10 +178,10 @@
 };
 
 // ---- From the program ----
-struct PeerGone {  // nothing can be delivered to it any more
+struct PeerDisconnected {  // nothing can be delivered to it any more
   PeerId peer{};
 };
-struct Withdrawn {  // its answer could be read as another request's: it is failed at once
+struct RequestCancelled {  // its answer could be read as another request's: it is failed at once
   Origin from;
 };
 struct Drain {
@@ -193,25 +193,26 @@
 };
 
 using Input =
-    std::variant<Request, UnusableRequest, HealthCheck, PeerGone, Withdrawn, Drain, LifecycleChanged, Booted,
-                 RunReport, CallWanted, CommandRejected, Gauges, DeepCheckDone, deps::CallReport,
-                 NewDeclaration, FleetNews, EarlierLifeNews, LearnedNews, LearningOver, Closing, FillAsked>;
+    std::variant<Request, UnusableRequest, HealthCheck, PeerDisconnected, RequestCancelled, Drain,
+                 LifecycleChanged, KernelStarted, RunReport, DependencyCallRequested, CommandRejected, Gauges,
+                 DeepCheckDone, deps::CallReport, DependencySpecUpdate, MembershipUpdate,
+                 PreviousIncarnationFound, WarmStateReceived, StateTransferFinished, Closing, CacheFillQuery>;
 
-struct AskOthers {};  // what they know: the memory of this process is blank, or old
+struct StateTransferWanted {};  // what they know: the memory of this process is blank, or old
 
 // ---- To the list, the peers and the log ----
-struct Report {
+struct LoadReport {
   bool accepting = true;
 };
 struct CloseIdlePeers {
   Duration idle_for{};
 };
-struct Remark {
+struct LogEvent {
   std::string text;
   std::string_view event;  // in a word, and whom it is about: for lines that machines read
   std::string subject;
 };
-using Output = std::variant<Answer, HealthAnswer, Command, Report, CloseIdlePeers, Remark, CallBelow,
-                            DropCall, AskOthers, FillAnswer>;
+using Output = std::variant<Answer, HealthAnswer, Command, LoadReport, CloseIdlePeers, LogEvent,
+                            DependencyCall, CancelDependencyCall, StateTransferWanted, CacheFillReply>;
 
 }  // namespace granitegap::edge
--- a/src/frames/frames.cpp
+++ b/src/frames/frames.cpp
@@ -117,7 +117,7 @@
 
 bool UsedStreams::take(std::uint32_t stream) {
   if (stream <= all_up_to_ || !later_.insert(stream).second) return false;
-  while (!later_.empty() && (*later_.begin() == all_up_to_ + 1 || later_.size() > kMostApart)) {
+  while (!later_.empty() && (*later_.begin() == all_up_to_ + 1 || later_.size() > kMaxApart)) {
     all_up_to_ = *later_.begin();
     later_.erase(later_.begin());
   }
--- a/src/frames/frames.h
+++ b/src/frames/frames.h
@@ -32,7 +32,7 @@
   bool take(std::uint32_t stream);  // false: it was used before, or lies too far behind
 
  private:
-  static constexpr std::size_t kMostApart = 64;
+  static constexpr std::size_t kMaxApart = 64;
   std::uint32_t all_up_to_ = 0;
   std::set<std::uint32_t> later_;
 };
@@ -41,7 +41,7 @@
 // bytes arrive, so that a connection's buffer stays small whatever is sent.
 class Reader {
  public:
-  Reader(const edge::Catalog& catalog, edge::PeerId peer) : catalog_(&catalog), peer_(peer) {}
+  Reader(const edge::NameRegistry& catalog, edge::PeerId peer) : catalog_(&catalog), peer_(peer) {}
   void add(std::string_view bytes);
   std::optional<Message> next();
   // Bytes of an unfinished frame stand here when the connection ends.
@@ -52,7 +52,7 @@
   void release();
   Message decode(std::uint8_t type, std::uint32_t stream, std::string_view payload) const;
   Message decode_request(std::uint32_t stream, std::string_view payload) const;
-  const edge::Catalog* catalog_;
+  const edge::NameRegistry* catalog_;
   edge::PeerId peer_;
   std::string buffer_;
   std::size_t at_ = 0, skip_ = 0;
--- a/src/handover/claims.h
+++ b/src/hot_restart/key_lease_table.h
@@ -13,7 +13,7 @@
 
 #include "granitegap/policy.h"
 
-namespace granitegap::handover {
+namespace granitegap::hot_restart {
 
 using UnixTime = std::chrono::sys_time<Duration>;
 
@@ -23,11 +23,11 @@
 };
 Token token_of(std::string_view cls, std::string_view token);
 
-struct Claim {
+struct KeyLease {
   Token token;
   std::int64_t reached_us = 0;  // Unix, of the try that ran
   std::int64_t until_us = 0;    // Unix: its window and margin end
-  std::uint64_t life = 0;       // of the process that ran it
+  std::uint64_t boot_id = 0;    // of the process that ran it
   std::uint64_t check = 0;      // over all before it; 0 in a place that is free
 };
 
@@ -45,9 +45,9 @@
 
 enum class Verdict : std::uint8_t { mine, theirs, doubt };
 
-class Claims {
+class KeyLeaseTable {
  public:
-  Claims(Head& head, std::span<Claim> places) : head_(head), places_(places) {}
+  KeyLeaseTable(Head& head, std::span<KeyLease> places) : head_(head), places_(places) {}
   // Makes sense of memory that another process or an earlier life left; false where it had to be wiped, and
   // all is in doubt until `now + longest`. Memory that is all zero is new and holds nothing.
   bool adopt(UnixTime now, Duration longest);
@@ -55,19 +55,19 @@
   // mine: recorded, and it may run. The window counts from `reached`; `span` is the window and its margin.
   // A claim of this same `life` is renewed: its own table of keys has let the try through. A try that reached
   // the machine after the recorded claim's end runs anew, whatever the time is now.
-  Verdict claim(const Token& token, UnixTime reached, Duration span, std::uint64_t life, UnixTime now,
+  Verdict claim(const Token& token, UnixTime reached, Duration span, std::uint64_t boot_id, UnixTime now,
                 Duration longest);
   // The kernel never ran it: the claim of this life is given back.
-  void never_ran(const Token& token, std::uint64_t life);
+  void never_ran(const Token& token, std::uint64_t boot_id);
   std::size_t in_force(UnixTime now) const;
 
  private:
   static constexpr std::size_t kProbes = 64;  // places looked at for one token
-  static std::uint64_t check_of(const Claim& claim);
+  static std::uint64_t check_of(const KeyLease& claim);
   static std::uint64_t check_of(const Head& head);
   void put_in_doubt(UnixTime now, Duration longest);
   Head& head_;
-  std::span<Claim> places_;
+  std::span<KeyLease> places_;
 };
 
-}  // namespace granitegap::handover
+}  // namespace granitegap::hot_restart
--- a/src/handover/shared_table.cpp
+++ b/src/hot_restart/shared_lease_table.cpp
@@ -1,4 +1,4 @@
-#include "handover/shared_table.h"
+#include "hot_restart/shared_lease_table.h"
 
 #include <fcntl.h>
 #include <sys/mman.h>
@@ -10,7 +10,7 @@
 #include <cstring>
 #include <utility>
 
-namespace granitegap::handover {
+namespace granitegap::hot_restart {
 namespace {
 
 constexpr off_t kTableByte = 0, kFirstLifeByte = 1;  // of the locks, which need not lie in the file's bytes
@@ -31,85 +31,87 @@
 
 }  // namespace
 
-SharedTable::SharedTable(int fd, void* memory, std::uint64_t life, Duration longest)
-    : fd_(fd), memory_(memory), life_(life), longest_(longest) {}
+SharedLeaseTable::SharedLeaseTable(int fd, void* memory, std::uint64_t boot_id, Duration longest)
+    : fd_(fd), memory_(memory), boot_id_(boot_id), longest_(longest) {}
 
-SharedTable::SharedTable(SharedTable&& other) noexcept
+SharedLeaseTable::SharedLeaseTable(SharedLeaseTable&& other) noexcept
     : fd_(std::exchange(other.fd_, -1)),
       memory_(std::exchange(other.memory_, nullptr)),
-      life_(other.life_),
+      boot_id_(other.boot_id_),
       longest_(other.longest_),
       row_(other.row_),
       wiped_(other.wiped_) {}
 
-SharedTable::~SharedTable() {
+SharedLeaseTable::~SharedLeaseTable() {
   if (memory_) ::munmap(memory_, kBytes);
   if (fd_ >= 0) ::close(fd_);
 }
 
-std::span<Claim> SharedTable::places() const {
-  return {reinterpret_cast<Claim*>(static_cast<char*>(memory_) + sizeof(Head)), kPlaces};
+std::span<KeyLease> SharedLeaseTable::places() const {
+  return {reinterpret_cast<KeyLease*>(static_cast<char*>(memory_) + sizeof(Head)), kPlaces};
 }
 
-bool SharedTable::lock(short type) const { return set_lock(fd_, F_OFD_SETLK, type, kTableByte); }
+bool SharedLeaseTable::lock(short type) const { return set_lock(fd_, F_OFD_SETLK, type, kTableByte); }
 
-std::variant<SharedTable, Unusable> SharedTable::open(const std::string& folder, const std::string& name,
-                                                      std::uint64_t life, Duration longest, UnixTime now) {
-  if (folder.empty()) return Unusable{"TMPDIR is not set"};
-  if (name.find('/') != std::string::npos) return Unusable{"the name is no file's: " + name};
+std::variant<SharedLeaseTable, LeaseTableError> SharedLeaseTable::open(const std::string& folder,
+                                                                       const std::string& name,
+                                                                       std::uint64_t boot_id,
+                                                                       Duration longest, UnixTime now) {
+  if (folder.empty()) return LeaseTableError{"TMPDIR is not set"};
+  if (name.find('/') != std::string::npos) return LeaseTableError{"the name is no file's: " + name};
   const auto path = folder + "/granitegap-" + name + ".claims";
   const int fd = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW, 0600);
-  if (fd < 0) return Unusable{reason(path.c_str())};
+  if (fd < 0) return LeaseTableError{reason(path.c_str())};
   struct stat found {};
   // All of it now: guards against a write into the mapping that finds no room, which would end the process.
   const bool regular = ::fstat(fd, &found) == 0 && S_ISREG(found.st_mode);
   const int full = regular ? ::posix_fallocate(fd, 0, off_t(kBytes)) : EINVAL;
   if (full != 0) {
     ::close(fd);
-    return Unusable{path + ": " + std::strerror(full)};
+    return LeaseTableError{path + ": " + std::strerror(full)};
   }
   void* memory = ::mmap(nullptr, kBytes, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
   if (memory == MAP_FAILED) {
-    auto unusable = Unusable{reason(path.c_str())};
+    auto unusable = LeaseTableError{reason(path.c_str())};
     ::close(fd);
     return unusable;
   }
-  SharedTable table(fd, memory, life, longest);
+  SharedLeaseTable table(fd, memory, boot_id, longest);
   // At the start it may wait: nothing is served yet, and whoever holds it does so for a claim.
-  if (!set_lock(fd, F_OFD_SETLKW, F_WRLCK, kTableByte)) return Unusable{reason(path.c_str())};
-  table.wiped_ = !Claims(table.head(), table.places()).adopt(now, longest);
+  if (!set_lock(fd, F_OFD_SETLKW, F_WRLCK, kTableByte)) return LeaseTableError{reason(path.c_str())};
+  table.wiped_ = !KeyLeaseTable(table.head(), table.places()).adopt(now, longest);
   for (std::size_t k = 0; k < Head::kLives && table.row_ == Head::kLives; ++k) {
     struct flock held {};
     if (!set_lock(fd, F_OFD_GETLK, F_WRLCK, kFirstLifeByte + off_t(k), &held) || held.l_type != F_UNLCK)
       continue;
-    table.head().lives[k] = {life,
+    table.head().lives[k] = {boot_id,
                              0};  // before the lock: a row that is held never tells of who had it before
     if (set_lock(fd, F_OFD_SETLK, F_WRLCK, kFirstLifeByte + off_t(k))) table.row_ = k;
   }
   table.lock(F_UNLCK);
-  if (table.row_ == Head::kLives) return Unusable{path + ": too many processes share it"};
+  if (table.row_ == Head::kLives) return LeaseTableError{path + ": too many processes share it"};
   return table;
 }
 
-Verdict SharedTable::claim(const Token& token, UnixTime reached, Duration span, UnixTime now) {
+Verdict SharedLeaseTable::claim(const Token& token, UnixTime reached, Duration span, UnixTime now) {
   // Not waited for: guards against a process stopped with the lock in its hands.
   if (!lock(F_WRLCK)) return Verdict::doubt;
-  const auto verdict = Claims(head(), places()).claim(token, reached, span, life_, now, longest_);
+  const auto verdict = KeyLeaseTable(head(), places()).claim(token, reached, span, boot_id_, now, longest_);
   lock(F_UNLCK);
   return verdict;
 }
 
-void SharedTable::never_ran(const Token& token) {
+void SharedLeaseTable::never_ran(const Token& token) {
   if (!lock(F_WRLCK)) return;  // it stays claimed until its window is over
-  Claims(head(), places()).never_ran(token, life_);
+  KeyLeaseTable(head(), places()).never_ran(token, boot_id_);
   lock(F_UNLCK);
 }
 
-void SharedTable::serves() { std::atomic_ref(head().lives[row_].serves).store(1); }
+void SharedLeaseTable::serves() { std::atomic_ref(head().lives[row_].serves).store(1); }
 
-void SharedTable::leaves() { std::atomic_ref(head().lives[row_].serves).store(0); }
+void SharedLeaseTable::leaves() { std::atomic_ref(head().lives[row_].serves).store(0); }
 
-bool SharedTable::another_serves() const {
+bool SharedLeaseTable::another_serves() const {
   for (std::size_t k = 0; k < Head::kLives; ++k) {
     if (k == row_) continue;
     struct flock held {};
@@ -119,4 +121,4 @@
   return false;
 }
 
-}  // namespace granitegap::handover
+}  // namespace granitegap::hot_restart
--- a/src/handover/shared_table.h
+++ b/src/hot_restart/shared_lease_table.h
@@ -7,24 +7,25 @@
 #include <string>
 #include <variant>
 
-#include "handover/claims.h"
+#include "hot_restart/key_lease_table.h"
 
-namespace granitegap::handover {
+namespace granitegap::hot_restart {
 
-struct Unusable {  // why there is no table: then nothing keyed may run
+struct LeaseTableError {  // why there is no table: then nothing keyed may run
   std::string why;
 };
 
-class SharedTable {
+class SharedLeaseTable {
  public:
   // `folder`: $TMPDIR. `longest`: the longest window and margin of a keyed class.
-  static std::variant<SharedTable, Unusable> open(const std::string& folder, const std::string& name,
-                                                  std::uint64_t life, Duration longest, UnixTime now);
-  SharedTable(SharedTable&& other) noexcept;
-  SharedTable& operator=(SharedTable&&) = delete;
-  ~SharedTable();
+  static std::variant<SharedLeaseTable, LeaseTableError> open(const std::string& folder,
+                                                              const std::string& name, std::uint64_t boot_id,
+                                                              Duration longest, UnixTime now);
+  SharedLeaseTable(SharedLeaseTable&& other) noexcept;
+  SharedLeaseTable& operator=(SharedLeaseTable&&) = delete;
+  ~SharedLeaseTable();
 
-  // As Claims::claim; doubt as well where another process holds the lock at this very moment.
+  // As KeyLeaseTable::claim; doubt as well where another process holds the lock at this very moment.
   Verdict claim(const Token& token, UnixTime reached, Duration span, UnixTime now);
   void never_ran(const Token& token);
   // This process can serve: others of this tile server may leave its door to it.
@@ -35,19 +36,19 @@
   bool another_serves() const;
   bool wiped() const { return wiped_; }  // what was found could not be believed
   static constexpr std::size_t kPlaces = 16384;
-  static constexpr std::size_t kBytes = sizeof(Head) + kPlaces * sizeof(Claim);
+  static constexpr std::size_t kBytes = sizeof(Head) + kPlaces * sizeof(KeyLease);
 
  private:
-  SharedTable(int fd, void* memory, std::uint64_t life, Duration longest);
+  SharedLeaseTable(int fd, void* memory, std::uint64_t boot_id, Duration longest);
   Head& head() const { return *static_cast<Head*>(memory_); }
-  std::span<Claim> places() const;
+  std::span<KeyLease> places() const;
   bool lock(short type) const;
   int fd_ = -1;
   void* memory_ = nullptr;
-  std::uint64_t life_ = 0;
+  std::uint64_t boot_id_ = 0;
   Duration longest_{};
   std::size_t row_ = Head::kLives;
   bool wiped_ = false;
 };
 
-}  // namespace granitegap::handover
+}  // namespace granitegap::hot_restart
--- a/src/kernel/lines.cpp
+++ b/src/kernel/line_codec.cpp
@@ -1,4 +1,4 @@
-#include "kernel/lines.h"
+#include "kernel/line_codec.h"
 
 #include <charconv>
 #include <cmath>
@@ -92,7 +92,7 @@
   auto notice = decode(line);
   if (const auto* bad = std::get_if<BadLine>(&notice.what)) return fail(bad->why);
   if (!std::holds_alternative<edge::RunReport>(notice.what) &&
-      !std::holds_alternative<edge::CallWanted>(notice.what))
+      !std::holds_alternative<edge::DependencyCallRequested>(notice.what))
     return notice;
   waits_ = std::move(notice);
   return next();
@@ -120,7 +120,7 @@
     const auto length = to_number<std::size_t>(words[3]);
     if (!number || !length || *length > kMaxResult) return bad();
     result_bytes_ = *length;
-    return {*number, edge::CallWanted{std::string(words[2])}};
+    return {*number, edge::DependencyCallRequested{std::string(words[2])}};
   }
   if (verb == "INFO" && words.size() >= 2) {
     Info info{std::string(words[1]), {}};
@@ -133,7 +133,7 @@
   }
   if (verb == "DMESG" && words.size() >= 2) {
     const auto number = to_number<std::uint64_t>(words[1]);
-    return number ? Notice{*number, Remark{}} : bad();
+    return number ? Notice{*number, IgnoredNotice{}} : bad();
   }
   if (verb == "EINVAL" && words.size() >= 2)
     return {0, edge::CommandRejected{to_kind(words[1]),
@@ -145,7 +145,7 @@
   if (verb == "BOOTED" && words.size() == 3) {
     const auto ago = to_ms(words[2]);
     if (!ago || (words[1] != "COLD" && words[1] != "WARM")) return bad();
-    return {0, edge::Booted{words[1] == "COLD", std::chrono::milliseconds(std::llround(*ago))}};
+    return {0, edge::KernelStarted{words[1] == "COLD", std::chrono::milliseconds(std::llround(*ago))}};
   }
   return bad();
 }
@@ -160,7 +160,7 @@
   to += kLineEnd;
 }
 
-void encode(const edge::Command& command, const edge::Catalog& catalog, std::string& to) {
+void encode(const edge::Command& command, const edge::NameRegistry& catalog, std::string& to) {
   if (const auto* run = std::get_if<edge::StartRun>(&command)) {
     to += "SCHED " + run->rid + " " + catalog.classes.at(std::size_t(run->cls)) + " " +
           std::to_string(run->body.size()) + "\r\n";
--- a/src/kernel/lines.h
+++ b/src/kernel/line_codec.h
@@ -10,7 +10,7 @@
 
 namespace granitegap::kernel {
 
-struct Remark {};  // carries no meaning beyond its number
+struct IgnoredNotice {};  // carries no meaning beyond its number
 struct Info {
   std::string tag;
   edge::Gauges gauges;
@@ -20,8 +20,8 @@
 };
 struct Notice {
   std::uint64_t number = 0;  // 0: not numbered
-  std::variant<edge::Booted, edge::RunReport, edge::CallWanted, edge::CommandRejected, Info,
-               edge::DeepCheckDone, Remark, BadLine>
+  std::variant<edge::KernelStarted, edge::RunReport, edge::DependencyCallRequested, edge::CommandRejected,
+               Info, edge::DeepCheckDone, IgnoredNotice, BadLine>
       what;
 };
 
@@ -41,6 +41,6 @@
 
 void encode_open(std::uint64_t last_notice, std::string& to);
 void encode_ask(std::string_view tag, std::string& to);
-void encode(const edge::Command& command, const edge::Catalog& catalog, std::string& to);
+void encode(const edge::Command& command, const edge::NameRegistry& catalog, std::string& to);
 
 }  // namespace granitegap::kernel
--- a/src/kernel/link.cpp
+++ b/src/kernel/link.cpp
@@ -40,12 +40,13 @@
 bool Ledger::belongs(const Notice& notice) const {
   if (booted_ && notice.number == last_ + 1) return true;
   if (const auto* report = std::get_if<edge::RunReport>(&notice.what)) return runs_.contains(report->rid);
-  if (const auto* wanted = std::get_if<edge::CallWanted>(&notice.what)) return runs_.contains(wanted->rid);
+  if (const auto* wanted = std::get_if<edge::DependencyCallRequested>(&notice.what))
+    return runs_.contains(wanted->rid);
   return false;
 }
 
 bool Ledger::take(const Notice& notice) {
-  if (std::holds_alternative<edge::Booted>(notice.what)) booted_ = true;
+  if (std::holds_alternative<edge::KernelStarted>(notice.what)) booted_ = true;
   if (notice.number) {
     if (notice.number <= last_ || !belongs(notice)) return false;
     last_ = notice.number;
@@ -75,7 +76,7 @@
   return again;
 }
 
-Link::Link(const asio::any_io_executor& executor, tcp::endpoint kernel, const edge::Catalog& catalog,
+Link::Link(const asio::any_io_executor& executor, tcp::endpoint kernel, const edge::NameRegistry& catalog,
            Mail& module, Logger& log)
     : executor_(executor),
       kernel_(std::move(kernel)),
@@ -185,7 +186,7 @@
 
 asio::awaitable<void> Link::take(Notice notice) {
   if (!ledger_.take(notice)) co_return;
-  if (const auto* booted = std::get_if<edge::Booted>(&notice.what)) {
+  if (const auto* booted = std::get_if<edge::KernelStarted>(&notice.what)) {
     log_.line(std::string("kernel up: ") + (booted->cold ? "cold" : "warm") + ", started " +
                   std::to_string(booted->ago.count()) + " ms ago",
               {{"event", "kernel_up"},
@@ -204,7 +205,7 @@
     }
     asked_gauges_ = false;
     co_await hand_in(std::move(info->gauges));
-  } else if (auto* wanted = std::get_if<edge::CallWanted>(&notice.what)) {
+  } else if (auto* wanted = std::get_if<edge::DependencyCallRequested>(&notice.what)) {
     co_await hand_in(std::move(*wanted));
   } else if (auto* rejected = std::get_if<edge::CommandRejected>(&notice.what)) {
     co_await hand_in(std::move(*rejected));
--- a/src/kernel/link.h
+++ b/src/kernel/link.h
@@ -9,10 +9,10 @@
 #include <set>
 #include <string>
 
+#include "actor/mailbox.h"
 #include "edge/types.h"
-#include "kernel/lines.h"
+#include "kernel/line_codec.h"
 #include "log/logger.h"
-#include "mailbox/mailbox.h"
 
 namespace granitegap::kernel {
 
@@ -56,7 +56,7 @@
  public:
   using Mail = Mailbox<edge::Input>;
   Link(const boost::asio::any_io_executor& executor, boost::asio::ip::tcp::endpoint kernel,
-       const edge::Catalog& catalog, Mail& module, Logger& log);
+       const edge::NameRegistry& catalog, Mail& module, Logger& log);
   boost::asio::awaitable<void> run();
   void send(const edge::Command& command);
   bool up() const { return ready_; }
@@ -74,7 +74,7 @@
 
   boost::asio::any_io_executor executor_;
   boost::asio::ip::tcp::endpoint kernel_;
-  const edge::Catalog& catalog_;
+  const edge::NameRegistry& catalog_;
   Mail& module_;
   Logger& log_;
   Ledger ledger_;
--- a/src/announce/announcer.cpp
+++ b/src/load_report/load_reporter.cpp
@@ -1,45 +1,45 @@
-#include "announce/announcer.h"
+#include "load_report/load_reporter.h"
 
 #include <boost/asio/buffer.hpp>
 #include <optional>
 
-namespace granitegap::announce {
+namespace granitegap::load_report {
 namespace {
 
 namespace asio = boost::asio;
 using namespace std::chrono_literals;
 
 constexpr auto kEvery = 500ms;  // an entry lapses after 3 s; several reports may be lost on the way
-constexpr std::size_t kMostReports = 64;
+constexpr std::size_t kMaxReports = 64;
 
 }  // namespace
 
-std::string encode(std::string_view name, const edge::Report& report) {
+std::string encode(std::string_view name, const edge::LoadReport& report) {
   return "announce " + std::string(name) + (report.accepting ? " true" : " false");
 }
 
-Announcer::Announcer(const asio::any_io_executor& executor, asio::ip::udp::endpoint service, std::string name,
-                     Logger& log)
-    : mailbox_(executor, kMostReports),
+LoadReporter::LoadReporter(const asio::any_io_executor& executor, asio::ip::udp::endpoint service,
+                           std::string name, Logger& log)
+    : mailbox_(executor, kMaxReports),
       socket_(executor),
       service_(std::move(service)),
       name_(std::move(name)),
       log_(log) {}
 
-void Announcer::report(const edge::Report& report) {
+void LoadReporter::report(const edge::LoadReport& report) {
   if (!mailbox_.post(report))
     log_.line("announce: report left out, mailbox full", {{"event", "report_left_out"}});
 }
 
-void Announcer::move_to(const asio::ip::udp::endpoint& service) { mailbox_.post_control(service); }
+void LoadReporter::move_to(const asio::ip::udp::endpoint& service) { mailbox_.post_control(service); }
 
-asio::awaitable<void> Announcer::run() {
-  std::optional<edge::Report> newest;
+asio::awaitable<void> LoadReporter::run() {
+  std::optional<edge::LoadReport> newest;
   bool told = false;
   auto next = Mailbox<Mail>::Clock::time_point::max();
   for (;;) {
     for (const auto& mail : co_await mailbox_.take(next)) {
-      if (const auto* report = std::get_if<edge::Report>(&mail)) {
+      if (const auto* report = std::get_if<edge::LoadReport>(&mail)) {
         newest = *report;
       } else if (std::exchange(service_, std::get<1>(mail)).protocol() != service_.protocol()) {
         boost::system::error_code ignored;
@@ -64,4 +64,4 @@
   }
 }
 
-}  // namespace granitegap::announce
+}  // namespace granitegap::load_report
--- a/src/announce/announcer.h
+++ b/src/load_report/load_reporter.h
@@ -5,27 +5,27 @@
 #include <string>
 #include <variant>
 
+#include "actor/mailbox.h"
 #include "edge/types.h"
 #include "log/logger.h"
-#include "mailbox/mailbox.h"
 
-namespace granitegap::announce {
+namespace granitegap::load_report {
 
-std::string encode(std::string_view name, const edge::Report& report);
+std::string encode(std::string_view name, const edge::LoadReport& report);
 
-class Announcer {
+class LoadReporter {
  public:
-  Announcer(const boost::asio::any_io_executor& executor, boost::asio::ip::udp::endpoint service,
-            std::string name, Logger& log);
+  LoadReporter(const boost::asio::any_io_executor& executor, boost::asio::ip::udp::endpoint service,
+               std::string name, Logger& log);
   boost::asio::awaitable<void> run();
-  void report(const edge::Report& report);
+  void report(const edge::LoadReport& report);
   // Nothing more is said: another process speaks under this name now.
   void fall_silent() { silent_ = true; }
   // The service is at this address from now on, and hears the newest report at once.
   void move_to(const boost::asio::ip::udp::endpoint& service);
 
  private:
-  using Mail = std::variant<edge::Report, boost::asio::ip::udp::endpoint>;
+  using Mail = std::variant<edge::LoadReport, boost::asio::ip::udp::endpoint>;
   Mailbox<Mail> mailbox_;
   boost::asio::ip::udp::socket socket_;
   boost::asio::ip::udp::endpoint service_;
@@ -34,4 +34,4 @@
   bool silent_ = false;
 };
 
-}  // namespace granitegap::announce
+}  // namespace granitegap::load_report
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,8 +9,8 @@
 #include <functional>
 #include <thread>
 
-#include "membership_udp/ask.h"
-#include "net/inherited.h"
+#include "membership_udp/status_client.h"
+#include "net/inherited_socket.h"
 #include "server/server.h"
 #include "snapshot/show.h"
 
@@ -44,7 +44,7 @@
     if (const auto errors = operators::bind(good, std::get<config::Config>(loaded).catalog); !errors.empty())
       return tell(errors);
   }
-  std::fputs(records::print(good.filled).c_str(), stdout);
+  std::fputs(typed_config::print(good.filled).c_str(), stdout);
   return 0;
 }
 
@@ -135,7 +135,7 @@
 }
 
 // Asks a process for its view; again and again where it is to be watched.
-int members(const std::string& text, bool json, bool watch, bool way_back) {
+int members(const std::string& text, bool json, bool watch, bool recovery_report) {
   const auto address = operators::read_address(text);
   if (!address) {
     std::fprintf(stderr, "granitegap: %s: expected a numeric address and a port, as 127.0.0.1:9101\n",
@@ -143,13 +143,13 @@
     return kUnusable;
   }
   for (;;) {
-    const auto reply = membership_udp::ask(*address, std::chrono::seconds(2), way_back);
+    const auto reply = membership_udp::ask(*address, std::chrono::seconds(2), recovery_report);
     if (!reply) {
       std::fprintf(stderr, "granitegap: no answer from %s within 2 s\n", text.c_str());
       return 1;
     }
-    const auto text_of = way_back ? membership_udp::way_back_text : membership_udp::to_text;
-    const auto json_of = way_back ? membership_udp::way_back_json : membership_udp::to_json;
+    const auto text_of = recovery_report ? membership_udp::recovery_text : membership_udp::to_text;
+    const auto json_of = recovery_report ? membership_udp::recovery_json : membership_udp::to_json;
     std::fputs((json ? json_of(*reply) + "\n" : text_of(*reply)).c_str(), stdout);
     std::fflush(stdout);
     if (!watch) return 0;
--- a/src/membership/datagram.h
+++ b/src/membership/datagram.h
@@ -13,7 +13,7 @@
 struct Sender {
   std::string name;
   Address address;  // where it is reached: what it advertises
-  Life life{};
+  BootId boot_id{};
   Incarnation incarnation = 0;
   std::uint32_t sent_ms = 0;
   bool operator==(const Sender&) const = default;
@@ -36,50 +36,51 @@
   bool second = false;  // as the ping's
   bool operator==(const Ack&) const = default;
 };
-// Ask `target` for me.
-struct Ask {
+// PingRequest `target` for me.
+struct PingRequest {
   std::uint32_t nonce = 0;
   std::string target;
   Address address;
-  bool operator==(const Ask&) const = default;
+  bool operator==(const PingRequest&) const = default;
 };
 // `target` answered whom I asked for you.
-struct Relayed {
+struct IndirectAck {
   std::uint32_t nonce = 0;
   std::string target;
   std::uint32_t heard_ms = kNeverHeard;
-  bool operator==(const Relayed&) const = default;
+  bool operator==(const IndirectAck&) const = default;
 };
-// I have your Ask, and nothing from the target yet: says that the asker's own link works.
+// I have your PingRequest, and nothing from the target yet: says that the asker's own link works.
 struct Nack {
   std::uint32_t nonce = 0;
   bool operator==(const Nack&) const = default;
 };
 // Give me what you hold otherwise than I do, by `sums`, a digest under this nonce (digest.h); all of it where
 // there are none. Where `push` is set you get mine as well: the answer carries your digest.
-struct ExchangeAsk {
+struct SyncRequest {
   std::uint32_t nonce = 0;
   bool push = false;
   std::vector<std::uint32_t> sums;
-  bool operator==(const ExchangeAsk&) const = default;
+  bool operator==(const SyncRequest&) const = default;
 };
 // A piece of a full exchange; its records are in the datagram's updates.
-struct Piece {
+struct SyncChunk {
   std::uint32_t nonce = 0;
   std::uint16_t index = 0;
   bool last = false;
-  bool operator==(const Piece&) const = default;
+  bool operator==(const SyncChunk&) const = default;
 };
 // You live under my name. Names the life it is for, which only a process that lives beside it can know.
-struct TwinNotice {
-  Life to{};
-  bool operator==(const TwinNotice&) const = default;
+struct NameConflict {
+  BootId to{};
+  bool operator==(const NameConflict&) const = default;
 };
 // Only what the updates carry, as an orderly leave.
-struct Tidings {
-  bool operator==(const Tidings&) const = default;
+struct GossipOnly {
+  bool operator==(const GossipOnly&) const = default;
 };
-using Body = std::variant<Ping, Ack, Ask, Relayed, Nack, ExchangeAsk, Piece, TwinNotice, Tidings>;
+using Body =
+    std::variant<Ping, Ack, PingRequest, IndirectAck, Nack, SyncRequest, SyncChunk, NameConflict, GossipOnly>;
 
 struct Datagram {
   Sender from;
@@ -89,9 +90,9 @@
   bool operator==(const Datagram&) const = default;
 };
 
-inline constexpr std::size_t kMostDatagram = 1200;  // bytes, with the envelope
+inline constexpr std::size_t kMaxDatagram = 1200;  // bytes, with the envelope
 // Upper bounds of what the codec makes of them, the envelope included: checked against it by a test.
-std::size_t most_bytes(const Record& record);
-std::size_t most_bytes(const Datagram& datagram);
+std::size_t max_bytes(const Record& record);
+std::size_t max_bytes(const Datagram& datagram);
 
 }  // namespace granitegap::membership
--- a/src/membership/digest.cpp
+++ b/src/membership/digest.cpp
@@ -10,19 +10,20 @@
 
 constexpr std::size_t kMembersABucket = 8;
 
-std::uint32_t hash_of(std::uint64_t name, Life life, Incarnation incarnation, Status status, const Told* told,
-                      std::uint32_t seed) {
-  std::array<std::uint64_t, 7> what{name, std::uint64_t(life), incarnation, std::uint64_t(status) << 48, 0,
-                                    0,    0};
-  if (told) {
-    what[3] |= std::uint64_t(told->stage) | std::uint64_t(told->twin.port) << 8 |
-               std::uint64_t(told->second.port) << 24;
+std::uint32_t hash_of(std::uint64_t name, BootId boot_id, Incarnation incarnation, Status status,
+                      const MemberMetadata* metadata, std::uint32_t seed) {
+  std::array<std::uint64_t, 7> what{
+      name, std::uint64_t(boot_id), incarnation, std::uint64_t(status) << 48, 0, 0, 0};
+  if (metadata) {
+    what[3] |= std::uint64_t(metadata->stage) | std::uint64_t(metadata->duplicate.port) << 8 |
+               std::uint64_t(metadata->second.port) << 24;
     // Not what is offered: it is told in steps, and the last one brings the phase with it.
-    what[6] = std::uint64_t(told->course.phase) | std::uint64_t(told->course.donor_port) << 8 |
-              std::uint64_t(told->course.full_ms) << 24;
-    what[4] = told->fill_port;
-    for (const auto& l : told->links) what[4] += (l.peer ^ l.inward) * 0x9e3779b97f4a7c15ull;
-    for (const auto& f : told->findings) what[5] += (f.endpoint ^ f.out) * 0x9e3779b97f4a7c15ull;
+    what[6] = std::uint64_t(metadata->recovery_status.phase) |
+              std::uint64_t(metadata->recovery_status.donor_port) << 8 |
+              std::uint64_t(metadata->recovery_status.full_ms) << 24;
+    what[4] = metadata->fill_port;
+    for (const auto& l : metadata->links) what[4] += (l.peer ^ l.inward) * 0x9e3779b97f4a7c15ull;
+    for (const auto& f : metadata->endpoint_health) what[5] += (f.endpoint ^ f.out) * 0x9e3779b97f4a7c15ull;
   }
   return std::uint32_t(XXH3_64bits_withSeed(what.data(), sizeof what, seed));
 }
@@ -30,28 +31,29 @@
 }  // namespace
 
 std::size_t buckets_for(std::size_t members) {
-  return std::clamp(std::bit_ceil(members / kMembersABucket + 1), kLeastBuckets, kMostBuckets);
+  return std::clamp(std::bit_ceil(members / kMembersABucket + 1), kMinBuckets, kMaxBuckets);
 }
 
 std::vector<std::uint32_t> digest_of(const Roster& roster, const Record& own, std::size_t buckets,
                                      std::uint32_t seed) {
   std::vector<std::uint32_t> sums(buckets);
-  const auto add = [&](std::uint64_t name, Life life, Incarnation incarnation, Status status,
-                       const Told* told) {
-    sums[bucket_of(name, buckets)] ^= hash_of(name, life, incarnation, status, told, seed);
+  const auto add = [&](std::uint64_t name, BootId boot_id, Incarnation incarnation, Status status,
+                       const MemberMetadata* metadata) {
+    sums[bucket_of(name, buckets)] ^= hash_of(name, boot_id, incarnation, status, metadata, seed);
   };
   if (own.status == Status::alive)
-    add(name_hash(own.name), own.life, own.incarnation, own.status, own.told ? &*own.told : nullptr);
+    add(name_hash(own.name), own.boot_id, own.incarnation, own.status,
+        own.metadata ? &*own.metadata : nullptr);
   for (auto i = roster.oldest_contact(); i != kNobody; i = roster.next_contact(i)) {
     const auto& e = roster.at(i);
-    add(e.hash, e.life, e.incarnation, e.status, e.told.version ? &e.told : nullptr);
+    add(e.hash, e.boot_id, e.incarnation, e.status, e.metadata.version ? &e.metadata : nullptr);
   }
   return sums;
 }
 
 Buckets differing(const std::vector<std::uint32_t>& mine, const std::vector<std::uint32_t>& theirs) {
   Buckets b;
-  if (mine.size() != theirs.size() || mine.size() > kMostBuckets) return b.set();
+  if (mine.size() != theirs.size() || mine.size() > kMaxBuckets) return b.set();
   for (std::size_t i = 0; i < mine.size(); ++i) b[i] = mine[i] != theirs[i];
   return b;
 }
--- a/src/membership/digest.h
+++ b/src/membership/digest.h
@@ -15,8 +15,8 @@
 
 namespace granitegap::membership {
 
-inline constexpr std::size_t kMostBuckets = 128, kLeastBuckets = 8;
-using Buckets = std::bitset<kMostBuckets>;
+inline constexpr std::size_t kMaxBuckets = 128, kMinBuckets = 8;
+using Buckets = std::bitset<kMaxBuckets>;
 
 // A power of two that leaves about eight members a bucket, within the bounds.
 std::size_t buckets_for(std::size_t members);
--- a/src/membership/spread.cpp
+++ b/src/membership/dissemination_queue.cpp
@@ -1,4 +1,4 @@
-#include "membership/spread.h"
+#include "membership/dissemination_queue.h"
 
 #include <algorithm>
 #include <cmath>
@@ -14,27 +14,29 @@
 
 }  // namespace
 
-void Spread::add(Record record, TimePoint now) {
+void DisseminationQueue::add(Record record, TimePoint now) {
   const auto member = name_hash(record.name);
   auto& item = items_[member];
   if (item.order) {
     queue_.erase({item.sent, item.order, member});
     // Guards against news of a member's state that pushes out what it has told of itself in the same life.
-    if (!record.told && item.record.life == record.life) record.told = std::move(item.record.told);
+    if (!record.metadata && item.record.boot_id == record.boot_id)
+      record.metadata = std::move(item.record.metadata);
   }
   item = Item{std::move(record), now, 0, next_++, 0};
-  item.bytes = most_bytes(item.record);
+  item.bytes = max_bytes(item.record);
   queue_.insert({0, item.order, member});
 }
 
-void Spread::drop(std::uint64_t member) {
+void DisseminationQueue::drop(std::uint64_t member) {
   const auto it = items_.find(member);
   if (it == items_.end()) return;
   queue_.erase({it->second.sent, it->second.order, member});
   items_.erase(it);
 }
 
-void Spread::fill(std::vector<Record>& to, std::size_t room, unsigned times, Duration lasts, TimePoint now) {
+void DisseminationQueue::fill(std::vector<Record>& to, std::size_t room, unsigned times, Duration lasts,
+                              TimePoint now) {
   constexpr std::size_t kLeast = 60;  // no record is smaller
   constexpr unsigned kMisfits = 4;    // guards against a search of the whole queue for the last few bytes
   unsigned misfits = 0;
@@ -68,11 +70,11 @@
   }
 }
 
-Duration time_to_spread(const Options& options, std::size_t fleet) {
+Duration dissemination_time(const Options& options, std::size_t fleet) {
   return options.period * std::int64_t(options.spread * whole_log(fleet));
 }
 
-unsigned times_to_spread(const Options& options, std::size_t fleet, std::size_t waiting) {
+unsigned retransmit_limit(const Options& options, std::size_t fleet, std::size_t waiting) {
   const auto times = options.spread * whole_log(fleet);
   return waiting <= kCrowd ? times : std::max(2u, unsigned(times * kCrowd / waiting));
 }
--- a/src/membership/spread.h
+++ b/src/membership/dissemination_queue.h
@@ -9,7 +9,7 @@
 
 namespace granitegap::membership {
 
-class Spread {
+class DisseminationQueue {
  public:
   // Takes the place of what was waiting about the same member.
   void add(Record record, TimePoint now);
@@ -41,8 +41,8 @@
 // How often each update is sent on in a fleet of this size. Less often where many wait, as when most of a
 // fleet joins at once: new ones must not stand behind the hundredth repetition of old ones, and exchanges
 // repair what is missed.
-unsigned times_to_spread(const Options& options, std::size_t fleet, std::size_t waiting);
+unsigned retransmit_limit(const Options& options, std::size_t fleet, std::size_t waiting);
 // In how long an epidemic reaches all of them, with as much again for those that it misses at first.
-Duration time_to_spread(const Options& options, std::size_t fleet);
+Duration dissemination_time(const Options& options, std::size_t fleet);
 
 }  // namespace granitegap::membership
--- a/src/membership/own_health.h
+++ b/src/membership/local_health.h
@@ -4,8 +4,8 @@
 // nothing, and for a while the member hears before it judges.
 // Health multiplier (Lifeguard, section IV-A): stretches own timeouts after pauses, failed probes that even
 // the helpers did not answer, and refutations needed; falls with each probe that succeeds.
-// Hearing: `deaf` where nothing at all comes in; `unheard` where no own probe is answered by any way, though
-// those probed are heard, so often in a row that the usual loss does not explain it.
+// LocalConnectivity: `deaf` where nothing at all comes in; `unheard` where no own probe is answered by any
+// way, though those probed are heard, so often in a row that the usual loss does not explain it.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -14,13 +14,13 @@
 
 namespace granitegap::membership {
 
-enum class Hearing : std::uint8_t { ok, unheard, deaf };
-const char* text_of(Hearing hearing);
+enum class LocalConnectivity : std::uint8_t { ok, unheard, deaf };
+const char* text_of(LocalConnectivity local_connectivity);
 
-class OwnHealth {
+class LocalHealth {
  public:
   // `options` must outlive it, and may change.
-  OwnHealth(const Options& options, TimePoint now);
+  LocalHealth(const Options& options, TimePoint now);
 
   // To be called first whenever anything happens, with the wake-up that was due. The pause's length, if it
   // was one.
@@ -36,10 +36,10 @@
   void refuted_in_vain();
   // Probes in a row that nobody answered.
   unsigned failed_in_a_row() const { return in_a_row_; }
-  // Brings Hearing up to date. `others`: members alive that could be heard.
+  // Brings LocalConnectivity up to date. `others`: members alive that could be heard.
   void judge(TimePoint now, std::size_t others);
 
-  Hearing hearing() const { return hearing_; }
+  LocalConnectivity local_connectivity() const { return local_connectivity_; }
   unsigned multiplier() const { return 1 + worse_; }
   bool listening(TimePoint now) const { return now < listen_until_; }
   // Anything came from others since then.
@@ -54,7 +54,7 @@
   double fails_ = 0.05;  // the usual share of probes that fail, smoothed over calm stretches
   double evidence_ = 0;  // against the usual loss, of the probes that failed in a row
   unsigned in_a_row_ = 0;
-  Hearing hearing_ = Hearing::ok;
+  LocalConnectivity local_connectivity_ = LocalConnectivity::ok;
 };
 
 }  // namespace granitegap::membership
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -37,18 +37,18 @@
       guard_(options_),
       next_exchange_(now),
       last_heal_(now) {
-  told_.version = 1;
-  told_.zone = self_.zone;
-  told_.second = self_.second;
-  told_.fill_port = self_.fill_port;
-  told_.generation = incarnation_;
+  metadata_.version = 1;
+  metadata_.zone = self_.zone;
+  metadata_.second = self_.second;
+  metadata_.fill_port = self_.fill_port;
+  metadata_.generation = incarnation_;
   spread_.add(own_record(true), now);
 }
 
-Record Member::own_record(bool with_told) const {
-  Record r{self_.name, self_.address, self_.life, incarnation_, leaving_ ? Status::left : Status::alive, 0,
+Record Member::own_record(bool with_metadata) const {
+  Record r{self_.name, self_.address, self_.boot_id, incarnation_, leaving_ ? Status::left : Status::alive, 0,
            0,          std::nullopt};
-  if (with_told) r.told = told_;
+  if (with_metadata) r.metadata = metadata_;
   return r;
 }
 
@@ -144,15 +144,15 @@
     for (const auto i : std::exchange(uncounted_, {}))
       if (roster_.is_present(i)) roster_.set_counted(i, true);
   }
-  if (twin_ && now >= twin_until_) {
-    twin_.reset();
-    if (std::exchange(yielding_, false)) go_beyond(std::max(incarnation_, twin_incarnation_), now);
+  if (duplicate_ && now >= duplicate_until_) {
+    duplicate_.reset();
+    if (std::exchange(yielding_, false)) go_beyond(std::max(incarnation_, duplicate_incarnation_), now);
     retell(now);
-    say(ChangeKind::twin, self_.name, true);
+    say(ChangeKind::duplicate, self_.name, true);
   }
-  if (yielding_ && now >= twin_notice_) {
-    send(*twin_, TwinNotice{twin_life_}, now);
-    twin_notice_ = now + 2 * options_.period;
+  if (yielding_ && now >= name_conflict_) {
+    send(*duplicate_, NameConflict{duplicate_boot_id_}, now);
+    name_conflict_ = now + 2 * options_.period;
   }
   if (leaving_) return;
   call_absent(now);
@@ -205,13 +205,13 @@
 void Member::judge(TimePoint now) {
   // Whoever yields its name is no part of the fleet: nobody speaks to it.
   health_.judge(now, yielding_ ? 0 : roster_.present());
-  if (std::exchange(was_hearing_, health_.hearing()) != health_.hearing()) {
-    if (was_hearing_ != Hearing::ok) withdraw_own_accusations(now);
-    say(ChangeKind::hearing, self_.name, true);
-    if (was_hearing_ == Hearing::ok) next_exchange_ = now;
+  if (std::exchange(was_hearing_, health_.local_connectivity()) != health_.local_connectivity()) {
+    if (was_hearing_ != LocalConnectivity::ok) withdraw_own_accusations(now);
+    say(ChangeKind::local_connectivity, self_.name, true);
+    if (was_hearing_ == LocalConnectivity::ok) next_exchange_ = now;
   }
   guard_.judge(now, {roster_.agreed() + 1, roster_.agreed_alive() + 1},
-               health_.hearing() != Hearing::ok || yielding_,
+               health_.local_connectivity() != LocalConnectivity::ok || yielding_,
                2 * options_.period * std::min(health_.multiplier(), 3u));
   if (std::exchange(was_uncertain_, guard_.uncertain()) != guard_.uncertain()) {
     if (was_uncertain_) {
@@ -229,7 +229,7 @@
 
 bool Member::may_remove(TimePoint now) const {
   if (options_.plain) return true;
-  return guard_.majority() && !guard_.uncertain() && health_.hearing() == Hearing::ok &&
+  return guard_.majority() && !guard_.uncertain() && health_.local_connectivity() == LocalConnectivity::ok &&
          !health_.listening(now) && now - guard_.certain_since() >= options_.period;
 }
 
@@ -261,7 +261,7 @@
     ++counters_.deaths;
     auto record = roster_.record_of(i, false);
     record.status = Status::dead;
-    record.accuser = own_hash_;
+    record.suspector = own_hash_;
     apply(record, now, true);
   }
 }
@@ -270,7 +270,7 @@
   auto record = roster_.record_of(i, false);
   if (record.status == Status::alive) ++counters_.suspicions;
   record.status = Status::suspect;
-  record.accuser = own_hash_;
+  record.suspector = own_hash_;
   apply(record, now, true);
   // A suspect is told first of all: what is sent to it begins with what is held of it.
   if (!options_.plain) send(roster_.at(i).address, Ping{nonce(), roster_.at(i).name, {}}, now, i);
@@ -302,27 +302,27 @@
   const auto known = roster_.find(record.name);
   const auto before = known == kNobody ? Status::alive : roster_.at(known).status;
   const auto merged = roster_.merge(record, now, i);
-  if (merged == Merged::nothing) return;
-  if (merged == Merged::full) {
+  if (merged == MergeResult::nothing) return;
+  if (merged == MergeResult::full) {
     ++counters_.full;
     return;
   }
   auto& e = roster_.at(i);
   switch (merged) {
-    case Merged::joined:
-    case Merged::restarted:
-    case Merged::refuted:
+    case MergeResult::joined:
+    case MergeResult::restarted:
+    case MergeResult::refuted:
       guard_.heard(e.hash);
-      if (merged != Merged::refuted || before != Status::alive)
-        say(merged == Merged::joined      ? ChangeKind::joined
-            : merged == Merged::restarted ? ChangeKind::restarted
-                                          : ChangeKind::refuted,
+      if (merged != MergeResult::refuted || before != Status::alive)
+        say(merged == MergeResult::joined      ? ChangeKind::joined
+            : merged == MergeResult::restarted ? ChangeKind::restarted
+                                               : ChangeKind::refuted,
             e.name, own);
       if (!e.counted) add_once(uncounted_, i);
-      if (merged == Merged::joined || before == Status::dead || before == Status::left) {
+      if (merged == MergeResult::joined || before == Status::dead || before == Status::left) {
         round_.insert(round_.begin() + std::ptrdiff_t(random_() % (round_.size() + 1)), i);
         // Guards against halves that have met again and know only what gossip happens to bring.
-        if (merged != Merged::joined && now - last_heal_ >= 4 * options_.period) {
+        if (merged != MergeResult::joined && now - last_heal_ >= 4 * options_.period) {
           last_heal_ = now;
           ask_exchange(i, now);
         }
@@ -332,51 +332,51 @@
         set_deadline(i);
       }
       break;
-    case Merged::suspected:
+    case MergeResult::suspected:
       say(ChangeKind::suspected, e.name, own);
       add_once(suspects_, i);
       set_deadline(i);
       guard_.silent(e.hash, now);
       break;
-    case Merged::confirmed:
+    case MergeResult::confirmed:
       set_deadline(i);
       break;
-    case Merged::died:
+    case MergeResult::died:
       say(ChangeKind::died, e.name, own);
       break;
-    case Merged::departed:
+    case MergeResult::departed:
       guard_.heard(e.hash);
       say(ChangeKind::departed, e.name, own);
       break;
-    case Merged::told:
-      say(ChangeKind::told, e.name, own);
+    case MergeResult::metadata:
+      say(ChangeKind::metadata, e.name, own);
       break;
-    case Merged::nothing:
-    case Merged::full:
+    case MergeResult::nothing:
+    case MergeResult::full:
       break;
   }
   // What it says of its link with me is as good as my own checks.
-  if (record.told && !e.link_broken)
-    for (const auto& l : e.told.links)
+  if (record.metadata && !e.link_broken)
+    for (const auto& l : e.metadata.links)
       if (l.peer == own_hash_) {
         e.link_checks = 1;
         set_link(i, true, !l.inward, now);
         break;
       }
-  if (merged != Merged::told && e.status != Status::suspect) mirror_certain(i);
+  if (merged != MergeResult::metadata && e.status != Status::suspect) mirror_certain(i);
   if (e.status == Status::suspect && !guard_.uncertain()) e.certain = Status::suspect;
   // What a newcomer learns of the fleet is no news to the fleet.
-  if (merged == Merged::joined && !joined_ && in_exchange) return;
+  if (merged == MergeResult::joined && !joined_ && in_exchange) return;
   spread_.add(record, now);
 }
 
 // ---- What is said of me ----
 
 void Member::about_self(const Record& record, TimePoint now) {
-  if (record.life != self_.life) {
+  if (record.boot_id != self_.boot_id) {
     // It says itself that it has superseded this life, which lives: two under one name. The later one keeps
     // it, so that nobody's view goes to and fro; this one says so and waits.
-    if (record.told && record.told->beyond == self_.life) {
+    if (record.metadata && record.metadata->superseded_boot_id == self_.boot_id) {
       // As many is not beyond it: others heed neither at the other's word. Guards against a tie in which
       // whoever outlived its twin is answered by nobody for good.
       if (record.incarnation < incarnation_ || record.status == Status::suspect) return;
@@ -385,13 +385,13 @@
         if (!yielding_) go_beyond(record.incarnation, now);
         return;
       }
-      twin_incarnation_ = std::max(twin_incarnation_, record.incarnation);
-      twin_life_ = record.life;
-      if (!std::exchange(yielding_, true)) twin_notice_ = now;
-      return note_twin(record.address, now);
+      duplicate_incarnation_ = std::max(duplicate_incarnation_, record.incarnation);
+      duplicate_boot_id_ = record.boot_id;
+      if (!std::exchange(yielding_, true)) name_conflict_ = now;
+      return note_duplicate(record.address, now);
     }
     if (yielding_ || record.incarnation < incarnation_) return;
-    told_.beyond = record.life;
+    metadata_.superseded_boot_id = record.boot_id;
     return go_beyond(record.incarnation, now);
   }
   if (record.status == Status::alive || leaving_) return;
@@ -410,73 +410,74 @@
 // Some hear it at once; the rest by what goes round.
 void Member::go_beyond(Incarnation seen, TimePoint now) {
   incarnation_ = seen + 1;
-  if (told_.generation <= seen && told_.beyond != Life{}) told_.generation = incarnation_;
-  ++told_.version;
+  if (metadata_.generation <= seen && metadata_.superseded_boot_id != BootId{})
+    metadata_.generation = incarnation_;
+  ++metadata_.version;
   spread_.add(own_record(true), now);
   for (unsigned k = 0; k < options_.indirect; ++k)
     if (const auto i = random_present(true); i != kNobody)
       send(roster_.at(i).address, Ping{nonce(), roster_.at(i).name, {}}, now, i);
 }
 
-void Member::note_twin(const Address& where, TimePoint now) {
-  twin_until_ = now + options_.period * std::int64_t(kTwinSilence);
-  if (twin_ == where) return;
-  twin_ = where;
+void Member::note_duplicate(const Address& where, TimePoint now) {
+  duplicate_until_ = now + options_.period * std::int64_t(kTwinSilence);
+  if (duplicate_ == where) return;
+  duplicate_ = where;
   retell(now);
-  say(ChangeKind::twin, self_.name, true);
+  say(ChangeKind::duplicate, self_.name, true);
 }
 
-void Member::tell(Stage stage, std::uint8_t warmth, std::uint8_t pressed, std::vector<Finding> findings,
-                  TimePoint now) {
+void Member::tell(Stage stage, std::uint8_t warmth, std::uint8_t pressed,
+                  std::vector<EndpointHealth> endpoint_health, TimePoint now) {
   if (leaving_) stage = Stage::leaving;
-  if (findings.size() > kMostFindings) findings.resize(kMostFindings);
-  if (fine_change(stage, warmth, pressed, findings, now)) return;
+  if (endpoint_health.size() > kMaxEndpointHealth) endpoint_health.resize(kMaxEndpointHealth);
+  if (fine_change(stage, warmth, pressed, endpoint_health, now)) return;
   told_at_ = now;
-  told_.stage = stage;
-  told_.warmth = warmth;
-  told_.pressed = pressed;
-  told_.findings = std::move(findings);
-  ++told_.version;
+  metadata_.stage = stage;
+  metadata_.warmth = warmth;
+  metadata_.pressed = pressed;
+  metadata_.endpoint_health = std::move(endpoint_health);
+  ++metadata_.version;
   spread_.add(own_record(true), now);
 }
 
 // Guards against a fleet of hundreds that fills its datagrams with each other's last hundredth of load:
 // whoever takes requests changes that in every period.
 bool Member::fine_change(Stage stage, std::uint8_t warmth, std::uint8_t pressed,
-                         const std::vector<Finding>& findings, TimePoint now) const {
-  if (told_.stage != stage || told_.findings != findings) return false;
-  const auto apart =
-      std::max(std::abs(int(told_.warmth) - int(warmth)), std::abs(int(told_.pressed) - int(pressed)));
+                         const std::vector<EndpointHealth>& endpoint_health, TimePoint now) const {
+  if (metadata_.stage != stage || metadata_.endpoint_health != endpoint_health) return false;
+  const auto apart = std::max(std::abs(int(metadata_.warmth) - int(warmth)),
+                              std::abs(int(metadata_.pressed) - int(pressed)));
   return apart == 0 || apart < kFine || now - told_at_ < options_.period * std::int64_t(kFineEvery);
 }
 
-void Member::tell(const Course& course, TimePoint now) {
-  auto same = told_.course;
-  same.offered = course.offered;
-  const int apart = std::abs(int(told_.course.offered) - int(course.offered));
-  if (same == course &&
-      (apart == 0 || ((apart < kFine || now - told_at_ < options_.period) && course.offered < 100)))
+void Member::tell(const RecoveryStatus& recovery_status, TimePoint now) {
+  auto same = metadata_.recovery_status;
+  same.offered = recovery_status.offered;
+  const int apart = std::abs(int(metadata_.recovery_status.offered) - int(recovery_status.offered));
+  if (same == recovery_status &&
+      (apart == 0 || ((apart < kFine || now - told_at_ < options_.period) && recovery_status.offered < 100)))
     return;
-  told_.course = course;
-  ++told_.version;
+  metadata_.recovery_status = recovery_status;
+  ++metadata_.version;
   spread_.add(own_record(true), now);
 }
 
 void Member::retell(TimePoint now) {
-  told_.twin = twin_.value_or(Address{});
-  told_.links.clear();
+  metadata_.duplicate = duplicate_.value_or(Address{});
+  metadata_.links.clear();
   for (const auto i : checked_links_)
-    if (const auto& e = roster_.at(i); e.known && e.link_broken && told_.links.size() < kMostLinkFaults)
-      told_.links.push_back({e.hash, e.link_in});
-  ++told_.version;
+    if (const auto& e = roster_.at(i); e.known && e.link_broken && metadata_.links.size() < kMaxLinkFaults)
+      metadata_.links.push_back({e.hash, e.link_in});
+  ++metadata_.version;
   spread_.add(own_record(true), now);
 }
 
 void Member::leave(TimePoint now) {
   if (std::exchange(leaving_, true)) return;
   now_ = std::max(now_, now);
-  told_.stage = Stage::leaving;
-  ++told_.version;
+  metadata_.stage = Stage::leaving;
+  ++metadata_.version;
   probes_.clear();
   spread_.add(own_record(true), now_);
   send_leave(now_);
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -32,10 +32,10 @@
 #include <vector>
 
 #include "membership/digest.h"
-#include "membership/mass_guard.h"
-#include "membership/own_health.h"
+#include "membership/dissemination_queue.h"
+#include "membership/local_health.h"
+#include "membership/partition_detector.h"
 #include "membership/roster.h"
-#include "membership/spread.h"
 
 namespace granitegap::membership {
 
@@ -43,9 +43,9 @@
   std::string name, zone;
   Address address;  // advertised
   Address second;   // the same of a second path, where there is one
-  Life life{};
+  BootId boot_id{};
   Incarnation first = 1;        // of this life; beyond it where an earlier life is heard of
-  std::uint16_t fill_port = 0;  // Told::fill_port
+  std::uint16_t fill_port = 0;  // MemberMetadata::fill_port
 };
 
 struct Send {
@@ -62,13 +62,13 @@
   died,
   departed,
   forgotten,
-  told,
+  metadata,
   link_broken,
   link_mended,
-  hearing,    // own: unheard, deaf, ok
-  certainty,  // own: the view is uncertain, or certain again
-  majority,   // own: most of the agreed fleet is seen, or is not
-  twin        // another process lives under the own name, or no longer does
+  local_connectivity,  // own: unheard, deaf, ok
+  certainty,           // own: the view is uncertain, or certain again
+  majority,            // own: most of the agreed fleet is seen, or is not
+  duplicate            // another process lives under the own name, or no longer does
 };
 struct Change {
   ChangeKind kind{};
@@ -77,8 +77,8 @@
 };
 
 struct Counters {
-  std::uint64_t stale_life = 0, late = 0, strangers = 0, not_mine = 0, full = 0, suspicions = 0, deaths = 0,
-                refutations = 0, pauses = 0, exchanges = 0;
+  std::uint64_t stale_boot_id = 0, late = 0, strangers = 0, not_mine = 0, full = 0, suspicions = 0,
+                deaths = 0, refutations = 0, pauses = 0, exchanges = 0;
 };
 
 class Member {
@@ -98,10 +98,10 @@
   std::vector<Change> take_changes() { return std::exchange(changes_, {}); }
 
   // What this member says of itself; version, generation, zone, twin and links are its own.
-  void tell(Stage stage, std::uint8_t warmth, std::uint8_t pressed, std::vector<Finding> findings,
-            TimePoint now);
+  void tell(Stage stage, std::uint8_t warmth, std::uint8_t pressed,
+            std::vector<EndpointHealth> endpoint_health, TimePoint now);
   // The same of how it comes back; small changes of what it offers wait as those of load do.
-  void tell(const Course& course, TimePoint now);
+  void tell(const RecoveryStatus& recovery_status, TimePoint now);
   // Orderly: told to some until enough acknowledge it, or three times.
   void leave(TimePoint now);
   bool has_left() const { return leaving_ && (leave_rounds_ >= 3 || leave_acks_ >= 2); }
@@ -117,15 +117,15 @@
 
   const Identity& self() const { return self_; }
   Incarnation incarnation() const { return incarnation_; }
-  const Told& told() const { return told_; }
+  const MemberMetadata& metadata() const { return metadata_; }
   const Roster& roster() const { return roster_; }
-  Hearing hearing() const { return health_.hearing(); }
+  LocalConnectivity local_connectivity() const { return health_.local_connectivity(); }
   TimePoint last_heard() const { return health_.last_heard(); }
   bool uncertain() const { return guard_.uncertain(); }
   bool majority() const { return guard_.majority(); }
   // The agreed fleet, this one included.
   std::size_t agreed() const { return std::max(roster_.agreed() + 1, options_.expected); }
-  const std::optional<Address>& twin() const { return twin_; }
+  const std::optional<Address>& duplicate() const { return duplicate_; }
   unsigned health_multiplier() const { return health_.multiplier(); }
   const Counters& counters() const { return counters_; }
   // A bound of what the state takes besides the roster.
@@ -147,10 +147,10 @@
     Address asker;
     TimePoint until;
   };
-  struct Stranger {  // whose address has not yet been proven
+  struct UnverifiedPeer {  // whose address has not yet been proven
     std::string name;
     Address address;
-    Life life{};
+    BootId boot_id{};
     std::uint32_t nonce = 0;
     TimePoint until;
   };
@@ -185,20 +185,20 @@
     if (std::find(to.begin(), to.end(), i) == to.end()) to.push_back(i);
   }
   void retell(TimePoint now);
-  void note_twin(const Address& where, TimePoint now);
+  void note_duplicate(const Address& where, TimePoint now);
   bool may_remove(TimePoint now) const;
-  Record own_record(bool with_told) const;
+  Record own_record(bool with_metadata) const;
   bool fine_change(Stage stage, std::uint8_t warmth, std::uint8_t pressed,
-                   const std::vector<Finding>& findings, TimePoint now) const;
+                   const std::vector<EndpointHealth>& endpoint_health, TimePoint now) const;
 
   // ---- probing.cpp: probes, links, exchanges, strangers ----
   void on(const Ping& ping, const Datagram& datagram, Index from, TimePoint now);
   void on(const Ack& ack, const Datagram& datagram, Index from, TimePoint now);
-  void on(const Ask& ask, const Datagram& datagram, TimePoint now);
-  void on(const Relayed& relayed);
+  void on(const PingRequest& ask, const Datagram& datagram, TimePoint now);
+  void on(const IndirectAck& relayed);
   void on(const Nack& nack);
-  void on(const ExchangeAsk& ask, const Datagram& datagram, TimePoint now);
-  void on(const Piece& piece);
+  void on(const SyncRequest& ask, const Datagram& datagram, TimePoint now);
+  void on(const SyncChunk& piece);
   void probe_more(TimePoint now);
   void begin_probe(Index target, TimePoint now);
   void probe_late(Probe& probe, TimePoint now);
@@ -227,17 +227,17 @@
   Identity self_;
   std::uint64_t own_hash_;
   Incarnation incarnation_;
-  Told told_;
+  MemberMetadata metadata_;
   std::mt19937_64 random_;
   TimePoint started_, now_, next_period_;
   std::uint64_t periods_ = 0;
   Roster roster_;
-  OwnHealth health_;
-  MassGuard guard_;
-  Spread spread_;
+  LocalHealth health_;
+  PartitionDetector guard_;
+  DisseminationQueue spread_;
   std::vector<Probe> probes_;
   std::vector<Relay> relays_;
-  std::vector<Stranger> strangers_;
+  std::vector<UnverifiedPeer> strangers_;
   std::vector<Exchange> exchanges_;
   std::vector<Index> suspects_;
   std::vector<Index> checked_links_;  // with link_checks or a broken link
@@ -250,11 +250,11 @@
   bool joined_ = false;  // a full exchange has come in
   unsigned joins_ = 0;   // exchanges asked for since the start
   bool was_uncertain_ = false, had_majority_ = true;
-  Hearing was_hearing_ = Hearing::ok;
-  std::optional<Address> twin_;
-  Life twin_life_{};
-  Incarnation twin_incarnation_ = 0;  // the highest that it was heard of with
-  TimePoint twin_until_, twin_notice_;
+  LocalConnectivity was_hearing_ = LocalConnectivity::ok;
+  std::optional<Address> duplicate_;
+  BootId duplicate_boot_id_{};
+  Incarnation duplicate_incarnation_ = 0;  // the highest that it was heard of with
+  TimePoint duplicate_until_, name_conflict_;
   bool yielding_ = false;  // the twin holds the name
   bool leaving_ = false;
   unsigned leave_rounds_ = 0, leave_acks_ = 0;
--- a/src/membership/mass_guard.cpp
+++ b/src/membership/partition_detector.cpp
@@ -1,15 +1,15 @@
-#include "membership/mass_guard.h"
+#include "membership/partition_detector.h"
 
 #include <algorithm>
 #include <cmath>
 
 namespace granitegap::membership {
 
-void MassGuard::silent(std::uint64_t member, TimePoint now) {
+void PartitionDetector::silent(std::uint64_t member, TimePoint now) {
   if (silent_.emplace(member, now).second) newest_ = now;
 }
 
-void MassGuard::judge(TimePoint now, Counts counts, bool cut_off, Duration patience) {
+void PartitionDetector::judge(TimePoint now, Counts counts, bool cut_off, Duration patience) {
   const auto size = std::max(counts.agreed, options_.expected);
   majority_ = options_.plain || (!cut_off && counts.seen * 2 > size);
   if (options_.plain) return;
@@ -22,7 +22,7 @@
     uncertain_since_ = now;
     return;
   }
-  if (cut_off || now - uncertain_since_ < options_.uncertain_least()) return;
+  if (cut_off || now - uncertain_since_ < options_.min_uncertain()) return;
   const bool heard_again = silent_.size() < many;
   const bool settled = now - newest_ >= patience;
   if (!heard_again && !(majority_ && settled)) return;
--- a/src/membership/mass_guard.h
+++ b/src/membership/partition_detector.h
@@ -16,10 +16,10 @@
 
 namespace granitegap::membership {
 
-class MassGuard {
+class PartitionDetector {
  public:
   // `options` must outlive it, and may change.
-  explicit MassGuard(const Options& options) : options_(options) {}
+  explicit PartitionDetector(const Options& options) : options_(options) {}
 
   void silent(std::uint64_t member, TimePoint now);
   void heard(std::uint64_t member) { silent_.erase(member); }
--- a/src/membership/probing.cpp
+++ b/src/membership/probing.cpp
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::size_t kMostRelays = 128, kMostStrangers = 256, kMostExchanges = 4, kMostProbes = 64;
+constexpr std::size_t kMaxRelays = 128, kMaxStrangers = 256, kMaxExchanges = 4, kMaxProbes = 64;
 constexpr std::uint8_t kLinkChecks = 5;  // in a row of one direction: chance at 20 % loss is under 1 in 3,000
 constexpr unsigned kCallAbsentEvery = 4;  // periods
 constexpr std::size_t kKnock = 1100;      // bytes of a first datagram to an address that knows nothing of us
@@ -23,30 +23,30 @@
 void Member::send(const Address& to, Body body, TimePoint now, Index about, std::size_t filler_to,
                   std::vector<Record> first) {
   Datagram d;
-  d.from = {self_.name, self_.address, self_.life, incarnation_,
+  d.from = {self_.name, self_.address, self_.boot_id, incarnation_,
             std::uint32_t(std::clamp<std::int64_t>(ms(now - started_), 0, 0xfffffff0))};
   d.body = std::move(body);
   d.updates = std::move(first);
   if (about != kNobody && roster_.at(about).known && roster_.at(about).status != Status::alive) {
     d.updates.push_back(roster_.record_of(about, false));
-    if (roster_.at(about).accusers.has(own_hash_)) d.updates.back().accuser = own_hash_;
+    if (roster_.at(about).accusers.has(own_hash_)) d.updates.back().suspector = own_hash_;
   }
-  const auto used = most_bytes(d);
-  if (used > kMostDatagram) return;
+  const auto used = max_bytes(d);
+  if (used > kMaxDatagram) return;
   const bool stranger = filler_to > 0;
-  if (!stranger && !std::holds_alternative<Piece>(d.body))
-    spread_.fill(d.updates, kMostDatagram - used,
-                 times_to_spread(options_, roster_.present() + 1, spread_.size()),
-                 time_to_spread(options_, roster_.present() + 1), now);
+  if (!stranger && !std::holds_alternative<SyncChunk>(d.body))
+    spread_.fill(d.updates, kMaxDatagram - used,
+                 retransmit_limit(options_, roster_.present() + 1, spread_.size()),
+                 dissemination_time(options_, roster_.present() + 1), now);
   if (filler_to > used + 3) d.filler = std::uint16_t(filler_to - used - 3);
   sends_.push_back({to, std::move(d)});
 }
 
 void Member::send_by_second(Index to, Body body, TimePoint now) {
   const auto& e = roster_.at(to);
-  if (!self_.second || !e.told.second) return;  // only where the other end itself has told of it
+  if (!self_.second || !e.metadata.second) return;  // only where the other end itself has told of it
   const auto before = sends_.size();
-  send(e.told.second, std::move(body), now, to);
+  send(e.metadata.second, std::move(body), now, to);
   if (sends_.size() > before) sends_.back().second = true;
 }
 
@@ -57,7 +57,7 @@
 Duration Member::late_after(const Entry& e) const {
   if (options_.plain) return options_.period / 2;
   const auto most = options_.period / 5;
-  return e.round_trip.late_after(std::min(options_.late_least, most), most) * health_.multiplier();
+  return e.round_trip.late_after(std::min(options_.min_late, most), most) * health_.multiplier();
 }
 
 Index Member::random_present(bool alive_only) {
@@ -100,7 +100,7 @@
   };
   const auto new_zone = [&](Index i) {
     return std::none_of(picked.begin(), picked.end(),
-                        [&](Index p) { return roster_.at(p).told.zone == roster_.at(i).told.zone; });
+                        [&](Index p) { return roster_.at(p).metadata.zone == roster_.at(i).metadata.zone; });
   };
   for (unsigned tries = 0; tries < 6 * most && picked.size() < most; ++tries) {
     const auto i = random_present(true);
@@ -113,7 +113,7 @@
 // ---- Probes ----
 
 void Member::begin_probe(Index target, TimePoint now) {
-  if (probes_.size() >= kMostProbes) return;
+  if (probes_.size() >= kMaxProbes) return;
   Probe p;
   p.nonce = nonce();
   p.target = target;
@@ -147,7 +147,7 @@
   p.asked = true;
   const auto& e = roster_.at(p.target);
   for (const auto i : helpers_for(p.target, options_.indirect))
-    send(roster_.at(i).address, Ask{p.nonce, e.name, e.address}, now, i);
+    send(roster_.at(i).address, PingRequest{p.nonce, e.name, e.address}, now, i);
 }
 
 void Member::probe_ended(const Probe& p, TimePoint now) {
@@ -164,7 +164,7 @@
   health_.probe_failed(p.asked && p.helpers_heard == 0, heard);
   judge(now);
   if (options_.plain) return accuse(p.target, now);
-  if (health_.listening(now) || health_.hearing() != Hearing::ok) return;
+  if (health_.listening(now) || health_.local_connectivity() != LocalConnectivity::ok) return;
   // Silence from all sides while the probe was out says more of me than of the one probed.
   if (roster_.alive() >= 2 && !health_.heard_since(p.sent)) return;
   accuse(p.target, now);
@@ -211,18 +211,18 @@
   const auto& from = d.from;
   if (from.name.empty() || !from.address) return;
   if (from.name == self_.name) {
-    const auto* notice = std::get_if<TwinNotice>(&d.body);
-    if (from.life == self_.life || !notice || notice->to != self_.life) return;
+    const auto* notice = std::get_if<NameConflict>(&d.body);
+    if (from.boot_id == self_.boot_id || !notice || notice->to != self_.boot_id) return;
     // It lives: it names a life that began while it was there. Whoever holds the name answers.
-    if (!yielding_) send(from.address, TwinNotice{from.life}, now);
-    twin_life_ = from.life;
-    return note_twin(from.address, now);
+    if (!yielding_) send(from.address, NameConflict{from.boot_id}, now);
+    duplicate_boot_id_ = from.boot_id;
+    return note_duplicate(from.address, now);
   }
   auto i = roster_.find(from.name);
   bool known = false;
   if (i != kNobody) {
     auto& e = roster_.at(i);
-    if (from.life == e.life) {
+    if (from.boot_id == e.boot_id) {
       // Guards against datagrams held up or played again: by the sender's own clock, as clocks don't agree.
       const auto offset = ms(now - started_) - std::int64_t(from.sent_ms);
       if (e.timely == TimePoint{} || offset < e.clock_offset_ms) e.clock_offset_ms = offset;
@@ -237,7 +237,7 @@
       known = roster_.is_present(i) || from.incarnation > e.incarnation;
     } else if (from.incarnation <= e.incarnation) {
       // An earlier life, or a new one whose clock went back: it learns of what is known, and goes beyond it.
-      ++counters_.stale_life;
+      ++counters_.stale_boot_id;
       if (const auto* ping = std::get_if<Ping>(&d.body); ping && bytes >= kKnock / 2)
         send(from.address, Ack{ping->nonce, kNeverHeard}, now, kNobody, 1, {roster_.record_of(i, true)});
       return;
@@ -247,11 +247,12 @@
     ++counters_.strangers;
     if (const auto* ack = std::get_if<Ack>(&d.body)) {
       const auto it = std::find_if(strangers_.begin(), strangers_.end(), [&](const auto& s) {
-        return s.nonce == ack->nonce && (s.name.empty() || (s.name == from.name && s.life == from.life));
+        return s.nonce == ack->nonce &&
+               (s.name.empty() || (s.name == from.name && s.boot_id == from.boot_id));
       });
       if (it == strangers_.end()) return;
       strangers_.erase(it);
-      apply({from.name, from.address, from.life, from.incarnation, Status::alive, 0, 0, std::nullopt}, now,
+      apply({from.name, from.address, from.boot_id, from.incarnation, Status::alive, 0, 0, std::nullopt}, now,
             true);
       i = roster_.find(from.name);
       const bool member = i != kNobody && roster_.is_present(i);
@@ -268,12 +269,12 @@
       const auto sends_before = sends_.size();
       send(from.address, Ack{ping->nonce, kNeverHeard}, now, kNobody, 1, std::move(about));
       if (sends_.size() == sends_before) return;
-      const auto used = most_bytes(sends_.back().datagram);
+      const auto used = max_bytes(sends_.back().datagram);
       if (used > bytes && i == kNobody) {  // never more to an unknown address than came from it
         sends_.pop_back();
         return;
       }
-      meet(d, i == kNobody ? bytes - used : kMostDatagram, now);
+      meet(d, i == kNobody ? bytes - used : kMaxDatagram, now);
     }
     return;
   }
@@ -285,16 +286,16 @@
   const auto* by_ack = std::get_if<Ack>(&d.body);
   if (!(by_ping && by_ping->second) && !(by_ack && by_ack->second)) e.heard = now;
   if (from.incarnation > e.incarnation)
-    apply({from.name, from.address, from.life, from.incarnation, Status::alive, 0, 0, std::nullopt}, now);
-  const bool in_exchange = std::holds_alternative<Piece>(d.body);
+    apply({from.name, from.address, from.boot_id, from.incarnation, Status::alive, 0, 0, std::nullopt}, now);
+  const bool in_exchange = std::holds_alternative<SyncChunk>(d.body);
   for (const auto& r : d.updates) apply(r, now, false, in_exchange);
   if (const auto* ping = std::get_if<Ping>(&d.body)) on(*ping, d, i, now);
   if (const auto* ack = std::get_if<Ack>(&d.body)) on(*ack, d, i, now);
-  if (const auto* ask = std::get_if<Ask>(&d.body)) on(*ask, d, now);
-  if (const auto* relayed = std::get_if<Relayed>(&d.body)) on(*relayed);
+  if (const auto* ask = std::get_if<PingRequest>(&d.body)) on(*ask, d, now);
+  if (const auto* relayed = std::get_if<IndirectAck>(&d.body)) on(*relayed);
   if (const auto* nack = std::get_if<Nack>(&d.body)) on(*nack);
-  if (const auto* ask = std::get_if<ExchangeAsk>(&d.body)) on(*ask, d, now);
-  if (const auto* piece = std::get_if<Piece>(&d.body)) on(*piece);
+  if (const auto* ask = std::get_if<SyncRequest>(&d.body)) on(*ask, d, now);
+  if (const auto* piece = std::get_if<SyncChunk>(&d.body)) on(*piece);
 }
 
 void Member::on(const Ping& ping, const Datagram& d, Index from, TimePoint now) {
@@ -333,12 +334,12 @@
   const auto relay = std::find_if(relays_.begin(), relays_.end(),
                                   [&](auto& r) { return r.nonce == ack.nonce && r.target == d.from.name; });
   if (relay == relays_.end()) return;
-  send(relay->asker, Relayed{relay->theirs, relay->target, ack.heard_ms}, now);
+  send(relay->asker, IndirectAck{relay->theirs, relay->target, ack.heard_ms}, now);
   relays_.erase(relay);
 }
 
-void Member::on(const Ask& ask, const Datagram& d, TimePoint now) {
-  if (relays_.size() >= kMostRelays || ask.target == self_.name) return;
+void Member::on(const PingRequest& ask, const Datagram& d, TimePoint now) {
+  if (relays_.size() >= kMaxRelays || ask.target == self_.name) return;
   const auto target = roster_.find(ask.target);
   // Only whom I know myself, at the address that I know: guards against being used to send to anybody.
   if (target == kNobody) return send(d.from.address, Nack{ask.nonce}, now);
@@ -347,7 +348,7 @@
   relays_.push_back(std::move(r));
 }
 
-void Member::on(const Relayed& relayed) {
+void Member::on(const IndirectAck& relayed) {
   for (auto& p : probes_)
     if (p.nonce == relayed.nonce && roster_.at(p.target).name == relayed.target) {
       if (p.helpers_heard < 255) ++p.helpers_heard;
@@ -366,11 +367,11 @@
 // makes a member of it.
 void Member::meet(const Datagram& d, std::size_t room, TimePoint now) {
   const bool met = std::any_of(strangers_.begin(), strangers_.end(),
-                               [&](auto& s) { return s.name == d.from.name && s.life == d.from.life; });
-  if (met || strangers_.size() >= kMostStrangers) return;
-  Stranger s{d.from.name, d.from.address, d.from.life, nonce(), now + 4 * options_.period};
+                               [&](auto& s) { return s.name == d.from.name && s.boot_id == d.from.boot_id; });
+  if (met || strangers_.size() >= kMaxStrangers) return;
+  UnverifiedPeer s{d.from.name, d.from.address, d.from.boot_id, nonce(), now + 4 * options_.period};
   send(s.address, Ping{s.nonce, s.name, {}}, now, kNobody, 1);
-  if (most_bytes(sends_.back().datagram) > room) {
+  if (max_bytes(sends_.back().datagram) > room) {
     sends_.pop_back();
     return;
   }
@@ -391,8 +392,8 @@
     if (!there) seeds.push_back(s);
   }
   const auto knock = [&](const Address& to) {
-    if (strangers_.size() >= kMostStrangers) return;
-    Stranger s{{}, to, {}, nonce(), now + 4 * options_.period};
+    if (strangers_.size() >= kMaxStrangers) return;
+    UnverifiedPeer s{{}, to, {}, nonce(), now + 4 * options_.period};
     send(to, Ping{s.nonce, {}, {}}, now, kNobody, kKnock);
     strangers_.push_back(std::move(s));
   };
@@ -415,9 +416,9 @@
   if (!dead.empty()) {
     const auto i = dead[random_() % dead.size()];
     const auto& e = roster_.at(i);
-    Stranger s{e.name, e.address, e.life, nonce(), now + 4 * options_.period};
+    UnverifiedPeer s{e.name, e.address, e.boot_id, nonce(), now + 4 * options_.period};
     send(e.address, Ping{s.nonce, e.name, {}}, now, i);
-    if (strangers_.size() < kMostStrangers) strangers_.push_back(std::move(s));
+    if (strangers_.size() < kMaxStrangers) strangers_.push_back(std::move(s));
   }
   if (!seeds.empty()) knock(seeds.front());
 }
@@ -426,25 +427,25 @@
   ++counters_.exchanges;
   const auto n = nonce();
   auto sums = digest_of(roster_, own_record(true), buckets_for(roster_.present()), n);
-  send(roster_.at(with).address, ExchangeAsk{n, true, std::move(sums)}, now, with);
+  send(roster_.at(with).address, SyncRequest{n, true, std::move(sums)}, now, with);
 }
 
-void Member::on(const ExchangeAsk& ask, const Datagram& d, TimePoint now) {
-  if (exchanges_.size() >= kMostExchanges) return;
-  const auto buckets = ask.sums.empty() ? kLeastBuckets : ask.sums.size();
+void Member::on(const SyncRequest& ask, const Datagram& d, TimePoint now) {
+  if (exchanges_.size() >= kMaxExchanges) return;
+  const auto buckets = ask.sums.empty() ? kMinBuckets : ask.sums.size();
   auto mine = digest_of(roster_, own_record(true), buckets, ask.nonce);
   const auto wanted = differing(mine, ask.sums);
   // Alike: one piece says so, and that is all.
   if (wanted.none()) {
-    if (ask.push) send(d.from.address, Piece{ask.nonce, 0, true}, now);
+    if (ask.push) send(d.from.address, SyncChunk{ask.nonce, 0, true}, now);
     return;
   }
   exchanges_.push_back({d.from.address, ask.nonce, 0, 0, now, wanted, buckets});
-  if (ask.push) send(d.from.address, ExchangeAsk{ask.nonce, false, std::move(mine)}, now);
+  if (ask.push) send(d.from.address, SyncRequest{ask.nonce, false, std::move(mine)}, now);
   send_pieces(now);
 }
 
-void Member::on(const Piece& piece) {
+void Member::on(const SyncChunk& piece) {
   if (piece.last) joined_ = true;
 }
 
@@ -453,9 +454,9 @@
   for (auto& x : exchanges_) {
     if (now < x.at) continue;
     std::vector<Record> records;
-    std::size_t room = kMostDatagram - most_bytes(Datagram{{self_.name, {}, {}, 0, 0}, Piece{}, {}, 0});
+    std::size_t room = kMaxDatagram - max_bytes(Datagram{{self_.name, {}, {}, 0, 0}, SyncChunk{}, {}, 0});
     const auto take = [&](Record r) {
-      const auto bytes = most_bytes(r);
+      const auto bytes = max_bytes(r);
       if (bytes > room) return false;
       room -= bytes;
       records.push_back(std::move(r));
@@ -468,7 +469,7 @@
       if (e.known && wants(e.hash) && !take(roster_.record_of(x.next, true))) break;
     }
     const bool last = x.next >= roster_.places();
-    send(x.to, Piece{x.nonce, x.index, last}, now, kNobody, 0, std::move(records));
+    send(x.to, SyncChunk{x.nonce, x.index, last}, now, kNobody, 0, std::move(records));
     ++x.index;
     x.at = last ? kNever : now + options_.period / 8;
   }
--- a/src/membership/roster.cpp
+++ b/src/membership/roster.cpp
@@ -78,20 +78,20 @@
   free_.push_back(i);
 }
 
-Record Roster::record_of(Index i, bool with_told, std::uint64_t accuser) const {
+Record Roster::record_of(Index i, bool with_metadata, std::uint64_t suspector) const {
   const auto& e = entries_[i];
-  Record r{e.name, e.address, e.life, e.incarnation, e.status, 0, 0, std::nullopt};
-  if (e.status == Status::suspect) r.accuser = accuser ? accuser : e.accusers.first();
-  if (with_told && e.told.version) r.told = e.told;
+  Record r{e.name, e.address, e.boot_id, e.incarnation, e.status, 0, 0, std::nullopt};
+  if (e.status == Status::suspect) r.suspector = suspector ? suspector : e.accusers.first();
+  if (with_metadata && e.metadata.version) r.metadata = e.metadata;
   return r;
 }
 
-Merged Roster::merge(const Record& r, TimePoint now, Index& where) {
+MergeResult Roster::merge(const Record& r, TimePoint now, Index& where) {
   where = find(r.name);
   if (where == kNobody) {
     // Guards against a replayed or late word that would raise one who is forgotten: nobody is met as dead.
-    if (r.status == Status::dead || r.status == Status::left) return Merged::nothing;
-    if (index_.size() >= options_.members_most || index_.contains(name_hash(r.name))) return Merged::full;
+    if (r.status == Status::dead || r.status == Status::left) return MergeResult::nothing;
+    if (index_.size() >= options_.max_members || index_.contains(name_hash(r.name))) return MergeResult::full;
     if (free_.empty()) {
       where = Index(entries_.size());
       entries_.emplace_back();
@@ -103,46 +103,47 @@
     e.name = r.name;
     e.hash = name_hash(r.name);
     e.address = r.address;
-    e.life = r.life;
+    e.boot_id = r.boot_id;
     e.incarnation = r.incarnation;
     e.status = r.status;
     e.known = true;
     e.since = e.heard = now;
-    if (r.told) e.told = *r.told;
+    if (r.metadata) e.metadata = *r.metadata;
     index_[e.hash] = where;
     count(e, 1);
     link(where);
-    return Merged::joined;
+    return MergeResult::joined;
   }
   auto& e = entries_[where];
-  if (r.life != e.life) {
+  if (r.boot_id != e.boot_id) {
     // An earlier life's word, however late, or the lesser of two that live under one name.
-    if (r.incarnation <= e.incarnation) return Merged::nothing;
+    if (r.incarnation <= e.incarnation) return MergeResult::nothing;
     set_status(where, Status::alive, now);
     e.since = e.heard = now;
-    e.life = r.life;
+    e.boot_id = r.boot_id;
     e.incarnation = r.incarnation;
     e.address = r.address;
-    e.told = r.told.value_or(Told{});
+    e.metadata = r.metadata.value_or(MemberMetadata{});
     e.round_trip = {};
     e.clock_offset_ms = 0;
     e.timely = {};
     e.link_checks = 0;
     e.link_broken = false;
     if (r.status != Status::alive) set_status(where, r.status, now);
-    return r.status == Status::dead ? Merged::died
-                                    : (r.status == Status::left ? Merged::departed : Merged::restarted);
+    return r.status == Status::dead
+               ? MergeResult::died
+               : (r.status == Status::left ? MergeResult::departed : MergeResult::restarted);
   }
   bool fresh_told = false;
-  if (r.told && r.told->version > e.told.version) {
-    e.told = *r.told;
+  if (r.metadata && r.metadata->version > e.metadata.version) {
+    e.metadata = *r.metadata;
     fresh_told = true;
   }
-  const auto otherwise = fresh_told ? Merged::told : Merged::nothing;
+  const auto otherwise = fresh_told ? MergeResult::metadata : MergeResult::nothing;
   if (r.incarnation < e.incarnation) return otherwise;
   if (r.incarnation == e.incarnation && r.status <= e.status) {
-    if (r.status == Status::suspect && e.status == Status::suspect && e.accusers.add(r.accuser))
-      return Merged::confirmed;
+    if (r.status == Status::suspect && e.status == Status::suspect && e.accusers.add(r.suspector))
+      return MergeResult::confirmed;
     return otherwise;
   }
   const auto before = e.status;
@@ -152,21 +153,21 @@
   if (moved) e.round_trip = {};
   if (before == Status::suspect && r.status == Status::suspect) {  // of a higher incarnation: begins anew
     e.accusers.clear();
-    e.accusers.add(r.accuser);
+    e.accusers.add(r.suspector);
     e.since = now;
-    return Merged::suspected;
+    return MergeResult::suspected;
   }
   set_status(where, r.status, now);
   switch (r.status) {
     case Status::alive:
-      return Merged::refuted;
+      return MergeResult::refuted;
     case Status::suspect:
-      e.accusers.add(r.accuser);
-      return Merged::suspected;
+      e.accusers.add(r.suspector);
+      return MergeResult::suspected;
     case Status::dead:
-      return Merged::died;
+      return MergeResult::died;
     case Status::left:
-      return Merged::departed;
+      return MergeResult::departed;
   }
   return otherwise;
 }
