--- a/src/membership/roster.h
+++ b/src/membership/roster.h
@@ -20,7 +20,7 @@
   std::string name;
   std::uint64_t hash = 0;
   Address address;
-  Life life{};
+  BootId boot_id{};
   Incarnation incarnation = 0;
   Status status = Status::alive;
   Status certain = Status::alive;  // as of the last certain view
@@ -31,19 +31,19 @@
   std::uint8_t link_checks = 0;    // in a row that found the same direction broken
   bool link_in = false;            // that direction: what it sends does not arrive
   bool link_broken = false;        // sure of it
-  Told told;
+  MemberMetadata metadata;
   TimePoint since{};                 // of its status
   TimePoint deadline{};              // of a suspect
   TimePoint heard{};                 // itself, without a relay
   std::int64_t clock_offset_ms = 0;  // least seen of (mine - its sent_ms)
   TimePoint timely{};                // the last datagram of it that was not late
   RoundTrip round_trip;
-  Accusers accusers;
+  SuspicionConfirmations accusers;
   Index before = kNobody, after = kNobody;  // in the order of last contact
 };
 
 // What a record changed.
-enum class Merged : std::uint8_t {
+enum class MergeResult : std::uint8_t {
   nothing,
   joined,     // not known before
   restarted,  // another life under its name
@@ -52,7 +52,7 @@
   confirmed,  // one more has found it silent
   died,
   departed,  // in order
-  told,      // only what it says of itself
+  metadata,  // only what it says of itself
   full       // no room for it
 };
 
@@ -62,12 +62,12 @@
   explicit Roster(const Options& options) : options_(options) {}
 
   // `record` is about another member than this one. Times of suspicion are the caller's.
-  Merged merge(const Record& record, TimePoint now, Index& where);
+  MergeResult merge(const Record& record, TimePoint now, Index& where);
   Index find(std::string_view name) const;
   Entry& at(Index i) { return entries_[i]; }
   const Entry& at(Index i) const { return entries_[i]; }
   void set_status(Index i, Status status, TimePoint now);
-  Record record_of(Index i, bool with_told, std::uint64_t accuser = 0) const;
+  Record record_of(Index i, bool with_metadata, std::uint64_t suspector = 0) const;
   // Tombstones past their time or over their bound go; `gone` hears each before. Counted ones leave the
   // agreed fleet where `shrink` says so.
   template <class Gone>
@@ -79,7 +79,7 @@
         continue;
       }
       if (may_shrink && e.counted && now - e.since >= options_.shrink_after) set_counted(*it, false);
-      const bool over = tombs_.size() > options_.tombstones_most;
+      const bool over = tombs_.size() > options_.max_tombstones;
       if (over || (now - e.since >= options_.forget_after && !e.counted)) {
         gone(*it);
         forget(*it);
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -17,19 +17,19 @@
 Duration suspicion_time(const SuspicionTimes& times, unsigned confirmed, unsigned wanted);
 
 // Those who found one member silent, each once.
-class Accusers {
+class SuspicionConfirmations {
  public:
-  static constexpr std::size_t kMost = 6;
+  static constexpr std::size_t kMax = 6;
   // True where it is a new one and there is room: worth being passed on.
-  bool add(std::uint64_t accuser);
+  bool add(std::uint64_t suspector);
   void clear() { count_ = 0; }
   // Beyond the first.
   unsigned confirmed() const { return count_ ? unsigned(count_ - 1) : 0; }
   std::uint64_t first() const { return count_ ? by_[0] : 0; }
-  bool has(std::uint64_t accuser) const;
+  bool has(std::uint64_t suspector) const;
 
  private:
-  std::array<std::uint64_t, kMost> by_{};
+  std::array<std::uint64_t, kMax> by_{};
   std::uint8_t count_ = 0;
 };
 
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -29,7 +29,7 @@
 // begins beyond all that it has learned of its earlier ones.
 using Incarnation = std::uint64_t;
 // Drawn by chance at each start: tells two lives under one name apart even where a clock went back.
-enum class Life : std::uint64_t {};
+enum class BootId : std::uint64_t {};
 
 // What is held of a member. The order is that of precedence within one incarnation.
 enum class Status : std::uint8_t { alive, suspect, dead, left };
@@ -45,53 +45,53 @@
 
 // What whoever probes an endpoint of a dependency has found: told while that is out, and a while after it is
 // back.
-struct Finding {
+struct EndpointHealth {
   std::uint64_t endpoint = 0;  // name_hash() of the dependency's name and the address
   bool out = false;
-  bool operator==(const Finding&) const = default;
+  bool operator==(const EndpointHealth&) const = default;
 };
 
-inline constexpr std::size_t kMostName = 64, kMostZone = 32;  // bytes
-inline constexpr std::uint8_t kMostCourse = 4;
-inline constexpr std::size_t kMostLinkFaults = 4, kMostFindings = 8;
+inline constexpr std::size_t kMaxName = 64, kMaxZone = 32;  // bytes
+inline constexpr std::uint8_t kMaxCourse = 4;
+inline constexpr std::size_t kMaxLinkFaults = 4, kMaxEndpointHealth = 8;
 
-// How a member comes back from a restart, where it says so (recovery/course.h).
-struct Course {
+// How a member comes back from a restart, where it says so (recovery/recovery_controller.h).
+struct RecoveryStatus {
   std::uint8_t phase = 0;      // 0 where it does not, else its phase and one
   std::uint8_t offered = 100;  // hundredths of what it would announce
   std::uint16_t donor_port =
       0;  // TCP, on the address it advertises: tells others what it has learned; 0: nowhere
   std::uint32_t full_ms = 0;  // that its last way to full service took; 0: it is on its way
-  bool operator==(const Course&) const = default;
+  bool operator==(const RecoveryStatus&) const = default;
 };
 
 // Owned and versioned by the member it is about; a stale version never wins within one life.
-struct Told {
+struct MemberMetadata {
   std::uint32_t version = 0;
   Stage stage = Stage::starting;
   std::uint8_t warmth = 0, pressed = 0;  // in 100
   std::uint64_t generation = 0;          // the incarnation with which this life began
   std::string zone;
-  Address twin;    // another live process under its name, where there is one
-  Address second;  // where it is reached by another path, should it have one
-  Course course;
+  Address duplicate;  // another live process under its name, where there is one
+  Address second;     // where it is reached by another path, should it have one
+  RecoveryStatus recovery_status;
   std::uint16_t fill_port = 0;  // TCP, on the address it advertises: fills keys for others; 0: it does not
-  Life beyond{};  // an earlier life that this one has superseded
+  BootId superseded_boot_id{};  // an earlier life that this one has superseded
   std::vector<LinkFault> links;
-  std::vector<Finding> findings;
-  bool operator==(const Told&) const = default;
+  std::vector<EndpointHealth> endpoint_health;
+  bool operator==(const MemberMetadata&) const = default;
 };
 
 // One member as one datagram tells of it.
 struct Record {
   std::string name;
   Address address;
-  Life life{};
+  BootId boot_id{};
   Incarnation incarnation = 0;
   Status status = Status::alive;
-  std::uint64_t accuser = 0;  // of a suspect or dead one: name_hash() of who found it silent
-  std::uint32_t age_ms = 0;   // since it was first said, as far as those who passed it on can tell
-  std::optional<Told> told;
+  std::uint64_t suspector = 0;  // of a suspect or dead one: name_hash() of who found it silent
+  std::uint32_t age_ms = 0;     // since it was first said, as far as those who passed it on can tell
+  std::optional<MemberMetadata> metadata;
   bool operator==(const Record&) const = default;
 };
 
--- a/src/membership/views.cpp
+++ b/src/membership/views.cpp
@@ -10,22 +10,24 @@
 constexpr double kWiden = 8;  // windows' growth while all are missing
 
 // What the chosen prober says of it; null where that is this one, or it says nothing.
-const Finding* word_of_prober(const View& v, std::uint64_t endpoint) {
+const EndpointHealth* word_of_prober(const View& v, std::uint64_t endpoint) {
   const auto prober = prober_of(v, endpoint);
   for (const auto& p : v.peers)
     if (p.hash == prober)
-      for (const auto& f : p.told.findings)
+      for (const auto& f : p.metadata.endpoint_health)
         if (f.endpoint == endpoint) return &f;
   return nullptr;
 }
 
 }  // namespace
 
-bool can_rely(const View& v) { return v.majority && !v.uncertain && v.hearing == Hearing::ok; }
+bool can_rely(const View& v) {
+  return v.majority && !v.uncertain && v.local_connectivity == LocalConnectivity::ok;
+}
 
 bool serves(const View::Peer& p) {
   return p.certain == Status::alive && p.present == Status::alive &&
-         (p.told.stage == Stage::serving || p.told.stage == Stage::warming);
+         (p.metadata.stage == Stage::serving || p.metadata.stage == Stage::warming);
 }
 
 std::uint64_t score(std::uint64_t member, std::uint64_t key) {
@@ -39,12 +41,12 @@
   v.peers.reserve(roster.known());
   for (Index i = 0; i < roster.places(); ++i)
     if (const auto& e = roster.at(i); e.known)
-      v.peers.push_back({e.name, e.hash, e.status, e.certain, e.told, e.address, e.life});
+      v.peers.push_back({e.name, e.hash, e.status, e.certain, e.metadata, e.address, e.boot_id});
   v.agreed = member.agreed();
   v.majority = member.majority();
   v.uncertain = member.uncertain();
-  v.hearing = member.hearing();
-  v.twin = member.twin().has_value();
+  v.local_connectivity = member.local_connectivity();
+  v.duplicate = member.duplicate().has_value();
   v.at = now;
   return v;
 }
--- a/src/membership/views.h
+++ b/src/membership/views.h
@@ -18,16 +18,16 @@
     std::string name;
     std::uint64_t hash = 0;
     Status present{}, certain{};
-    Told told;
+    MemberMetadata metadata;
     Address address;
-    Life life{};
+    BootId boot_id{};
   };
   std::uint64_t own_hash = 0;
   std::vector<Peer> peers;  // without this one
   std::size_t agreed = 1;   // the agreed fleet, this one included
   bool majority = true, uncertain = false;
-  Hearing hearing = Hearing::ok;
-  bool twin = false;  // another process lives under this one's name
+  LocalConnectivity local_connectivity = LocalConnectivity::ok;
+  bool duplicate = false;  // another process lives under this one's name
   TimePoint at{};
 };
 View view_of(const Member& member, TimePoint now);
--- a/src/membership_udp/actor.cpp
+++ b/src/membership_udp/actor.cpp
@@ -30,14 +30,14 @@
 
 Address address_of(const udp::endpoint& e) { return address_of(e.address(), e.port()); }
 
-Actor::Actor(const asio::any_io_executor& executor, Settings settings, std::string name, std::uint64_t life,
-             Incarnation first, std::uint64_t seed, Hooks hooks, Logger& log)
+Actor::Actor(const asio::any_io_executor& executor, Settings settings, std::string name,
+             std::uint64_t boot_id, Incarnation first, std::uint64_t seed, Hooks hooks, Logger& log)
     : settings_(std::move(settings)),
       hooks_(std::move(hooks)),
       log_(log),
       member_(settings_.options,
               Identity{std::move(name), settings_.zone, settings_.advertise, settings_.second_advertise,
-                       Life(life), first, settings_.fill_port},
+                       BootId(boot_id), first, settings_.fill_port},
               seed, hooks_.clock()),
       socket_(executor),
       second_(executor),
@@ -88,8 +88,8 @@
     if (has_second()) take_waiting(second_);
     if (hooks_.own && !leaving_) {
       auto own = hooks_.own();
-      member_.tell(own.stage, own.warmth, own.pressed, std::move(own.findings), now());
-      member_.tell(own.course, now());
+      member_.tell(own.stage, own.warmth, own.pressed, std::move(own.endpoint_health), now());
+      member_.tell(own.recovery_status, now());
     }
     member_.wake(now());
     pass_on();
@@ -126,7 +126,7 @@
   for (const auto& s : member_.take_sends())
     send(s.second ? second_ : socket_, endpoint_of(s.to), encode(s.datagram, settings_.cluster));
   const auto changes = member_.take_changes();
-  for (const auto& change : changes) told(change);
+  for (const auto& change : changes) metadata(change);
   if (!changes.empty() || std::exchange(changed_, false))
     if (hooks_.view) hooks_.view(std::make_shared<const View>(view_of(member_, now())));
   timer_.cancel();
@@ -163,7 +163,7 @@
   pass_on();
 }
 
-void Actor::told(const Change& c) {
+void Actor::metadata(const Change& c) {
   const auto line = [&](std::string text, std::string_view event) {
     log_.line("membership: " + text, {{"event", event}, {"subject", c.name}});
   };
@@ -182,7 +182,7 @@
     case ChangeKind::departed:
       return line(c.name + " has left", "member_left");
     case ChangeKind::forgotten:
-    case ChangeKind::told:
+    case ChangeKind::metadata:
       return;
     case ChangeKind::link_broken:
       if (i != kNobody)
@@ -192,11 +192,11 @@
       return;
     case ChangeKind::link_mended:
       return line("straight link with " + c.name + " works again", "link_mended");
-    case ChangeKind::hearing:
-      return line(
-          std::string("this process is ") +
-              (member_.hearing() == Hearing::ok ? "heard and hears again" : text_of(member_.hearing())),
-          "hearing");
+    case ChangeKind::local_connectivity:
+      return line(std::string("this process is ") + (member_.local_connectivity() == LocalConnectivity::ok
+                                                         ? "heard and hears again"
+                                                         : text_of(member_.local_connectivity())),
+                  "hearing");
     case ChangeKind::certainty:
       return line(member_.uncertain() ? "view uncertain: many silent at once, nobody is removed"
                                       : "view certain again",
@@ -204,9 +204,10 @@
     case ChangeKind::majority:
       return line(member_.majority() ? "most of the fleet is seen again" : "no majority of the fleet is seen",
                   "majority");
-    case ChangeKind::twin:
-      return line(member_.twin() ? "another process lives under this name at " + text_of(*member_.twin())
-                                 : "no other process under this name any more",
+    case ChangeKind::duplicate:
+      return line(member_.duplicate()
+                      ? "another process lives under this name at " + text_of(*member_.duplicate())
+                      : "no other process under this name any more",
                   "twin");
   }
 }
@@ -224,13 +225,13 @@
 Line Actor::line_of(Index i) const {
   const auto& roster = member_.roster();
   Line l;
-  const Told* t = nullptr;
+  const MemberMetadata* t = nullptr;
   if (i == kNobody) {
     l.name = member_.self().name;
     l.address = text_of(member_.self().address);
     l.incarnation = member_.incarnation();
     l.status = l.certain = leaving_ ? Status::left : Status::alive;
-    t = &member_.told();
+    t = &member_.metadata();
   } else {
     const auto& e = roster.at(i);
     l.name = e.name;
@@ -241,14 +242,14 @@
     l.reachable = e.reachable && (e.status == Status::alive);
     l.since_ms = std::uint64_t(
         std::max<std::int64_t>(std::chrono::duration_cast<milliseconds>(now() - e.since).count(), 0));
-    t = &e.told;
+    t = &e.metadata;
   }
   l.zone = t->zone;
   l.stage = t->stage;
   l.warmth = t->warmth;
   l.pressed = t->pressed;
-  l.course = t->course;
-  if (t->twin) l.twin = text_of(t->twin);
+  l.recovery_status = t->recovery_status;
+  if (t->duplicate) l.duplicate = text_of(t->duplicate);
   for (const auto& fault : t->links) {
     std::string peer;
     if (fault.peer == name_hash(member_.self().name)) peer = member_.self().name;
@@ -266,16 +267,16 @@
   r.cluster = settings_.cluster;
   r.name = member_.self().name;
   r.incarnation = member_.incarnation();
-  r.stage = member_.told().stage;
-  r.hearing = member_.hearing();
+  r.stage = member_.metadata().stage;
+  r.local_connectivity = member_.local_connectivity();
   r.majority = member_.majority();
   r.uncertain = member_.uncertain();
   r.agreed = std::uint32_t(member_.agreed());
-  if (query.way_back) {
-    if (hooks_.way_back) r.way_back = hooks_.way_back();
+  if (query.recovery_report) {
+    if (hooks_.recovery_report) r.recovery_report = hooks_.recovery_report();
     r.last = true;
-    while (r.way_back && encode(r).size() > kMostDatagram && !r.way_back->sources.empty())
-      r.way_back->sources.pop_back();
+    while (r.recovery_report && encode(r).size() > kMaxDatagram && !r.recovery_report->sources.empty())
+      r.recovery_report->sources.pop_back();
     return send(by, from_, encode(r));
   }
   // By place, so that a list which changes between two questions names nobody twice.
@@ -285,7 +286,7 @@
     if (next > 0 && !roster.at(next - 1).known) continue;
     r.lines.push_back(line_of(next == 0 ? kNobody : next - 1));
     r.next = next + 1;
-    if (encode(r).size() > kMostDatagram) {
+    if (encode(r).size() > kMaxDatagram) {
       r.lines.pop_back();
       break;
     }
--- a/src/membership_udp/actor.h
+++ b/src/membership_udp/actor.h
@@ -13,8 +13,8 @@
 #include <optional>
 #include <string>
 
+#include "actor/mailbox.h"
 #include "log/logger.h"
-#include "mailbox/mailbox.h"
 #include "membership/member.h"
 #include "membership/views.h"
 #include "membership_udp/codec.h"
@@ -31,18 +31,19 @@
   struct Own {
     membership::Stage stage{};
     std::uint8_t warmth = 0, pressed = 0;
-    std::vector<membership::Finding> findings;
-    membership::Course course;
+    std::vector<membership::EndpointHealth> endpoint_health;
+    membership::RecoveryStatus recovery_status;
   };
   struct Hooks {
     std::function<Own()> own;
     std::function<void(std::shared_ptr<const membership::View>)> view;  // a fresh one, at most once a wake-up
     std::function<TimePoint()> clock;
-    std::function<std::optional<WayBack>()> way_back;  // how it comes back; absent where it is not guided
+    std::function<std::optional<RecoveryReport>()>
+        recovery_report;  // how it comes back; absent where it is not guided
   };
   // Throws boost::system::system_error where the address can't be bound.
-  Actor(const boost::asio::any_io_executor& executor, Settings settings, std::string name, std::uint64_t life,
-        membership::Incarnation first, std::uint64_t seed, Hooks hooks, Logger& log);
+  Actor(const boost::asio::any_io_executor& executor, Settings settings, std::string name,
+        std::uint64_t boot_id, membership::Incarnation first, std::uint64_t seed, Hooks hooks, Logger& log);
   // One for each of its sockets.
   boost::asio::awaitable<void> receive() { return receive(socket_); }
   boost::asio::awaitable<void> receive_second() { return receive(second_); }
@@ -70,7 +71,7 @@
   void pass_on();
   void send(boost::asio::ip::udp::socket& by, const boost::asio::ip::udp::endpoint& to,
             const std::string& bytes);
-  void told(const membership::Change& change);
+  void metadata(const membership::Change& change);
   void count(Bad bad);
   Line line_of(membership::Index i) const;
   TimePoint now() const { return hooks_.clock(); }
--- a/src/membership_udp/codec.cpp
+++ b/src/membership_udp/codec.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::string_view kMagic = "ggm1";  // its last character is the format's version
 constexpr std::size_t kHead = 12;
-constexpr int kMostUpdates = 64;
+constexpr int kMaxUpdates = 64;
 
 std::string seal(const wire::Packet& packet) {
   std::string bytes(kHead, '\0');
@@ -29,14 +29,14 @@
   to->set_ip(a.ip.data(), a.v6 ? 16 : 4);
   to->set_port(a.port);
 }
-void put(const Course& c, wire::Course* to) {
+void put(const RecoveryStatus& c, wire::RecoveryStatus* to) {
   to->set_phase(c.phase);
   to->set_offered(c.offered);
   to->set_donor_port(c.donor_port);
   to->set_full_ms(c.full_ms);
 }
 
-void put(const WayBack& w, wire::WayBack* to) {
+void put(const RecoveryReport& w, wire::RecoveryReport* to) {
   to->set_phase(w.phase);
   to->set_kind(w.kind);
   to->set_since_ms(w.since_ms);
@@ -44,7 +44,7 @@
   to->set_proven(w.proven);
   to->set_left_ms(w.left_ms);
   to->set_bounded(w.bounded);
-  to->set_ways_back(w.ways_back);
+  to->set_recoveries(w.recoveries);
   to->set_keyed_wait_ms(w.keyed_wait_ms);
   for (const auto ms : w.reached_ms) to->add_reached_ms(ms);
   for (const auto& s : w.sources) {
@@ -54,25 +54,25 @@
   }
 }
 
-void put(const Told& t, wire::Told* to) {
+void put(const MemberMetadata& t, wire::MemberMetadata* to) {
   to->set_version(t.version);
   to->set_stage(std::uint32_t(t.stage));
   to->set_warmth(t.warmth);
   to->set_pressed(t.pressed);
   to->set_generation(t.generation);
   to->set_zone(t.zone);
-  if (t.twin) put(t.twin, to->mutable_twin());
+  if (t.duplicate) put(t.duplicate, to->mutable_duplicate());
   if (t.second) put(t.second, to->mutable_second());
-  if (t.course != Course{}) put(t.course, to->mutable_course());
+  if (t.recovery_status != RecoveryStatus{}) put(t.recovery_status, to->mutable_recovery_status());
   to->set_fill_port(t.fill_port);
-  to->set_beyond(std::uint64_t(t.beyond));
+  to->set_superseded_boot_id(std::uint64_t(t.superseded_boot_id));
   for (const auto& l : t.links) {
     auto* link = to->add_links();
     link->set_peer(l.peer);
     link->set_inward(l.inward);
   }
-  for (const auto& f : t.findings) {
-    auto* finding = to->add_findings();
+  for (const auto& f : t.endpoint_health) {
+    auto* finding = to->add_endpoint_health();
     finding->set_endpoint(f.endpoint);
     finding->set_out(f.out);
   }
@@ -80,12 +80,12 @@
 void put(const Record& r, wire::Record* to) {
   to->set_name(r.name);
   put(r.address, to->mutable_address());
-  to->set_life(std::uint64_t(r.life));
+  to->set_boot_id(std::uint64_t(r.boot_id));
   to->set_incarnation(r.incarnation);
   to->set_status(std::uint32_t(r.status));
-  to->set_accuser(r.accuser);
+  to->set_suspector(r.suspector);
   to->set_age_ms(r.age_ms);
-  if (r.told) put(*r.told, to->mutable_told());
+  if (r.metadata) put(*r.metadata, to->mutable_metadata());
 }
 struct PutBody {
   wire::Packet& to;
@@ -100,29 +100,29 @@
     to.mutable_ack()->set_heard_ms(b.heard_ms);
     to.mutable_ack()->set_second(b.second);
   }
-  void operator()(const Ask& b) const {
-    to.mutable_ask()->set_nonce(b.nonce);
-    to.mutable_ask()->set_target(b.target);
-    put(b.address, to.mutable_ask()->mutable_address());
+  void operator()(const PingRequest& b) const {
+    to.mutable_ping_request()->set_nonce(b.nonce);
+    to.mutable_ping_request()->set_target(b.target);
+    put(b.address, to.mutable_ping_request()->mutable_address());
   }
-  void operator()(const Relayed& b) const {
-    to.mutable_relayed()->set_nonce(b.nonce);
-    to.mutable_relayed()->set_target(b.target);
-    to.mutable_relayed()->set_heard_ms(b.heard_ms);
+  void operator()(const IndirectAck& b) const {
+    to.mutable_indirect_ack()->set_nonce(b.nonce);
+    to.mutable_indirect_ack()->set_target(b.target);
+    to.mutable_indirect_ack()->set_heard_ms(b.heard_ms);
   }
   void operator()(const Nack& b) const { to.mutable_nack()->set_nonce(b.nonce); }
-  void operator()(const ExchangeAsk& b) const {
-    to.mutable_exchange_ask()->set_nonce(b.nonce);
-    to.mutable_exchange_ask()->set_push(b.push);
-    for (const auto s : b.sums) to.mutable_exchange_ask()->add_sums(s);
+  void operator()(const SyncRequest& b) const {
+    to.mutable_sync_request()->set_nonce(b.nonce);
+    to.mutable_sync_request()->set_push(b.push);
+    for (const auto s : b.sums) to.mutable_sync_request()->add_sums(s);
   }
-  void operator()(const Piece& b) const {
-    to.mutable_piece()->set_nonce(b.nonce);
-    to.mutable_piece()->set_index(b.index);
-    to.mutable_piece()->set_last(b.last);
+  void operator()(const SyncChunk& b) const {
+    to.mutable_sync_chunk()->set_nonce(b.nonce);
+    to.mutable_sync_chunk()->set_index(b.index);
+    to.mutable_sync_chunk()->set_last(b.last);
   }
-  void operator()(const TwinNotice& b) const { to.mutable_twin_notice()->set_to(std::uint64_t(b.to)); }
-  void operator()(const Tidings&) const { to.mutable_tidings(); }
+  void operator()(const NameConflict& b) const { to.mutable_name_conflict()->set_to(std::uint64_t(b.to)); }
+  void operator()(const GossipOnly&) const { to.mutable_gossip_only(); }
 };
 
 // ---- Reading: everything is held against its bounds; the first fault spoils the whole datagram ----
@@ -130,7 +130,7 @@
   bool good = true;
   void need(bool that) { good = good && that; }
   std::string name_of(const std::string& s, bool may_be_empty = false) {
-    need(s.size() <= kMostName && (may_be_empty || !s.empty()));
+    need(s.size() <= kMaxName && (may_be_empty || !s.empty()));
     for (const char c : s) need(c > ' ' && c < 127);
     return s;
   }
@@ -143,47 +143,45 @@
     to.port = std::uint16_t(a.port());
     return to;
   }
-  Course course_of(const wire::Course& c) {
-    need(c.phase() <= kMostCourse && c.offered() <= 100 && c.donor_port() <= 65535);
+  RecoveryStatus recovery_status_of(const wire::RecoveryStatus& c) {
+    need(c.phase() <= kMaxCourse && c.offered() <= 100 && c.donor_port() <= 65535);
     return {std::uint8_t(c.phase()), std::uint8_t(c.offered()), std::uint16_t(c.donor_port()), c.full_ms()};
   }
-  Told told_of(const wire::Told& t) {
+  MemberMetadata told_of(const wire::MemberMetadata& t) {
     need(t.stage() <= std::uint32_t(Stage::leaving) && t.warmth() <= 100 && t.pressed() <= 100);
     need(t.fill_port() <= 65535);
-    need(t.zone().size() <= kMostZone && t.links_size() <= int(kMostLinkFaults) &&
-         t.findings_size() <= int(kMostFindings));
+    need(t.zone().size() <= kMaxZone && t.links_size() <= int(kMaxLinkFaults) &&
+         t.endpoint_health_size() <= int(kMaxEndpointHealth));
     for (const char c : t.zone()) need(c > ' ' && c < 127);
-    Told to;
+    MemberMetadata to;
     to.version = t.version();
     to.stage = Stage(t.stage());
     to.warmth = std::uint8_t(t.warmth());
     to.pressed = std::uint8_t(t.pressed());
     to.generation = t.generation();
     to.zone = t.zone();
-    if (t.has_twin()) to.twin = address_of(t.twin());
+    if (t.has_duplicate()) to.duplicate = address_of(t.duplicate());
     if (t.has_second()) to.second = address_of(t.second());
-    if (t.has_course()) to.course = course_of(t.course());
+    if (t.has_recovery_status()) to.recovery_status = recovery_status_of(t.recovery_status());
     to.fill_port = std::uint16_t(t.fill_port());
-    to.beyond = Life(t.beyond());
+    to.superseded_boot_id = BootId(t.superseded_boot_id());
     for (const auto& l : t.links()) to.links.push_back({l.peer(), l.inward()});
-    for (const auto& f : t.findings()) to.findings.push_back({f.endpoint(), f.out()});
+    for (const auto& f : t.endpoint_health()) to.endpoint_health.push_back({f.endpoint(), f.out()});
     return to;
   }
   Record record_of(const wire::Record& r) {
     need(r.status() <= std::uint32_t(Status::left) && r.has_address());
-    Record to{name_of(r.name()),  address_of(r.address()),
-              Life(r.life()),     r.incarnation(),
-              Status(r.status()), r.accuser(),
-              r.age_ms(),         std::nullopt};
+    Record to{name_of(r.name()),  address_of(r.address()), BootId(r.boot_id()), r.incarnation(),
+              Status(r.status()), r.suspector(),           r.age_ms(),          std::nullopt};
     // Guards against a number from which no refutation could rise.
     need(r.incarnation() < (std::uint64_t(1) << 62));
-    if (r.has_told()) to.told = told_of(r.told());
+    if (r.has_metadata()) to.metadata = told_of(r.metadata());
     return to;
   }
-  ExchangeAsk ask_of(const wire::ExchangeAsk& a) {
+  SyncRequest ask_of(const wire::SyncRequest& a) {
     const auto n = std::size_t(a.sums_size());
-    need(n == 0 || (std::has_single_bit(n) && n >= kLeastBuckets && n <= kMostBuckets));
-    ExchangeAsk to{a.nonce(), a.push(), {}};
+    need(n == 0 || (std::has_single_bit(n) && n >= kMinBuckets && n <= kMaxBuckets));
+    SyncRequest to{a.nonce(), a.push(), {}};
     if (good) to.sums.assign(a.sums().begin(), a.sums().end());
     return to;
   }
@@ -194,28 +192,31 @@
                     p.ping().second()};
       case wire::Packet::kAck:
         return Ack{p.ack().nonce(), p.ack().heard_ms(), p.ack().second()};
-      case wire::Packet::kAsk:
-        return Ask{p.ask().nonce(), name_of(p.ask().target()), address_of(p.ask().address())};
-      case wire::Packet::kRelayed:
-        return Relayed{p.relayed().nonce(), name_of(p.relayed().target()), p.relayed().heard_ms()};
+      case wire::Packet::kPingRequest:
+        return PingRequest{p.ping_request().nonce(), name_of(p.ping_request().target()),
+                           address_of(p.ping_request().address())};
+      case wire::Packet::kIndirectAck:
+        return IndirectAck{p.indirect_ack().nonce(), name_of(p.indirect_ack().target()),
+                           p.indirect_ack().heard_ms()};
       case wire::Packet::kNack:
         return Nack{p.nack().nonce()};
-      case wire::Packet::kExchangeAsk:
-        return ask_of(p.exchange_ask());
-      case wire::Packet::kPiece:
-        need(p.piece().index() <= 65535);
-        return Piece{p.piece().nonce(), std::uint16_t(p.piece().index()), p.piece().last()};
-      case wire::Packet::kTwinNotice:
-        return TwinNotice{Life(p.twin_notice().to())};
-      case wire::Packet::kTidings:
-        return Tidings{};
+      case wire::Packet::kSyncRequest:
+        return ask_of(p.sync_request());
+      case wire::Packet::kSyncChunk:
+        need(p.sync_chunk().index() <= 65535);
+        return SyncChunk{p.sync_chunk().nonce(), std::uint16_t(p.sync_chunk().index()),
+                         p.sync_chunk().last()};
+      case wire::Packet::kNameConflict:
+        return NameConflict{BootId(p.name_conflict().to())};
+      case wire::Packet::kGossipOnly:
+        return GossipOnly{};
       default:
         need(false);
-        return Tidings{};
+        return GossipOnly{};
     }
   }
-  WayBack way_back_of(const wire::WayBack& w) {
-    WayBack to;
+  RecoveryReport way_back_of(const wire::RecoveryReport& w) {
+    RecoveryReport to;
     need(w.offered() <= 100 && w.proven() <= 100 && w.reached_ms_size() == int(to.reached_ms.size()));
     if (!good) return to;
     to.phase = w.phase();
@@ -226,7 +227,7 @@
     to.offered = std::uint8_t(w.offered());
     to.proven = std::uint8_t(w.proven());
     to.bounded = w.bounded();
-    to.ways_back = w.ways_back();
+    to.recoveries = w.recoveries();
     std::copy(w.reached_ms().begin(), w.reached_ms().end(), to.reached_ms.begin());
     for (const auto& s : w.sources()) to.sources.push_back({s.name(), s.age_ms()});
     return to;
@@ -239,9 +240,10 @@
     to.cluster = r.cluster();
     to.name = r.name();
     to.incarnation = r.incarnation();
-    need(r.stage() <= std::uint32_t(Stage::leaving) && r.hearing() <= std::uint32_t(Hearing::deaf));
+    need(r.stage() <= std::uint32_t(Stage::leaving) &&
+         r.local_connectivity() <= std::uint32_t(LocalConnectivity::deaf));
     to.stage = Stage(r.stage());
-    to.hearing = Hearing(r.hearing());
+    to.local_connectivity = LocalConnectivity(r.local_connectivity());
     to.majority = r.majority();
     to.uncertain = r.uncertain();
     to.agreed = r.agreed();
@@ -251,7 +253,7 @@
       Line line{l.name(),
                 l.address(),
                 l.zone(),
-                l.twin(),
+                l.duplicate(),
                 l.incarnation(),
                 Stage(l.stage()),
                 Status(l.status()),
@@ -260,14 +262,14 @@
                 l.since_ms(),
                 std::uint8_t(l.warmth()),
                 std::uint8_t(l.pressed()),
-                l.has_course() ? course_of(l.course()) : Course{},
+                l.has_recovery_status() ? recovery_status_of(l.recovery_status()) : RecoveryStatus{},
                 {},
                 {}};
       line.unheard_from.assign(l.unheard_from().begin(), l.unheard_from().end());
       line.not_reaching.assign(l.not_reaching().begin(), l.not_reaching().end());
       to.lines.push_back(std::move(line));
     }
-    if (r.has_way_back()) to.way_back = way_back_of(r.way_back());
+    if (r.has_recovery_report()) to.recovery_report = way_back_of(r.recovery_report());
     return to;
   }
 };
@@ -286,7 +288,7 @@
   auto* from = p.mutable_from();
   from->set_name(d.from.name);
   put(d.from.address, from->mutable_address());
-  from->set_life(std::uint64_t(d.from.life));
+  from->set_boot_id(std::uint64_t(d.from.boot_id));
   from->set_incarnation(d.from.incarnation);
   from->set_sent_ms(d.from.sent_ms);
   std::visit(PutBody{p}, d.body);
@@ -299,7 +301,7 @@
   wire::Packet p;
   p.mutable_query()->set_nonce(q.nonce);
   p.mutable_query()->set_from(q.from);
-  p.mutable_query()->set_way_back(q.way_back);
+  p.mutable_query()->set_recovery_report(q.recovery_report);
   return seal(p);
 }
 
@@ -313,7 +315,7 @@
   to.set_name(r.name);
   to.set_incarnation(r.incarnation);
   to.set_stage(std::uint32_t(r.stage));
-  to.set_hearing(std::uint32_t(r.hearing));
+  to.set_local_connectivity(std::uint32_t(r.local_connectivity));
   to.set_majority(r.majority);
   to.set_uncertain(r.uncertain);
   to.set_agreed(r.agreed);
@@ -329,25 +331,25 @@
     line.set_since_ms(l.since_ms);
     line.set_warmth(l.warmth);
     line.set_pressed(l.pressed);
-    line.set_twin(l.twin);
+    line.set_duplicate(l.duplicate);
     for (const auto& n : l.unheard_from) line.add_unheard_from(n);
     for (const auto& n : l.not_reaching) line.add_not_reaching(n);
     line.set_certain(std::uint32_t(l.certain));
-    if (l.course != Course{}) put(l.course, line.mutable_course());
+    if (l.recovery_status != RecoveryStatus{}) put(l.recovery_status, line.mutable_recovery_status());
   }
-  if (r.way_back) put(*r.way_back, to.mutable_way_back());
+  if (r.recovery_report) put(*r.recovery_report, to.mutable_recovery_report());
   return seal(p);
 }
 
 Decoded decode(std::string_view bytes, std::string_view cluster) {
-  if (bytes.size() > kMostDatagram) return Bad::oversized;
+  if (bytes.size() > kMaxDatagram) return Bad::oversized;
   if (bytes.size() < kHead || bytes.substr(0, kMagic.size()) != kMagic) return Bad::foreign;
   std::uint64_t sum = 0;
   for (std::size_t i = 0; i < 8; ++i) sum |= std::uint64_t(std::uint8_t(bytes[kMagic.size() + i])) << (8 * i);
   if (sum != XXH3_64bits(bytes.data() + kHead, bytes.size() - kHead)) return Bad::checksum;
   wire::Packet p;
   if (!p.ParseFromArray(bytes.data() + kHead, int(bytes.size() - kHead))) return Bad::malformed;
-  if (p.has_query()) return Query{p.query().nonce(), p.query().from(), p.query().way_back()};
+  if (p.has_query()) return Query{p.query().nonce(), p.query().from(), p.query().recovery_report()};
   Reader read;
   if (p.has_reply()) {
     auto reply = read.reply_of(p.reply());
@@ -355,10 +357,10 @@
     return reply;
   }
   if (p.cluster() != cluster) return Bad::other_cluster;
-  read.need(p.has_from() && p.from().has_address() && p.updates_size() <= kMostUpdates &&
+  read.need(p.has_from() && p.from().has_address() && p.updates_size() <= kMaxUpdates &&
             p.from().incarnation() < (std::uint64_t(1) << 62));
   Datagram d;
-  d.from = {read.name_of(p.from().name()), read.address_of(p.from().address()), Life(p.from().life()),
+  d.from = {read.name_of(p.from().name()), read.address_of(p.from().address()), BootId(p.from().boot_id()),
             p.from().incarnation(), p.from().sent_ms()};
   d.body = read.body_of(p);
   for (const auto& r : p.updates()) {
--- a/src/membership_udp/codec.h
+++ b/src/membership_udp/codec.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "membership/datagram.h"
-#include "membership/own_health.h"
+#include "membership/local_health.h"
 
 namespace granitegap::membership_udp {
 
@@ -22,14 +22,14 @@
 // What `granitegap members` asks and gets.
 struct Query {
   std::uint32_t nonce = 0, from = 0;
-  bool way_back = false;  // only how it comes back, as `granitegap recovery` asks
+  bool recovery_report = false;  // only how it comes back, as `granitegap recovery` asks
 };
-struct WayBack {
+struct RecoveryReport {
   std::string phase, kind;
   std::uint64_t since_ms = 0, left_ms = 0, keyed_wait_ms = 0;
   std::uint8_t offered = 100, proven = 100;
   bool bounded = false;
-  std::uint32_t ways_back = 0;
+  std::uint32_t recoveries = 0;
   // First answer, good health, half, 0.95, full, and the guess of full; -1: not yet.
   std::array<std::int64_t, 6> reached_ms{-1, -1, -1, -1, -1, -1};
   struct Source {
@@ -39,14 +39,14 @@
   std::vector<Source> sources;
 };
 struct Line {
-  std::string name, address, zone, twin;
+  std::string name, address, zone, duplicate;
   membership::Incarnation incarnation = 0;
   membership::Stage stage{};
   membership::Status status{}, certain{};
   bool reachable = true;
   std::uint64_t since_ms = 0;
   std::uint8_t warmth = 0, pressed = 0;
-  membership::Course course;
+  membership::RecoveryStatus recovery_status;
   std::vector<std::string> unheard_from, not_reaching;
 };
 struct Reply {
@@ -55,11 +55,11 @@
   std::string cluster, name;
   membership::Incarnation incarnation = 0;
   membership::Stage stage{};
-  membership::Hearing hearing{};
+  membership::LocalConnectivity local_connectivity{};
   bool majority = false, uncertain = false;
   std::uint32_t agreed = 0;
   std::vector<Line> lines;
-  std::optional<WayBack> way_back;
+  std::optional<RecoveryReport> recovery_report;
 };
 
 std::string encode(const membership::Datagram& datagram, std::string_view cluster);
--- a/src/membership_udp/ask.cpp
+++ b/src/membership_udp/status_client.cpp
@@ -1,4 +1,4 @@
-#include "membership_udp/ask.h"
+#include "membership_udp/status_client.h"
 
 #include <algorithm>
 #include <array>
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-std::optional<Reply> ask(const Address& address, std::chrono::milliseconds within, bool way_back) {
+std::optional<Reply> ask(const Address& address, std::chrono::milliseconds within, bool recovery_report) {
   namespace asio = boost::asio;
   using asio::ip::udp;
   using Clock = std::chrono::steady_clock;
@@ -42,7 +42,7 @@
   std::uint32_t from = 0;
   std::array<char, 2048> buffer{};
   while (Clock::now() < end) {
-    const Query query{std::uint32_t(random()) | 1, from, way_back};
+    const Query query{std::uint32_t(random()) | 1, from, recovery_report};
     boost::system::error_code error;
     socket.send_to(asio::buffer(encode(query)), to, 0, error);
     std::optional<Reply> got;
@@ -82,7 +82,7 @@
   out["self"] = {{"name", r.name},
                  {"incarnation", r.incarnation},
                  {"state", text_of(r.stage)},
-                 {"heard", text_of(r.hearing)}};
+                 {"heard", text_of(r.local_connectivity)}};
   out["majority"] = r.majority;
   out["uncertain"] = r.uncertain;
   out["agreed"] = r.agreed;
@@ -99,11 +99,11 @@
                              {"since_ms", l.since_ms},
                              {"warmth", l.warmth},
                              {"pressed", l.pressed},
-                             {"offered", l.course.offered},
-                             {"full_service_ms", l.course.full_ms},
+                             {"offered", l.recovery_status.offered},
+                             {"full_service_ms", l.recovery_status.full_ms},
                              {"unheard_from", l.unheard_from},
                              {"not_reaching", l.not_reaching}};
-    if (!l.twin.empty()) m["twin"] = l.twin;
+    if (!l.duplicate.empty()) m["twin"] = l.duplicate;
     out["members"].push_back(std::move(m));
   }
   return out.dump();
@@ -112,7 +112,7 @@
 std::string to_text(const Reply& r) {
   std::ostringstream out;
   out << "cluster " << r.cluster << ", asked " << r.name << " (" << text_of(r.stage) << ", heard "
-      << text_of(r.hearing) << "): " << r.agreed << " in the agreed fleet, "
+      << text_of(r.local_connectivity) << "): " << r.agreed << " in the agreed fleet, "
       << (r.majority ? "majority seen" : "NO MAJORITY") << (r.uncertain ? ", UNCERTAIN" : "") << "\n";
   std::size_t name = 4, address = 7, zone = 4;
   for (const auto& l : r.lines) {
@@ -136,24 +136,25 @@
     column(l.reachable ? "yes" : "no", 9);
     column(std::to_string(l.since_ms / 1000) + " s", 9);
     if (l.certain != l.status) out << "was " << text_of(l.certain) << " when last certain; ";
-    if (l.course.phase > 0 && l.course.full_ms == 0)
-      out << "on its way back, offers " << int(l.course.offered) << " %; ";
-    if (l.course.full_ms > 0) out << "full service after " << seconds(l.course.full_ms) << "; ";
+    if (l.recovery_status.phase > 0 && l.recovery_status.full_ms == 0)
+      out << "on its way back, offers " << int(l.recovery_status.offered) << " %; ";
+    if (l.recovery_status.full_ms > 0)
+      out << "full service after " << seconds(l.recovery_status.full_ms) << "; ";
     for (const auto& n : l.unheard_from) out << "does not hear " << n << "; ";
     for (const auto& n : l.not_reaching) out << "does not reach " << n << "; ";
-    if (!l.twin.empty()) out << "another process under this name at " << l.twin;
+    if (!l.duplicate.empty()) out << "another process under this name at " << l.duplicate;
     out << "\n";
   }
   return out.str();
 }
 
-std::string way_back_json(const Reply& r) {
+std::string recovery_json(const Reply& r) {
   nlohmann::ordered_json out{{"name", r.name}};
-  if (!r.way_back) {
+  if (!r.recovery_report) {
     out["guided"] = false;
     return out.dump();
   }
-  const auto& w = *r.way_back;
+  const auto& w = *r.recovery_report;
   out["guided"] = true;
   out["state"] = w.phase;
   out["since_ms"] = w.since_ms;
@@ -162,7 +163,7 @@
   out["proven"] = double(w.proven) / 100;
   out["waits_bounded"] = w.bounded;
   out["left_ms"] = w.left_ms;
-  out["ways_back"] = w.ways_back;
+  out["ways_back"] = w.recoveries;
   out["keyed_wait_ms"] = w.keyed_wait_ms;
   for (std::size_t k = 0; k < w.reached_ms.size(); ++k) {
     if (w.reached_ms[k] >= 0)
@@ -175,10 +176,10 @@
   return out.dump();
 }
 
-std::string way_back_text(const Reply& r) {
+std::string recovery_text(const Reply& r) {
   std::ostringstream out;
-  if (!r.way_back) return r.name + ": its way back is not guided\n";
-  const auto& w = *r.way_back;
+  if (!r.recovery_report) return r.name + ": its way back is not guided\n";
+  const auto& w = *r.recovery_report;
   out << r.name << ": " << w.phase << " for " << seconds(w.since_ms) << ", start of kind " << w.kind
       << ", offers " << int(w.offered) << " % (proven " << int(w.proven) << " %)"
       << (w.bounded ? ", waits bounded" : "") << "\n";
--- a/src/membership_udp/ask.h
+++ b/src/membership_udp/status_client.h
@@ -11,12 +11,12 @@
 
 // All lines in one Reply; absent where no whole answer came in time.
 std::optional<Reply> ask(const membership::Address& address, std::chrono::milliseconds within,
-                         bool way_back = false);
+                         bool recovery_report = false);
 // One object, or a table for a reader.
 std::string to_json(const Reply& reply);
 std::string to_text(const Reply& reply);
 // The same of how it comes back.
-std::string way_back_json(const Reply& reply);
-std::string way_back_text(const Reply& reply);
+std::string recovery_json(const Reply& reply);
+std::string recovery_text(const Reply& reply);
 
 }  // namespace granitegap::membership_udp
--- a/src/net/inherited.cpp
+++ b/src/net/inherited_socket.cpp
@@ -1,4 +1,4 @@
-#include "net/inherited.h"
+#include "net/inherited_socket.h"
 
 #include <fcntl.h>
 #include <sys/socket.h>
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -21,13 +21,13 @@
 }  // namespace
 
 Listener::Listener(const asio::any_io_executor& executor, const tcp::endpoint& at, std::size_t sockets,
-                   const edge::Catalog& catalog, Mailbox<edge::Input>& module, Logger& log,
+                   const edge::NameRegistry& catalog, Mailbox<edge::Input>& module, Logger& log,
                    std::optional<int> inherited)
     : executor_(executor),
       acceptor_(executor),
       retry_(executor),
       look_(executor),
-      most_peers_(std::max<std::size_t>(sockets, 2 * kOwnDescriptors) - kOwnDescriptors),
+      max_peers_(std::max<std::size_t>(sockets, 2 * kOwnDescriptors) - kOwnDescriptors),
       catalog_(catalog),
       module_(module),
       log_(log) {
@@ -62,7 +62,7 @@
 // Guards against running out of descriptors. With no connection to spare the new one is closed at once: its
 // client goes elsewhere sooner than from a backlog that waits.
 void Listener::admit(tcp::socket socket) {
-  if (peers_.size() < most_peers_ || make_room()) return start_peer(std::move(socket));
+  if (peers_.size() < max_peers_ || make_room()) return start_peer(std::move(socket));
   log_.line("accept: closed at once, every connection is in use", {{"event", "accept_full"}});
 }
 
@@ -111,7 +111,7 @@
       spare = peer;
     }
   }
-  if (open < most_peers_) return true;
+  if (open < max_peers_) return true;
   if (spare) spare->close();
   return spare != nullptr;
 }
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -15,7 +15,7 @@
   // `sockets`: the descriptors the whole process may hold. `inherited`: a listening socket that others hold
   // too; it is taken in place of a bind at `at`, closed here and never shut down.
   Listener(const boost::asio::any_io_executor& executor, const boost::asio::ip::tcp::endpoint& at,
-           std::size_t sockets, const edge::Catalog& catalog, Mailbox<edge::Input>& module, Logger& log,
+           std::size_t sockets, const edge::NameRegistry& catalog, Mailbox<edge::Input>& module, Logger& log,
            std::optional<int> inherited = {});
   boost::asio::awaitable<void> run();
   boost::asio::awaitable<void> mind_peers();  // what a connection must not keep for long
@@ -41,8 +41,8 @@
   boost::asio::any_io_executor executor_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer retry_, look_;
-  std::size_t most_peers_;
-  const edge::Catalog& catalog_;
+  std::size_t max_peers_;
+  const edge::NameRegistry& catalog_;
   Mailbox<edge::Input>& module_;
   Logger& log_;
   std::map<edge::PeerId, std::shared_ptr<Peer>> peers_;
--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -14,7 +14,7 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::size_t kMostOutgoing = 1024, kCrowdedOutgoing = 64;
+constexpr std::size_t kMaxOutgoing = 1024, kCrowdedOutgoing = 64;
 constexpr std::size_t kCrowdedBytes = 16384;
 constexpr auto kStuckAfter = std::chrono::seconds(30);
 constexpr auto kLinger = std::chrono::seconds(3);
@@ -36,15 +36,15 @@
 
 }  // namespace
 
-Peer::Peer(tcp::socket socket, edge::PeerId id, const edge::Catalog& catalog, Mailbox<edge::Input>& module,
-           const std::optional<double>& hint, Logger& log)
+Peer::Peer(tcp::socket socket, edge::PeerId id, const edge::NameRegistry& catalog,
+           Mailbox<edge::Input>& module, const std::optional<double>& hint, Logger& log)
     : socket_(std::move(socket)),
       id_(id),
       reader_(catalog, id),
       module_(module),
       hint_(hint),
       log_(log),
-      outbox_(socket_.get_executor(), kMostOutgoing),
+      outbox_(socket_.get_executor(), kMaxOutgoing),
       room_(socket_.get_executor()) {
   error_code ignored;
   socket_.set_option(tcp::no_delay(true), ignored);
@@ -61,7 +61,7 @@
               {{"event", "connection_dropped"}, {"why", e.what()}});
   }
   close();
-  if (!open_.empty()) module_.post_control(edge::PeerGone{id_});
+  if (!open_.empty()) module_.post_control(edge::PeerDisconnected{id_});
 }
 
 void Peer::close() {
@@ -157,7 +157,7 @@
 // still open is failed and neither is served.
 bool Peer::claim(std::uint32_t stream) {
   if (used_.take(stream)) return true;
-  if (open_.count(stream)) module_.post_control(edge::Withdrawn{{id_, stream}});
+  if (open_.count(stream)) module_.post_control(edge::RequestCancelled{{id_, stream}});
   return fault("stream used again");
 }
 
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -11,10 +11,10 @@
 #include <string_view>
 #include <variant>
 
+#include "actor/mailbox.h"
 #include "edge/types.h"
 #include "frames/frames.h"
 #include "log/logger.h"
-#include "mailbox/mailbox.h"
 
 namespace granitegap::net {
 
@@ -27,7 +27,7 @@
 class Peer : public std::enable_shared_from_this<Peer> {
  public:
   using Clock = std::chrono::steady_clock;
-  Peer(boost::asio::ip::tcp::socket socket, edge::PeerId id, const edge::Catalog& catalog,
+  Peer(boost::asio::ip::tcp::socket socket, edge::PeerId id, const edge::NameRegistry& catalog,
        Mailbox<edge::Input>& module, const std::optional<double>& hint, Logger& log);
 
   boost::asio::awaitable<void> run();  // until the connection is over
--- a/src/operators/operator_file.cpp
+++ b/src/operators/operator_file.cpp
@@ -13,7 +13,7 @@
 namespace granitegap::operators {
 namespace {
 
-using records::Value;
+using typed_config::Value;
 
 std::optional<deps::EndpointSpec> endpoint(const std::string& text) {
   const auto colon = text.rfind(':');
@@ -108,36 +108,36 @@
         d.endpoints.push_back(*e);
     }
     const auto whole = [&](const char* name) { return std::uint32_t(v[name].as_int()); };
-    d.timeout_least = v["timeout_least"].as_span();
-    d.timeout_most = v["timeout_most"].as_span();
+    d.min_timeout = v["timeout_least"].as_span();
+    d.max_timeout = v["timeout_most"].as_span();
     d.timeout_factor = v["timeout_factor"].as_number();
-    d.most_tries = whole("most_tries");
+    d.max_tries = whole("most_tries");
     d.retry_share = v["retry_share"].as_number();
     d.retry_burst = v["retry_burst"].as_number();
     d.retry_pause = v["retry_pause"].as_span();
-    d.retry_pause_most = v["retry_pause_most"].as_span();
+    d.max_retry_pause = v["retry_pause_most"].as_span();
     d.hedge_after = v["hedge_after"].as_number();
-    d.least_open = whole("least_open");
-    d.most_open = whole("most_open");
+    d.min_open = whole("least_open");
+    d.max_open = whole("most_open");
     d.fleet_open = whole("fleet_open");
     d.fleet_fill = v["fleet_fill"].as_bool();
-    d.most_waiting = whole("most_waiting");
-    d.most_ejected = v["most_ejected"].as_number();
+    d.max_waiting = whole("most_waiting");
+    d.max_ejected = v["most_ejected"].as_number();
     d.eject_for = v["eject_for"].as_span();
-    d.eject_most = v["eject_most"].as_span();
+    d.max_eject = v["eject_most"].as_span();
     d.slow_start = v["slow_start"].as_span();
     d.probe_every = v["probe_every"].as_span();
-    d.probe_most = v["probe_most"].as_span();
-    d.most_answer = v["most_answer"].as_size();
-    d.most_header = v["most_header"].as_size();
-    d.quiet_most = v["quiet_most"].as_span();
-    d.idle_most = v["idle_most"].as_span();
-    d.most_idle = whole("most_idle");
-    in_order(v, "timeout_least", "timeout_most", d.timeout_least, d.timeout_most, path);
-    in_order(v, "retry_pause", "retry_pause_most", d.retry_pause, d.retry_pause_most, path);
-    in_order(v, "least_open", "most_open", d.least_open, d.most_open, path);
-    in_order(v, "eject_for", "eject_most", d.eject_for, d.eject_most, path);
-    in_order(v, "probe_every", "probe_most", d.probe_every, d.probe_most, path);
+    d.max_probe = v["probe_most"].as_span();
+    d.max_answer = v["most_answer"].as_size();
+    d.max_header = v["most_header"].as_size();
+    d.max_quiet = v["quiet_most"].as_span();
+    d.max_idle_time = v["idle_most"].as_span();
+    d.max_idle_connections = whole("most_idle");
+    in_order(v, "timeout_least", "timeout_most", d.min_timeout, d.max_timeout, path);
+    in_order(v, "retry_pause", "retry_pause_most", d.retry_pause, d.max_retry_pause, path);
+    in_order(v, "least_open", "most_open", d.min_open, d.max_open, path);
+    in_order(v, "eject_for", "eject_most", d.eject_for, d.max_eject, path);
+    in_order(v, "probe_every", "probe_most", d.probe_every, d.max_probe, path);
     return d;
   }
 
@@ -231,10 +231,10 @@
     }
     auto& o = m.options;
     o.period = v["period"].as_span();
-    o.late_least = v["late_least"].as_span();
+    o.min_late = v["late_least"].as_span();
     o.indirect = unsigned(v["indirect"].as_int());
     o.suspicion = v["suspicion"].as_number();
-    o.suspicion_most = v["suspicion_most"].as_number();
+    o.max_suspicion = v["suspicion_most"].as_number();
     o.confirmations = unsigned(v["confirmations"].as_int());
     o.spread = unsigned(v["spread"].as_int());
     o.mass_share = v["mass_share"].as_number();
@@ -242,7 +242,7 @@
     o.forget_after = v["forget_after"].as_span();
     o.believe_for = v["believe_for"].as_span();
     o.expected = std::size_t(v["expected"].as_int());
-    o.members_most = std::size_t(v["members_most"].as_int());
+    o.max_members = std::size_t(v["members_most"].as_int());
     // Guards against a late word that raises one of whom nobody knows any more that it is dead.
     if (2 * o.believe_for > o.forget_after)
       fail(v["believe_for"], path + ".believe_for", "expected no more than half of forget_after");
@@ -262,9 +262,9 @@
 
 }  // namespace
 
-const records::Document& schema() {
+const typed_config::Document& schema() {
   static const auto document =
-      std::get<records::Document>(records::parse(kOperatorSchema, "operator.schema.cue"));
+      std::get<typed_config::Document>(typed_config::parse(kOperatorSchema, "operator.schema.cue"));
   return document;
 }
 
@@ -274,8 +274,8 @@
   return membership_udp::address_of(boost::asio::ip::make_address(e->host), e->port);
 }
 
-std::variant<Declared, Errors> read(const records::Document& document) {
-  auto checked = records::validate(document, schema(), "#Operator");
+std::variant<Declared, Errors> read(const typed_config::Document& document) {
+  auto checked = typed_config::validate(document, schema(), "#Operator");
   if (auto* errors = std::get_if<Errors>(&checked)) return std::move(*errors);
   Declared declared;
   declared.file = document.file;
@@ -287,12 +287,12 @@
 }
 
 std::variant<Declared, Errors> load(const std::string& path) {
-  const auto document = records::load(path);
-  if (const auto* error = std::get_if<records::Error>(&document)) return Errors{*error};
-  return read(std::get<records::Document>(document));
+  const auto document = typed_config::load(path);
+  if (const auto* error = std::get_if<typed_config::Error>(&document)) return Errors{*error};
+  return read(std::get<typed_config::Document>(document));
 }
 
-Errors bind(Declared& declared, const edge::Catalog& catalog) {
+Errors bind(Declared& declared, const edge::NameRegistry& catalog) {
   Errors errors;
   for (std::size_t i = 0; i < declared.classes.size(); ++i) {
     const auto& [name, at] = declared.classes[i];
--- a/src/operators/operator_file.h
+++ b/src/operators/operator_file.h
@@ -10,15 +10,15 @@
 #include "deps/spec.h"
 #include "edge/types.h"
 #include "membership_udp/settings.h"
-#include "records/records.h"
+#include "typed_config/typed_config.h"
 
 namespace granitegap::operators {
 
-using Errors = std::vector<records::Error>;
+using Errors = std::vector<typed_config::Error>;
 
 struct Declared {
-  deps::Spec spec;                                                 // its classes are numbered by bind()
-  std::vector<std::pair<std::string, records::Position>> classes;  // of the gathers, in order
+  deps::Spec spec;                                                      // its classes are numbered by bind()
+  std::vector<std::pair<std::string, typed_config::Position>> classes;  // of the gathers, in order
   std::size_t connections = 128;
   std::optional<membership_udp::Settings> membership;
   std::uint16_t fill_port = 0;
@@ -30,27 +30,27 @@
   struct Recovery {
     bool wait_out = true;  // keyed requests, after memory was lost
     std::string folder;    // empty: none
-    Duration clock_back_most{}, snapshot_every{};
+    Duration max_clock_back{}, snapshot_every{};
     bool guided = true;  // the return to full service
     double first = 0.1, growth = 1.5, wait_bound = 1;
-    Duration learn_most{};
+    Duration max_learn{};
     std::uint16_t donate_port = 0;
-    Duration pause_most{}, calm_for{};
+    Duration max_pause{}, calm_for{};
     bool operator==(const Recovery&) const = default;
   };
   std::optional<Recovery> recovery;
-  records::Value filled;  // the file, with defaults
+  typed_config::Value filled;  // the file, with defaults
   std::string file;
 };
 
 // The schema that the program carries (deploy/operator.schema.cue).
-const records::Document& schema();
+const typed_config::Document& schema();
 // A Declared, or every error there is.
 // "127.0.0.1:9101", "[::1]:9101"; absent where it is none.
 std::optional<membership::Address> read_address(const std::string& text);
-std::variant<Declared, Errors> read(const records::Document& document);
+std::variant<Declared, Errors> read(const typed_config::Document& document);
 std::variant<Declared, Errors> load(const std::string& path);
 // Numbers the classes as the platform's settings do; names those that it does not know.
-Errors bind(Declared& declared, const edge::Catalog& catalog);
+Errors bind(Declared& declared, const edge::NameRegistry& catalog);
 
 }  // namespace granitegap::operators
--- a/src/parts/compose.cpp
+++ b/src/partial_response/compose.cpp
@@ -1,11 +1,11 @@
-#include "parts/compose.h"
+#include "partial_response/compose.h"
 
 #include <algorithm>
 #include <limits>
 
 #include "partial_answer.pb.h"
 
-namespace granitegap::parts {
+namespace granitegap::partial_response {
 namespace {
 
 constexpr std::size_t kFraming = 32;  // of one part, besides its name and data
@@ -33,14 +33,14 @@
 }  // namespace
 
 edge::Product compose(std::string result, const std::vector<edge::GatheredPart>& parts,
-                      std::size_t most_bytes) {
+                      std::size_t max_bytes) {
   std::vector<bool> there;
   std::size_t bytes = result.size() + kFraming;
   for (const auto& p : parts) {
     there.push_back(p.status != deps::PartStatus::absent && p.status != deps::PartStatus::pending && p.body);
     bytes += p.name.size() + kFraming + (there.back() ? p.body->size() : 0);
   }
-  while (bytes > most_bytes) {
+  while (bytes > max_bytes) {
     std::size_t largest = parts.size();
     for (std::size_t i = 0; i < parts.size(); ++i)
       if (there[i] && (largest == parts.size() || parts[i].body->size() > parts[largest].body->size()))
@@ -67,4 +67,4 @@
   return product;
 }
 
-}  // namespace granitegap::parts
+}  // namespace granitegap::partial_response
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -81,7 +81,7 @@
   // By what the cores can do, not by the oldest wait: guards against a burst that is taken while the hold
   // is empty and keeps everybody waiting past the patience of their callers, who are served when they are
   // gone.
-  if (const double ahead = work_ahead(r) / cores; most_wait && ahead > *most_wait * sec(target(r))) {
+  if (const double ahead = work_ahead(r) / cores; max_wait && ahead > *max_wait * sec(target(r))) {
     arrival_ratio = std::max(arrival_ratio, ahead / sec(target(r)));
     return Reason::waits_too_long;
   }
--- a/src/policy/controller_state.h
+++ b/src/policy/controller_state.h
@@ -53,7 +53,7 @@
   double pace = 1;                   // time on the cores per unit of hinted work
   TimePoint last_refill, regime_since;
   bool overloaded = false;
-  std::optional<double> most_wait;       // a bound set by the host
+  std::optional<double> max_wait;        // a bound set by the host
   double offered = 1;                    // of the credit, set by the host
   double on_cores = 0, paced_crowd = 0;  // the gauge; its mean over the runs that make up the pace
   double best_pace = 0;                  // the least that the pace has been
--- a/src/policy/credit_pool.cpp
+++ b/src/policy/credit_pool.cpp
@@ -68,7 +68,7 @@
   decreases += ((worst_ratio > 1) - decreases) * weight_of_update(kPersistSeconds);
   unread_ratio += (newest_unread - unread_ratio) * weight_of_update(kUnreadSeconds);
   const double drop = cores_idle() ? 0 : unread_ratio / kDropRatio;
-  admitted = drop > 1 ? std::max(admitted * decrease(drop), kLeastAdmitted)
+  admitted = drop > 1 ? std::max(admitted * decrease(drop), kMinAdmitted)
                       : std::min(admitted + kAdmitStep * sec(update_every), 1.0);
   note_regime();
   update_endpoint_health();
--- a/src/policy/drain.cpp
+++ b/src/policy/drain.cpp
@@ -48,7 +48,7 @@
 }
 
 void AdmissionController::Impl::on(const BoundSet& e) {
-  most_wait = e.most_wait;
+  max_wait = e.max_wait;
   offered = std::isfinite(e.offered) ? std::clamp(e.offered, 0.0, 1.0) : 1;
 }
 
--- a/src/recovery/learning.cpp
+++ b/src/recovery/donor_selection.cpp
@@ -1,19 +1,19 @@
-#include "recovery/learning.h"
+#include "recovery/donor_selection.h"
 
 #include <algorithm>
 #include <tuple>
 #include <utility>
 
-#include "recovery/course.h"
+#include "recovery/recovery_controller.h"
 
 namespace granitegap::recovery {
 
 using membership::Status;
 
-Learning::Learning(LearningRules rules, std::string zone, std::uint64_t seed)
+DonorSelection::DonorSelection(DonorSelectionOptions rules, std::string zone, std::uint64_t seed)
     : rules_(rules), zone_(std::move(zone)), random_(seed) {}
 
-void Learning::begin(TimePoint now) {
+void DonorSelection::begin(TimePoint now) {
   begun_ = true;
   until_ = now + rules_.most;
   open_.clear();
@@ -22,19 +22,19 @@
   from_.clear();
 }
 
-void Learning::view(const membership::View& view, TimePoint now) {
+void DonorSelection::view(const membership::View& view, TimePoint now) {
   // What a view in doubt leaves out may be there all the same, and what it has may not: it still tells whom
   // to ask, as whoever answers proves itself.
   candidates_.clear();
   std::size_t told = 0;
   for (const auto& p : view.peers) {
-    told += p.present == Status::alive && p.told.version > 0;
-    if (p.present != Status::alive || p.told.course.phase != 1 + std::uint8_t(Phase::full) ||
-        p.told.course.donor_port == 0)
+    told += p.present == Status::alive && p.metadata.version > 0;
+    if (p.present != Status::alive || p.metadata.recovery_status.phase != 1 + std::uint8_t(Phase::full) ||
+        p.metadata.recovery_status.donor_port == 0)
       continue;
     auto at = p.address;
-    at.port = p.told.course.donor_port;
-    candidates_.push_back({p.name, p.told.zone, p.life, p.told.generation, at, random_()});
+    at.port = p.metadata.recovery_status.donor_port;
+    candidates_.push_back({p.name, p.metadata.zone, p.boot_id, p.metadata.generation, at, random_()});
   }
   std::sort(candidates_.begin(), candidates_.end(), [&](const Candidate& a, const Candidate& b) {
     const auto rank = [&](const Candidate& c) {
@@ -46,42 +46,43 @@
   if (std::exchange(told_, told) != told) settled_ = now + rules_.settle;
 }
 
-std::vector<Question> Learning::ask(TimePoint now) {
-  std::vector<Question> fresh;
-  std::erase_if(open_, [&](const Question& q) { return now >= q.until; });  // it dawdles: the next one's turn
+std::vector<TransferRequest> DonorSelection::ask(TimePoint now) {
+  std::vector<TransferRequest> fresh;
+  std::erase_if(open_,
+                [&](const TransferRequest& q) { return now >= q.until; });  // it dawdles: the next one's turn
   if (!begun_ || over(now)) return fresh;
   for (const auto& c : candidates_) {
     if (offers_.size() + open_.size() >= rules_.donors || asked_.size() >= rules_.tries) break;
     if (!asked_.insert(c.name).second) continue;
-    open_.push_back({random_() | 1, c.name, c.life, c.at, std::min(now + rules_.each, until_), now});
+    open_.push_back({random_() | 1, c.name, c.boot_id, c.at, std::min(now + rules_.each, until_), now});
     fresh.push_back(open_.back());
   }
   return fresh;
 }
 
-Learning::Verdict Learning::answered(const Offer& offer, TimePoint now) {
+DonorSelection::Verdict DonorSelection::answered(const TransferResponse& offer, TimePoint now) {
   const auto q = std::find_if(open_.begin(), open_.end(), [&](auto& o) { return o.nonce == offer.nonce; });
   if (q == open_.end() || now >= q->until || now >= until_) {
     if (q != open_.end()) open_.erase(q);
     return Verdict::late;
   }
-  const bool same = q->name == offer.by && q->life == offer.life;
+  const bool same = q->name == offer.by && q->boot_id == offer.boot_id;
   // As of when it was asked, at the worst: guards against an answer that took long and counts as new.
   const auto on_its_way = now - q->asked;
   open_.erase(q);
   if (!same) return Verdict::foreign;
   if (!offer.in_service) return Verdict::knows_nothing;
-  offers_.push_back(learned::faded(offer.what, on_its_way));
-  if (!offer.sure || offer.view_age > rules_.view_most) offers_.back().members.clear();
+  offers_.push_back(warm_state::aged(offer.what, on_its_way));
+  if (!offer.sure || offer.view_age > rules_.max_view) offers_.back().members.clear();
   from_.push_back(offer.by);
   return Verdict::taken;
 }
 
-void Learning::failed(std::uint64_t nonce, TimePoint) {
-  std::erase_if(open_, [&](const Question& q) { return q.nonce == nonce; });
+void DonorSelection::failed(std::uint64_t nonce, TimePoint) {
+  std::erase_if(open_, [&](const TransferRequest& q) { return q.nonce == nonce; });
 }
 
-bool Learning::over(TimePoint now) const {
+bool DonorSelection::over(TimePoint now) const {
   if (!begun_ || now >= until_ || offers_.size() >= rules_.donors) return true;
   // Guards against an end after the first one met: the others' words are still on their way.
   if (told_ == 0 || now < settled_ || !open_.empty()) return false;
@@ -90,7 +91,7 @@
          asked_.size() >= rules_.tries;
 }
 
-std::optional<TimePoint> Learning::next(TimePoint now) const {
+std::optional<TimePoint> DonorSelection::next(TimePoint now) const {
   if (over(now)) return std::nullopt;
   auto at = until_;
   for (const auto& q : open_) at = std::min(at, q.until);
@@ -98,6 +99,6 @@
   return at;
 }
 
-learned::Learned Learning::result() const { return learned::merged(offers_); }
+warm_state::WarmState DonorSelection::result() const { return warm_state::merged(offers_); }
 
 }  // namespace granitegap::recovery
--- a/src/recovery/learning.h
+++ b/src/recovery/donor_selection.h
@@ -18,54 +18,54 @@
 #include <string>
 #include <vector>
 
-#include "learned/learned.h"
 #include "membership/views.h"
+#include "warm_state/warm_state.h"
 
 namespace granitegap::recovery {
 
-struct LearningRules {
+struct DonorSelectionOptions {
   std::size_t donors = 3;
   Duration each = std::chrono::milliseconds(300);    // for one answer
   Duration most = std::chrono::milliseconds(800);    // for all of it
-  Duration view_most = std::chrono::seconds(10);     // age of a view that is still believed
+  Duration max_view = std::chrono::seconds(10);      // age of a view that is still believed
   Duration settle = std::chrono::milliseconds(200);  // without anybody new, before nobody more is expected
   std::size_t tries = 12;                            // asked in all
 };
 
-struct Question {
+struct TransferRequest {
   std::uint64_t nonce = 0;
   std::string name;
-  membership::Life life{};
+  membership::BootId boot_id{};
   membership::Address at;  // TCP
   TimePoint until{}, asked{};
 };
 
-struct Offer {  // what a donor said
+struct TransferResponse {  // what a donor said
   std::uint64_t nonce = 0;
   std::string by;
-  membership::Life life{};
+  membership::BootId boot_id{};
   bool in_service = false, sure = false;
   Duration view_age{};
-  learned::Learned what;
+  warm_state::WarmState what;
 };
 
-class Learning {
+class DonorSelection {
  public:
   enum class Verdict : std::uint8_t { taken, late, foreign, knows_nothing };
 
-  Learning(LearningRules rules, std::string zone, std::uint64_t seed);
+  DonorSelection(DonorSelectionOptions rules, std::string zone, std::uint64_t seed);
   // From the beginning, also where it had begun before.
   void begin(TimePoint now);
   void view(const membership::View& view, TimePoint now);
   // Whom to ask now; each is asked once.
-  std::vector<Question> ask(TimePoint now);
-  Verdict answered(const Offer& offer, TimePoint now);
+  std::vector<TransferRequest> ask(TimePoint now);
+  Verdict answered(const TransferResponse& offer, TimePoint now);
   void failed(std::uint64_t nonce, TimePoint now);
   // Nothing more will come, or enough has. Asked again after until().
   bool over(TimePoint now) const;
   std::optional<TimePoint> next(TimePoint now) const;
   // Of all that was taken; empty where nothing was.
-  learned::Learned result() const;
+  warm_state::WarmState result() const;
   std::size_t sources() const { return offers_.size(); }
   const std::vector<std::string>& from() const { return from_; }
   bool begun() const { return begun_; }
@@ -73,21 +73,21 @@
  private:
   struct Candidate {
     std::string name, zone;
-    membership::Life life{};
+    membership::BootId boot_id{};
     membership::Incarnation generation = 0;
     membership::Address at;
     std::uint64_t chance = 0;
   };
-  LearningRules rules_;
+  DonorSelectionOptions rules_;
   std::string zone_;
   std::mt19937_64 random_;
   bool begun_ = false;
   std::size_t told_ = 0;  // members that have said something of themselves
   TimePoint until_{}, settled_{};
   std::vector<Candidate> candidates_;  // best first
-  std::vector<Question> open_;
+  std::vector<TransferRequest> open_;
   std::set<std::string> asked_;
-  std::vector<learned::Learned> offers_;
+  std::vector<warm_state::WarmState> offers_;
   std::vector<std::string> from_;
 };
 
--- a/src/recovery/course.cpp
+++ b/src/recovery/recovery_controller.cpp
@@ -1,4 +1,4 @@
-#include "recovery/course.h"
+#include "recovery/recovery_controller.h"
 
 #include <algorithm>
 #include <cmath>
@@ -19,8 +19,9 @@
 // Who says nothing of a way back is taken by its stage.
 bool in_service(const membership::View::Peer& p) {
   if (p.present != Status::alive) return false;
-  if (p.told.course.phase > 0) return p.told.course.phase == 1 + std::uint8_t(Phase::full);
-  return p.told.stage != Stage::starting;
+  if (p.metadata.recovery_status.phase > 0)
+    return p.metadata.recovery_status.phase == 1 + std::uint8_t(Phase::full);
+  return p.metadata.stage != Stage::starting;
 }
 
 }  // namespace
@@ -55,30 +56,30 @@
 
 // Zones count alike: one that is lost whole weighs as a zone, however few machines it has. The larger of that
 // and the plain share, so that many small troubles don't hide either. Who has left in order is not missed.
-FleetFacts facts_of(const membership::View& view) {
+FleetStatus fleet_status_of(const membership::View& view) {
   struct Zone {
     double members = 0, returning = 0;
   };
   std::map<std::string_view, Zone> zones;
-  FleetFacts f;
+  FleetStatus f;
   std::size_t there = 0, unknown = 0;
   for (const auto& p : view.peers) {
     if (p.present == Status::left) continue;
-    if (p.present == Status::alive && p.told.version == 0) {  // just met: it has not said anything yet
+    if (p.present == Status::alive && p.metadata.version == 0) {  // just met: it has not said anything yet
       ++unknown;
       continue;
     }
     const bool good = in_service(p);
     there += p.present == Status::alive;
     f.able += good;
-    auto& z = zones[p.told.zone];
+    auto& z = zones[p.metadata.zone];
     z.members += 1;
     z.returning += !good;
   }
   // Who was agreed on and is not known any more is missed too.
   const auto agreed = std::max<std::size_t>(view.agreed, 1) - 1;
   f.others = std::max(agreed - std::min(agreed, unknown), there);
-  f.sure = view.majority && !view.uncertain && view.hearing == membership::Hearing::ok;
+  f.sure = view.majority && !view.uncertain && view.local_connectivity == membership::LocalConnectivity::ok;
   if (f.others == 0) return f;
   f.missing = double(f.others - there) / double(f.others);
   f.returning = double(f.others - std::min(f.able, f.others)) / double(f.others);
@@ -88,7 +89,7 @@
   return f;
 }
 
-Course::Course(CourseRules rules, TimePoint started)
+RecoveryController::RecoveryController(RecoveryOptions rules, TimePoint started)
     : rules_(rules),
       started_(started),
       since_(started),
@@ -99,7 +100,7 @@
       away_at_(started),
       calm_since_(started) {}
 
-void Course::enter(Phase phase, TimePoint now) {
+void RecoveryController::enter(Phase phase, TimePoint now) {
   if (phase_ == phase) return;
   phase_ = phase;
   since_ = step_from_ = now;
@@ -111,15 +112,15 @@
 }
 
 // Another life of its service: what was reached is counted anew.
-void Course::begin_again(Phase phase, TimePoint now) {
-  ++ways_back_;
+void RecoveryController::begin_again(Phase phase, TimePoint now) {
+  ++recovery_count_;
   started_ = now;
   milestones_ = {};
   pressed_since_.reset();
   enter(phase, now);
 }
 
-void Course::fleet(const FleetFacts& facts, TimePoint now) {
+void RecoveryController::fleet(const FleetStatus& facts, TimePoint now) {
   facts_ = facts;
   viewed_ = true;
   judge_kind(now);
@@ -129,16 +130,16 @@
     news_.push_back({News::guarding, phase_, kind_, guarding_});
 }
 
-void Course::expected(std::size_t members, TimePoint now) {
+void RecoveryController::expected(std::size_t members, TimePoint now) {
   expected_ = members;
   judge_kind(now);
 }
 
-void Course::judge_kind(TimePoint now) {
+void RecoveryController::judge_kind(TimePoint now) {
   if (phase_ == Phase::full) return;
   auto found = Kind::unknown;
   if (viewed_ && facts_.others > 0)
-    found = facts_.returning >= rules_.most_share   ? Kind::most
+    found = facts_.returning >= rules_.max_share    ? Kind::most
             : facts_.returning >= rules_.wave_share ? Kind::wave
                                                     : Kind::alone;
   else if (expected_ > 0)
@@ -146,7 +147,7 @@
   // The other way only for good reason: clearly under what was passed, seen by a view beyond doubt, for a
   // while.
   if (found < kind_ && kind_ != Kind::unknown) {
-    const double passed = kind_ == Kind::most ? rules_.most_share : rules_.wave_share;
+    const double passed = kind_ == Kind::most ? rules_.max_share : rules_.wave_share;
     const bool less = viewed_ && facts_.sure && facts_.returning < kClearlyLess * passed;
     if (!less) {
       low_since_ = {};
@@ -160,13 +161,13 @@
   news_.push_back({News::kind, phase_, kind_, guarding_});
 }
 
-void Course::learned(std::size_t sources, TimePoint now) {
+void RecoveryController::learned(std::size_t sources, TimePoint now) {
   milestones_.sources = std::max(milestones_.sources, sources);
   learned_ = true;
   if (phase_ == Phase::learning) enter(Phase::ramping, now);
 }
 
-void Course::kernel(bool cold, Duration warm_up_left, TimePoint now) {
+void RecoveryController::kernel(bool cold, Duration warm_up_left, TimePoint now) {
   const bool first = !std::exchange(kernel_, true);
   ticked_ = now;
   warm_at_ = now + (cold ? std::max(warm_up_left, Duration{}) : Duration{});
@@ -180,30 +181,30 @@
   begin_again(Phase::ramping, now);
 }
 
-void Course::answered(bool served, TimePoint now) {
+void RecoveryController::answered(bool served, TimePoint now) {
   if (served && !milestones_.first_answer) milestones_.first_answer = span(now);
 }
 
-void Course::health(bool good, TimePoint now) {
+void RecoveryController::health(bool good, TimePoint now) {
   if (good && kernel_ && !milestones_.good_health) milestones_.good_health = span(now);
 }
 
-void Course::ran(bool in_aim, TimePoint) { ++(in_aim ? good_ : bad_); }
+void RecoveryController::ran(bool in_aim, TimePoint) { ++(in_aim ? good_ : bad_); }
 
-void Course::turned_away(TimePoint now) {
+void RecoveryController::turned_away(TimePoint now) {
   ++away_;
   away_at_ = now;
   if (!pressed_since_) pressed_since_ = now;
 }
 
-void Course::offer(double share, TimePoint now) {
+void RecoveryController::offer(double share, TimePoint now) {
   offered_ = std::clamp(share, rules_.first, 1.0);
   if (offered_ >= 0.5 && !milestones_.half) milestones_.half = span(now);
   if (offered_ >= 0.95 && !milestones_.most) milestones_.most = span(now);
 }
 
 // A step is judged by the runs that ended in it.
-void Course::end_step(TimePoint now) {
+void RecoveryController::end_step(TimePoint now) {
   const auto passed = now - step_from_;
   if (passed < rules_.step) return;
   const auto all = good_ + bad_;
@@ -228,7 +229,7 @@
 
 // Waits over their bound for so long that callers are turned away all the time, on a process in full service:
 // the same fixed point is reached without a restart, and left by the same bound.
-void Course::mind_pressure(TimePoint now) {
+void RecoveryController::mind_pressure(TimePoint now) {
   if (now - away_at_ > rules_.step * 2) pressed_since_.reset();
   if (phase_ != Phase::full || guarding_ || !pressed_since_) return;
   if (now - *pressed_since_ < rules_.pressed_for) return;
@@ -237,9 +238,9 @@
   news_.push_back({News::guarding, phase_, kind_, guarding_});
 }
 
-void Course::tick(TimePoint now) {
+void RecoveryController::tick(TimePoint now) {
   const auto gap = now - std::exchange(ticked_, std::max(ticked_, now));
-  if (gap > rules_.pause_most) {
+  if (gap > rules_.max_pause) {
     news_.push_back({News::paused, phase_, kind_, guarding_});
     if (kernel_) {
       offered_ = proven_ = std::max(rules_.first, proven_ / 2);
@@ -249,7 +250,7 @@
     return;
   }
   judge_kind(now);
-  if (phase_ == Phase::learning && now - since_ >= rules_.learn_most) enter(Phase::ramping, now);
+  if (phase_ == Phase::learning && now - since_ >= rules_.max_learn) enter(Phase::ramping, now);
   if (phase_ == Phase::ramping) end_step(now);
   if (away_at_ > calm_since_) calm_since_ = away_at_;
   const bool calm = now - calm_since_ >= rules_.calm_for;
@@ -268,17 +269,17 @@
   mind_pressure(now);
 }
 
-std::optional<double> Course::wait_bound() const {
+std::optional<double> RecoveryController::wait_bound() const {
   if (phase_ == Phase::full && !guarding_) return std::nullopt;
   return rules_.wait_bound;
 }
 
 // The kernel's own warm-up, or the steps that are left, whichever is longer.
-Duration Course::left(TimePoint now) const {
+Duration RecoveryController::left(TimePoint now) const {
   if (phase_ == Phase::full) return {};
   const double steps = std::ceil(std::log(1 / std::max(offered_, 1e-3)) / std::log(rules_.growth));
   const auto ramp = rules_.step * std::int64_t(std::max(steps, 0.0));
-  const auto learn = phase_ == Phase::ramping ? Duration{} : rules_.learn_most;
+  const auto learn = phase_ == Phase::ramping ? Duration{} : rules_.max_learn;
   return learn + std::max<Duration>(ramp, kernel_ ? std::max(warm_at_ - now, Duration{}) : Duration{});
 }
 
--- a/src/recovery/course.h
+++ b/src/recovery/recovery_controller.h
@@ -34,38 +34,38 @@
 const char* text_of(Phase phase);
 const char* text_of(Kind kind);
 
-struct CourseRules {
-  Duration learn_most =
+struct RecoveryOptions {
+  Duration max_learn =
       std::chrono::milliseconds(800);  // waited for others' knowledge, since the kernel is up
   double first = 0.1;                  // offered before anything is proven
   double growth = 1.5;                 // offered never exceeds so many times what was proven
   double wait_bound = 1;  // of an arrival on the cores, in targets of its class, while a bound holds
-  double wave_share = 0.2, most_share = 0.5;       // of the fleet, from which a start is one of many
+  double wave_share = 0.2, max_share = 0.5;        // of the fleet, from which a start is one of many
   Duration step = std::chrono::milliseconds(300);  // the shortest
   std::uint32_t proof = 4;                         // runs within their aim that end a step
   double proof_share = 0.8;                        // of the runs of a step that must be so
   Duration idle_step = std::chrono::seconds(2);    // where nobody asks
   Duration calm_for = std::chrono::seconds(3);     // no arrival turned away, before the bound is lifted
-  Duration pause_most = std::chrono::seconds(5);   // past it, what was in memory is old
+  Duration max_pause = std::chrono::seconds(5);    // past it, what was in memory is old
   Duration pressed_for = std::chrono::seconds(2);  // waits over their bound so long: back to a bound
 };
 
 // What a view says of the fleet's start.
-struct FleetFacts {
+struct FleetStatus {
   double returning = 0;    // share that is missing or not in full service, this one aside; 0 to 1
   double missing = 0;      // of it, not there at all
   std::size_t others = 0;  // agreed on
   std::size_t able = 0;    // of these, in full service: who may be asked
   bool sure = false;       // a majority is seen and nothing is in doubt
 };
-FleetFacts facts_of(const membership::View& view);
+FleetStatus fleet_status_of(const membership::View& view);
 
-class Course {
+class RecoveryController {
  public:
-  Course(CourseRules rules, TimePoint started);
+  RecoveryController(RecoveryOptions rules, TimePoint started);
 
   // Things that happen. `now` never goes back; earlier is read as the latest seen.
-  void fleet(const FleetFacts& facts, TimePoint now);
+  void fleet(const FleetStatus& facts, TimePoint now);
   // What the last life knew of the fleet's size, before there is a view.
   void expected(std::size_t members, TimePoint now);
   void learned(std::size_t sources, TimePoint now);  // all answers are in, or nobody is left to ask
@@ -76,7 +76,7 @@
   void ran(bool in_aim, TimePoint now);
   // An arrival was turned away for its wait, or for load.
   void turned_away(TimePoint now);
-  // A while has passed; at least every `step`. A gap between two of them over pause_most is a pause.
+  // A while has passed; at least every `step`. A gap between two of them over max_pause is a pause.
   void tick(TimePoint now);
 
   Phase phase() const { return phase_; }
@@ -91,13 +91,13 @@
   TimePoint since() const { return since_; }  // of the phase
   TimePoint started() const { return started_; }
 
-  struct Milestones {  // since the start, or since the last way back; absent: not yet
+  struct RecoveryTimeline {  // since the start, or since the last way back; absent: not yet
     std::optional<Duration> first_answer, good_health, half, most, full;
     std::optional<Duration> estimate;  // of `full`, made when the ramp began
     std::size_t sources = 0;           // that were learned from
   };
-  const Milestones& milestones() const { return milestones_; }
-  std::uint32_t ways_back() const { return ways_back_; }
+  const RecoveryTimeline& milestones() const { return milestones_; }
+  std::uint32_t recoveries() const { return recovery_count_; }
 
   // For whoever logs: each once, in order.
   struct News {
@@ -118,18 +118,18 @@
   void mind_pressure(TimePoint now);
   Duration span(TimePoint now) const { return now - started_; }
 
-  CourseRules rules_;
+  RecoveryOptions rules_;
   TimePoint started_, since_, ticked_, step_from_;
   Phase phase_ = Phase::blank;
   Kind kind_ = Kind::unknown;
   double offered_, proven_;
-  FleetFacts facts_;
+  FleetStatus facts_;
   bool viewed_ = false, kernel_ = false, guarding_ = false, learned_ = false;
   std::size_t expected_ = 0;
   TimePoint warm_at_{}, away_at_, calm_since_, low_since_{};
   std::optional<TimePoint> pressed_since_;
-  std::uint32_t good_ = 0, bad_ = 0, away_ = 0, ways_back_ = 0;
-  Milestones milestones_;
+  std::uint32_t good_ = 0, bad_ = 0, away_ = 0, recovery_count_ = 0;
+  RecoveryTimeline milestones_;
   std::vector<News> news_;
 };
 
--- a/src/recovery/lost_memory.h
+++ b/src/recovery/restart_quarantine.h
@@ -26,25 +26,25 @@
 namespace granitegap::recovery {
 
 // What is found of the life before; each by itself.
-struct EarlierLife {
+struct PreviousIncarnation {
   std::optional<Duration> ended_in_order;  // so long ago, by a clock that both lives share, and taken away
   bool end_stays = false;                  // an orderly end is there and can't be taken away
   Duration clock_behind{};                 // this Unix clock, against what an earlier life wrote
 };
 
-class LostMemory {
+class RestartQuarantine {
  public:
   struct Rules {
-    std::vector<Duration> windows;                     // by class; zero: not keyed
-    Duration margin = std::chrono::seconds(2);         // clocks apart, and a request on its way
-    Duration clock_back_most = std::chrono::hours(1);  // of clock_behind
+    std::vector<Duration> windows;                    // by class; zero: not keyed
+    Duration margin = std::chrono::seconds(2);        // clocks apart, and a request on its way
+    Duration max_clock_back = std::chrono::hours(1);  // of clock_behind
     // There is a directory: until it has been looked at an orderly end may stay there for a third life to
     // find, however long the disk takes.
     bool has_folder = false;
   };
-  LostMemory(Rules rules, TimePoint started);
+  RestartQuarantine(Rules rules, TimePoint started);
   // `now` is when it was found.
-  void learn(const EarlierLife& found, TimePoint now);
+  void learn(const PreviousIncarnation& found, TimePoint now);
   // Whether another process under this name lives: as long as it does, what it runs is not known here.
   void another_lives(bool there, TimePoint now);
 
@@ -58,7 +58,7 @@
   Rules rules_;
   TimePoint latest_;  // an earlier life may have run one
   Duration behind_{};
-  bool held_ = false, twin_ = false;
+  bool held_ = false, duplicate_ = false;
 };
 
 }  // namespace granitegap::recovery
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -5,7 +5,7 @@
 #include <exception>
 #include <random>
 
-#include "parts/compose.h"
+#include "partial_response/compose.h"
 
 namespace granitegap {
 namespace {
@@ -18,8 +18,8 @@
 constexpr milliseconds kDoorBefore = 400ms;  // the end, for what the list has not kept away
 constexpr milliseconds kCrossing = 150ms;    // a request may cross the notice on its connection for 50 ms
 constexpr milliseconds kLook = 5ms;
-constexpr milliseconds kMostDeadline = 3000ms, kAfterDeadline = 600ms;  // as a handed over door's kill counts
-constexpr std::size_t kMostComposed = 200 * 1024;                       // well inside a frame
+constexpr milliseconds kMaxDeadline = 3000ms, kAfterDeadline = 600ms;  // as a handed over door's kill counts
+constexpr std::size_t kMaxComposed = 200 * 1024;                       // well inside a frame
 
 template <class Protocol>
 typename Protocol::endpoint address(const config::Endpoint& e, boost::system::error_code& error) {
@@ -39,19 +39,19 @@
     edge.declare(
         std::make_shared<const deps::Spec>(extras.declared->spec),
         [](std::string result, const std::vector<edge::GatheredPart>& parts) {
-          return parts::compose(std::move(result), parts, kMostComposed);
+          return partial_response::compose(std::move(result), parts, kMaxComposed);
         },
         extras.guarded);
   if (!extras.declared || !extras.declared->recovery) return edge;
   const auto& r = *extras.declared->recovery;
-  if (r.wait_out) edge.wait_out_lost_memory(r.clock_back_most, !r.folder.empty(), started);
+  if (r.wait_out) edge.wait_out_lost_memory(r.max_clock_back, !r.folder.empty(), started);
   if (r.guided) {
-    recovery::CourseRules rules;
+    recovery::RecoveryOptions rules;
     rules.first = r.first;
     rules.growth = r.growth;
     rules.wait_bound = r.wait_bound;
-    rules.learn_most = r.learn_most;
-    rules.pause_most = r.pause_most;
+    rules.max_learn = r.max_learn;
+    rules.max_pause = r.max_pause;
     rules.calm_for = r.calm_for;
     edge.guide_return(rules, started);
   }
@@ -59,20 +59,20 @@
 }
 
 std::size_t Server::sockets_for_door(const Extras& extras) {
-  return extras.declared && extras.declared->fills() ? fill_http::Door::kMostConnections : 0;
+  return extras.declared && extras.declared->fills() ? cache_fill_http::CacheFillServer::kMaxConnections : 0;
 }
 
 // Calls below, and the door where others ask, take their descriptors from the same limit, and never more than
 // half of it.
 std::size_t Server::sockets_for_peers(const config::Config& config, const Extras& extras) {
   auto all = config.limits.sockets;
-  if (extras.admin) all -= std::min(admin::Door::kDescriptors, all / 4);
+  if (extras.admin) all -= std::min(admin::AdminServer::kDescriptors, all / 4);
   if (!extras.declared) return all;
   return all - std::min(extras.declared->connections + sockets_for_door(extras), all / 2);
 }
 
 Server::Server(asio::io_context& context, config::Config config, Extras extras,
-               edge::ModuleActor::Clocks clocks)
+               edge::EdgeActor::Clocks clocks)
     : context_(context),
       config_(std::move(config)),
       extras_(std::move(extras)),
@@ -82,13 +82,13 @@
           [this](edge::Output output) { dispatch(std::move(output)); }, clocks),
       link_(context.get_executor(), address<asio::ip::tcp>(config_.kernel), config_.catalog,
             module_.mailbox(), log_),
-      announcer_(context.get_executor(), address<asio::ip::udp>(config_.announce), config_.name, log_),
+      load_reporter_(context.get_executor(), address<asio::ip::udp>(config_.announce), config_.name, log_),
       listener_(context.get_executor(), address<asio::ip::tcp>(config_.listen),
                 sockets_for_peers(config_, extras_), config_.catalog, module_.mailbox(), log_,
                 extras_.listening) {
   clocks_ = std::move(clocks);
   if (extras_.admin) try {
-      admin_ = std::make_unique<admin::Door>(
+      admin_ = std::make_unique<admin::AdminServer>(
           context.get_executor(), address<asio::ip::tcp>(*extras_.admin),
           [this](admin::Call call) { return answer(call); }, log_);
     } catch (const std::exception& e) {
@@ -98,17 +98,18 @@
   if (!extras_.declared) return;
   if (extras_.declared->fills()) {
     auto& m = *extras_.declared->membership;
-    fill_door_ = std::make_unique<fill_http::Door>(
+    cache_fill_server_ = std::make_unique<cache_fill_http::CacheFillServer>(
         context.get_executor(),
         asio::ip::tcp::endpoint(membership_udp::endpoint_of(m.bind).address(), extras_.declared->fill_port),
         log_);
-    m.fill_port = fill_door_->port();
+    m.fill_port = cache_fill_server_->port();
   }
   if (extras_.declared->membership) join_fleet();
-  if (fill_door_)
-    fill_door_->begin(fleet_->member().self().life,
-                      {[this](const asio::ip::address& who) { return fleet_->may_ask(who); },
-                       [this](edge::FillAsked asked) { return module_.mailbox().post(std::move(asked)); }});
+  if (cache_fill_server_)
+    cache_fill_server_->begin(
+        fleet_->member().self().boot_id,
+        {[this](const asio::ip::address& who) { return fleet_->may_ask(who); },
+         [this](edge::CacheFillQuery asked) { return module_.mailbox().post(std::move(asked)); }});
   if (const auto& r = extras_.declared->recovery; r && !r->folder.empty()) keep_learned(*r);
   if (const auto& r = extras_.declared->recovery; r && r->guided && fleet_) learn_from_others();
   // Ends of calls always find room: the limits on open calls bound their number.
@@ -118,25 +119,26 @@
 }
 
 void Server::keep_learned(const operators::Declared::Recovery& recovery) {
-  snapshot::Keeper::Hooks hooks;
-  hooks.found = [this](const recovery::EarlierLife& found) {
-    module_.mailbox().post_control(edge::EarlierLifeNews{found});
+  snapshot::PersistenceActor::Hooks hooks;
+  hooks.found = [this](const recovery::PreviousIncarnation& found) {
+    module_.mailbox().post_control(edge::PreviousIncarnationFound{found});
   };
-  hooks.learned = [this](learned::Learned what) {
+  hooks.learned = [this](warm_state::WarmState what) {
     if (fleet_) fleet_->also_call(what.members);
-    module_.mailbox().post_control(edge::LearnedNews{std::move(what)});
+    module_.mailbox().post_control(edge::WarmStateReceived{std::move(what)});
   };
   hooks.collect = [this] { return collect(); };
-  keeper_ = std::make_unique<snapshot::Keeper>(context_.get_executor(), recovery.folder, config_.name,
-                                               recovery.snapshot_every, std::move(hooks), log_);
+  persistence_ =
+      std::make_unique<snapshot::PersistenceActor>(context_.get_executor(), recovery.folder, config_.name,
+                                                   recovery.snapshot_every, std::move(hooks), log_);
 }
 
-learned::Learned Server::collect() const {
+warm_state::WarmState Server::collect() const {
   auto what = module_.edge().learned(clocks_().steady);
   what.by = config_.name;
   if (!fleet_) return what;
   const auto& member = fleet_->member();
-  what.life = std::uint64_t(member.self().life);
+  what.boot_id = std::uint64_t(member.self().boot_id);
   const auto& roster = member.roster();
   for (membership::Index i = 0; i < roster.places(); ++i)
     if (const auto& e = roster.at(i); e.known && e.certain == membership::Status::alive)
@@ -144,12 +146,12 @@
   return what;
 }
 
-std::optional<membership_udp::WayBack> Server::way_back() const {
+std::optional<membership_udp::RecoveryReport> Server::recovery_report() const {
   const auto* course = module_.edge().course();
   if (!course) return std::nullopt;
   const auto now = clocks_().steady;
   const auto ms = [](Duration d) { return std::chrono::duration_cast<milliseconds>(d).count(); };
-  membership_udp::WayBack w;
+  membership_udp::RecoveryReport w;
   w.phase = recovery::text_of(course->phase());
   w.kind = recovery::text_of(course->kind());
   w.since_ms = std::uint64_t(ms(now - std::min(course->since(), now)));
@@ -158,7 +160,7 @@
   w.offered = std::uint8_t(100 * course->offered());
   w.proven = std::uint8_t(100 * course->proven());
   w.bounded = course->wait_bound().has_value();
-  w.ways_back = course->ways_back();
+  w.recoveries = course->recoveries();
   const auto& m = course->milestones();
   const std::optional<Duration>* reached[] = {&m.first_answer, &m.good_health, &m.half,
                                               &m.most,         &m.full,        &m.estimate};
@@ -173,38 +175,38 @@
 void Server::learn_from_others() {
   const auto& m = *extras_.declared->membership;
   const auto& member = fleet_->member();
-  learning_tcp::Actor::Place place{m.cluster,
-                                   config_.name,
-                                   m.zone,
-                                   membership_udp::endpoint_of(m.bind).address(),
-                                   extras_.declared->recovery->donate_port,
-                                   config_.seed ^ std::uint64_t(member.self().life)};
-  recovery::LearningRules rules;
-  rules.most = extras_.declared->recovery->learn_most;
-  learning_tcp::Actor::Hooks hooks;
+  state_transfer::Actor::Place place{m.cluster,
+                                     config_.name,
+                                     m.zone,
+                                     membership_udp::endpoint_of(m.bind).address(),
+                                     extras_.declared->recovery->donate_port,
+                                     config_.seed ^ std::uint64_t(member.self().boot_id)};
+  recovery::DonorSelectionOptions rules;
+  rules.most = extras_.declared->recovery->max_learn;
+  state_transfer::Actor::Hooks hooks;
   hooks.clock = [this] { return clocks_().steady; };
   hooks.offer = [this] {
     const auto& me = fleet_->member();
-    recovery::Offer o;
+    recovery::TransferResponse o;
     o.by = config_.name;
-    o.life = me.self().life;
+    o.boot_id = me.self().boot_id;
     const auto* course = module_.edge().course();
     o.in_service = course && course->phase() == recovery::Phase::full;
-    o.sure = me.majority() && !me.uncertain() && me.hearing() == membership::Hearing::ok;
+    o.sure = me.majority() && !me.uncertain() && me.local_connectivity() == membership::LocalConnectivity::ok;
     o.view_age = fleet_->silence();
     if (o.in_service) o.what = collect();
     return o;
   };
   hooks.may_ask = [this](const asio::ip::address& who) { return fleet_->may_ask(who); };
-  hooks.learned = [this](learned::Learned what, std::size_t sources) {
+  hooks.learned = [this](warm_state::WarmState what, std::size_t sources) {
     if (sources > 0) {
       fleet_->also_call(what.members);
-      module_.mailbox().post_control(edge::LearnedNews{std::move(what), sources});
+      module_.mailbox().post_control(edge::WarmStateReceived{std::move(what), sources});
     }
-    module_.mailbox().post_control(edge::LearningOver{sources});
+    module_.mailbox().post_control(edge::StateTransferFinished{sources});
   };
-  learning_ = std::make_unique<learning_tcp::Actor>(context_.get_executor(), std::move(place), rules,
-                                                    std::move(hooks), log_);
+  learning_ = std::make_unique<state_transfer::Actor>(context_.get_executor(), std::move(place), rules,
+                                                      std::move(hooks), log_);
 }
 
 // A life of its own at each start: the platform's seed is new then, and the clock tells most lives apart.
@@ -213,74 +215,76 @@
   const auto unix_ms = std::uint64_t(
       std::chrono::duration_cast<std::chrono::milliseconds>(now.unix.time_since_epoch()).count());
   std::mt19937_64 random(config_.seed ^ std::uint64_t(now.unix.time_since_epoch().count()));
-  const auto life = random();
+  const auto boot_id = random();
   membership_udp::Actor::Hooks hooks;
   hooks.clock = [this] { return clocks_().steady; };
-  hooks.way_back = [this] { return way_back(); };
+  hooks.recovery_report = [this] { return recovery_report(); };
   hooks.own = [this] {
     auto s = module_.edge().standing(clocks_().steady);
-    if (learning_) s.course.donor_port = learning_->port();
-    return membership_udp::Actor::Own{s.stage, s.warmth, s.pressed, std::move(s.findings), s.course};
+    if (learning_) s.recovery_status.donor_port = learning_->port();
+    return membership_udp::Actor::Own{s.stage, s.warmth, s.pressed, std::move(s.endpoint_health),
+                                      s.recovery_status};
   };
   hooks.view = [this](std::shared_ptr<const membership::View> view) {
     if (learning_) learning_->view(view);
-    module_.mailbox().post_control(edge::FleetNews{std::move(view)});
+    module_.mailbox().post_control(edge::MembershipUpdate{std::move(view)});
   };
-  fleet_ =
-      std::make_unique<membership_udp::Actor>(context_.get_executor(), *extras_.declared->membership,
-                                              config_.name, life, unix_ms, random(), std::move(hooks), log_);
+  fleet_ = std::make_unique<membership_udp::Actor>(context_.get_executor(), *extras_.declared->membership,
+                                                   config_.name, boot_id, unix_ms, random(), std::move(hooks),
+                                                   log_);
 }
 
 // What stands at this door beside this process must not run what it runs, nor the other way round.
 void Server::share_door() {
   auto& edge = module_.edge();
   const auto now = clocks_();
-  auto opened = handover::SharedTable::open(extras_.shared_folder, config_.name,
-                                            config_.seed ^ std::uint64_t(now.unix.time_since_epoch().count()),
-                                            edge.longest_span(), now.unix);
-  if (const auto* no = std::get_if<handover::Unusable>(&opened)) {
+  auto opened = hot_restart::SharedLeaseTable::open(
+      extras_.shared_folder, config_.name, config_.seed ^ std::uint64_t(now.unix.time_since_epoch().count()),
+      edge.longest_span(), now.unix);
+  if (const auto* no = std::get_if<hot_restart::LeaseTableError>(&opened)) {
     log_.line("no keyed request runs: the door is shared and its table can't be: " + no->why,
               {{"event", "claims_unusable"}, {"why", no->why}});
     edge.claim_keyed({[](const auto&, auto, auto) { return false; }, {}});
     return;
   }
-  shared_.emplace(std::get<handover::SharedTable>(std::move(opened)));
+  shared_.emplace(std::get<hot_restart::SharedLeaseTable>(std::move(opened)));
   if (shared_->wiped())
     log_.line("keyed requests wait for one window: the table of claims was not to be believed",
               {{"event", "claims_wiped"}});
   const auto token = [this](const edge::Request& r) {
-    return handover::token_of(config_.catalog.classes[std::size_t(r.cls)], r.token);
+    return hot_restart::token_of(config_.catalog.classes[std::size_t(r.cls)], r.token);
   };
   edge.claim_keyed({[this, token](const edge::Request& r, Duration span, edge::UnixTime at) {
-                      return shared_->claim(token(r), r.reached, span, at) == handover::Verdict::mine;
+                      return shared_->claim(token(r), r.reached, span, at) == hot_restart::Verdict::mine;
                     },
                     [this, token](const edge::Request& r) { shared_->never_ran(token(r)); }});
 }
 
 // Of what this process knows now: no queue stands between a call and its answer.
 admin::Reply Server::answer(admin::Call call) {
-  auto& life = module_.edge().lifecycle();
+  auto& boot_id = module_.edge().lifecycle();
   if (call == admin::Call::health) {
-    std::string text = lifecycle::text_of(life.phase());
-    if (life.up() && !link_.up()) text += ", kernel link down";
-    if (life.up() && !life.stopping() && module_.edge().held_unfit()) text += ", held unfit by the module";
-    return {life.up() && !life.stopping(), text};
+    std::string text = lifecycle::text_of(boot_id.phase());
+    if (boot_id.up() && !link_.up()) text += ", kernel link down";
+    if (boot_id.up() && !boot_id.stopping() && module_.edge().held_unfit())
+      text += ", held unfit by the module";
+    return {boot_id.up() && !boot_id.stopping(), text};
   }
-  const auto before = life.phase();
-  const bool done = call == admin::Call::quiesce ? life.quiesce() : life.resume();
+  const auto before = boot_id.phase();
+  const bool done = call == admin::Call::quiesce ? boot_id.quiesce() : boot_id.resume();
   if (!done) return {false, "stopping: nothing leads back"};
-  if (life.phase() != before) {
+  if (boot_id.phase() != before) {
     module_.mailbox().post_control(edge::LifecycleChanged{});
-    log_.line(std::string("operators' door: ") + lifecycle::text_of(life.phase()),
-              {{"event", "lifecycle"}, {"phase", lifecycle::text_of(life.phase())}});
+    log_.line(std::string("operators' door: ") + lifecycle::text_of(boot_id.phase()),
+              {{"event", "lifecycle"}, {"phase", lifecycle::text_of(boot_id.phase())}});
   }
-  return {true, lifecycle::text_of(life.phase())};
+  return {true, lifecycle::text_of(boot_id.phase())};
 }
 
 void Server::start() {
   spawn(module_.run());
   spawn(link_.run());
-  spawn(announcer_.run());
+  spawn(load_reporter_.run());
   spawn(listener_.run());
   spawn(listener_.mind_peers());
   if (caller_) spawn(caller_->mind_idle());
@@ -289,20 +293,20 @@
     if (fleet_->has_second()) spawn(fleet_->receive_second());
     spawn(fleet_->run());
   }
-  if (fill_door_) spawn(fill_door_->serve());
+  if (cache_fill_server_) spawn(cache_fill_server_->serve());
   if (admin_) {
     spawn(admin_->serve());
     const auto door = admin_->local();
     log_.line("operators' door at " + door.address().to_string() + ":" + std::to_string(door.port()),
               {{"event", "operators_door"}, {"port", std::int64_t(door.port())}});
   }
-  if (keeper_) spawn(keeper_->run());
+  if (persistence_) spawn(persistence_->run());
   if (learning_) {
     learning_->begin();
     spawn(learning_->serve());
     spawn(learning_->learn());
   } else if (module_.edge().course()) {
-    module_.mailbox().post_control(edge::LearningOver{});  // there is nobody to ask
+    module_.mailbox().post_control(edge::StateTransferFinished{});  // there is nobody to ask
   }
   const auto at = local();
   log_.line("listening on " + at.address().to_string() + ":" + std::to_string(at.port()),
@@ -332,31 +336,31 @@
 }
 void Server::carry_out(edge::HealthAnswer&& health) { listener_.deliver(health.to, health); }
 void Server::carry_out(edge::Command&& command) { link_.send(command); }
-void Server::carry_out(edge::Report&& report) {
-  const auto& life = module_.edge().lifecycle();
-  if (shared_ && life.up() && !life.stopping()) shared_->serves();
-  announcer_.report(report);
+void Server::carry_out(edge::LoadReport&& report) {
+  const auto& boot_id = module_.edge().lifecycle();
+  if (shared_ && boot_id.up() && !boot_id.stopping()) shared_->serves();
+  load_reporter_.report(report);
 }
 void Server::carry_out(edge::CloseIdlePeers&& idle) { listener_.close_idle(idle.idle_for); }
-void Server::carry_out(edge::Remark&& remark) {
+void Server::carry_out(edge::LogEvent&& remark) {
   log_.line(remark.text, {{"event", remark.event}, {"subject", remark.subject}});
 }
-void Server::carry_out(edge::CallBelow&& call) {
+void Server::carry_out(edge::DependencyCall&& call) {
   if (caller_) caller_->start(std::move(call));
 }
-void Server::carry_out(edge::DropCall&& drop) {
+void Server::carry_out(edge::CancelDependencyCall&& drop) {
   if (caller_) caller_->abandon(drop.id);
 }
 
-void Server::carry_out(edge::AskOthers&&) {
+void Server::carry_out(edge::StateTransferWanted&&) {
   if (learning_)
     learning_->begin();
   else
-    module_.mailbox().post_control(edge::LearningOver{});
+    module_.mailbox().post_control(edge::StateTransferFinished{});
 }
 
-void Server::carry_out(edge::FillAnswer&& answer) {
-  if (fill_door_) fill_door_->answer(std::move(answer));
+void Server::carry_out(edge::CacheFillReply&& answer) {
+  if (cache_fill_server_) cache_fill_server_->answer(std::move(answer));
 }
 
 void Server::drain() {
@@ -378,7 +382,7 @@
   Duration longest{};
   for (const auto& c : config_.parsed.settings.classes)
     longest = std::max(longest, c.deadline.value_or(c.aim.value_or(1s)));
-  const auto most = std::chrono::duration_cast<milliseconds>(std::min<Duration>(longest, kMostDeadline));
+  const auto most = std::chrono::duration_cast<milliseconds>(std::min<Duration>(longest, kMaxDeadline));
   return std::min(config_.stop, most + kAfterDeadline);
 }
 
@@ -387,7 +391,7 @@
 asio::awaitable<void> Server::hand_over(std::chrono::milliseconds within) {
   using Clock = std::chrono::steady_clock;
   const auto end = Clock::now() + within - std::min(kLastMoment, within / 8);
-  announcer_.fall_silent();
+  load_reporter_.fall_silent();
   listener_.leave_door();
   asio::steady_timer timer(context_);
   while (Clock::now() < end) {
@@ -427,7 +431,7 @@
     log_.line("reload: changed but kept until a restart: " + fixed,
               {{"event", "reload_kept"}, {"kept", fixed}});
   link_.move_to(kernel);
-  announcer_.move_to(service);
+  load_reporter_.move_to(service);
 }
 
 void Server::reload(std::variant<operators::Declared, operators::Errors> loaded) {
@@ -459,7 +463,7 @@
           " dependencies, " + std::to_string(extras_.declared->spec.gathers.size()) + " classes gather",
       {{"event", "reloaded"}});
   module_.mailbox().post_control(
-      edge::NewDeclaration{std::make_shared<const deps::Spec>(extras_.declared->spec)});
+      edge::DependencySpecUpdate{std::make_shared<const deps::Spec>(extras_.declared->spec)});
 }
 
 // Takes and answers what still comes as long as callers may not have heard; then closes the door, sees all
@@ -479,12 +483,12 @@
     // Nothing is owed any more: the fleet hears that this one leaves, and it waits for some of them to know.
     if (fleet_) fleet_->leave();
     // Before an end is written down nothing more may run; what came in the meantime is answered first.
-    if (keeper_ && !std::exchange(closing, true)) {
+    if (persistence_ && !std::exchange(closing, true)) {
       module_.mailbox().post_control(edge::Closing{});
       continue;
     }
-    if (keeper_) keeper_->end();
-    if ((!fleet_ || fleet_->has_left()) && (!keeper_ || keeper_->over())) break;
+    if (persistence_) persistence_->end();
+    if ((!fleet_ || fleet_->has_left()) && (!persistence_ || persistence_->over())) break;
   }
   end_all();
 }
@@ -495,7 +499,7 @@
             {{"event", all ? "left" : "left_unsent"}});
   if (caller_) caller_->close_all();
   if (learning_) learning_->close();
-  if (fill_door_) fill_door_->close();
+  if (cache_fill_server_) cache_fill_server_->close();
   if (admin_) admin_->close();
   listener_.close_all();
   context_.stop();
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -5,20 +5,20 @@
 #include <stdexcept>
 #include <variant>
 
-#include "admin/door.h"
-#include "announce/announcer.h"
+#include "admin/server.h"
+#include "cache_fill_http/server.h"
 #include "config/config.h"
-#include "deps_http/caller.h"
-#include "edge/module_actor.h"
-#include "fill_http/door.h"
-#include "handover/shared_table.h"
+#include "deps_http/dependency_client.h"
+#include "edge/edge_actor.h"
+#include "hot_restart/shared_lease_table.h"
 #include "kernel/link.h"
-#include "learning_tcp/actor.h"
+#include "load_report/load_reporter.h"
 #include "log/logger.h"
 #include "membership_udp/actor.h"
 #include "net/listener.h"
 #include "operators/operator_file.h"
-#include "snapshot/keeper.h"
+#include "snapshot/persistence_actor.h"
+#include "state_transfer/actor.h"
 
 namespace granitegap {
 
@@ -38,9 +38,9 @@
     std::string shared_folder;              // with `listening`: what processes at one door share
   };
   Server(boost::asio::io_context& context, config::Config config, Extras extras,
-         edge::ModuleActor::Clocks clocks = edge::read_clocks);
+         edge::EdgeActor::Clocks clocks = edge::read_clocks);
   Server(boost::asio::io_context& context, config::Config config,
-         edge::ModuleActor::Clocks clocks = edge::read_clocks)
+         edge::EdgeActor::Clocks clocks = edge::read_clocks)
       : Server(context, std::move(config), Extras{}, std::move(clocks)) {}
   void start();
   // The notice to leave: ends the context once all is answered, before the kill.
@@ -56,9 +56,9 @@
     if (!admin_) return std::nullopt;
     return admin_->local();
   }
-  edge::ModuleActor& module() { return module_; }
+  edge::EdgeActor& module() { return module_; }
   // Once the context has ended: a disk still holds a thread, which nobody can wait for.
-  bool disk_hangs() const { return keeper_ && keeper_->at_work(); }
+  bool disk_hangs() const { return persistence_ && persistence_->at_work(); }
 
  private:
   void spawn(boost::asio::awaitable<void> actor);
@@ -66,13 +66,13 @@
   void carry_out(edge::Answer&& answer);
   void carry_out(edge::HealthAnswer&& health);
   void carry_out(edge::Command&& command);
-  void carry_out(edge::Report&& report);
+  void carry_out(edge::LoadReport&& report);
   void carry_out(edge::CloseIdlePeers&& idle);
-  void carry_out(edge::Remark&& remark);
-  void carry_out(edge::CallBelow&& call);
-  void carry_out(edge::DropCall&& drop);
-  void carry_out(edge::AskOthers&& ask);
-  void carry_out(edge::FillAnswer&& answer);
+  void carry_out(edge::LogEvent&& remark);
+  void carry_out(edge::DependencyCall&& call);
+  void carry_out(edge::CancelDependencyCall&& drop);
+  void carry_out(edge::StateTransferWanted&& ask);
+  void carry_out(edge::CacheFillReply&& answer);
   boost::asio::awaitable<void> leave();
   void end_all();
   boost::asio::awaitable<void> hand_over(std::chrono::milliseconds within);
@@ -81,8 +81,8 @@
   admin::Reply answer(admin::Call call);
   void join_fleet();
   void learn_from_others();
-  learned::Learned collect() const;
-  std::optional<membership_udp::WayBack> way_back() const;
+  warm_state::WarmState collect() const;
+  std::optional<membership_udp::RecoveryReport> recovery_report() const;
   void keep_learned(const operators::Declared::Recovery& recovery);
 
   static edge::Edge make_edge(const config::Config& config, const Extras& extras, TimePoint started);
@@ -93,18 +93,18 @@
   config::Config config_;
   Extras extras_;
   Logger log_;
-  edge::ModuleActor module_;
+  edge::EdgeActor module_;
   kernel::Link link_;
-  announce::Announcer announcer_;
+  load_report::LoadReporter load_reporter_;
   net::Listener listener_;
-  std::optional<deps_http::Caller> caller_;
-  std::unique_ptr<membership_udp::Actor> fleet_;  // only where it is declared
-  std::unique_ptr<snapshot::Keeper> keeper_;      // the same
-  std::unique_ptr<learning_tcp::Actor> learning_;
-  std::unique_ptr<fill_http::Door> fill_door_;
-  std::unique_ptr<admin::Door> admin_;
-  std::optional<handover::SharedTable> shared_;  // only where the door is shared
-  edge::ModuleActor::Clocks clocks_;
+  std::optional<deps_http::DependencyClient> caller_;
+  std::unique_ptr<membership_udp::Actor> fleet_;             // only where it is declared
+  std::unique_ptr<snapshot::PersistenceActor> persistence_;  // the same
+  std::unique_ptr<state_transfer::Actor> learning_;
+  std::unique_ptr<cache_fill_http::CacheFillServer> cache_fill_server_;
+  std::unique_ptr<admin::AdminServer> admin_;
+  std::optional<hot_restart::SharedLeaseTable> shared_;  // only where the door is shared
+  edge::EdgeActor::Clocks clocks_;
   bool leaving_ = false;
 };
 
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -85,7 +85,7 @@
       out.flush();
     }
   } catch (const wire::Malformed& problem) {
-    err << "granitegap_drill: " << problem.what() << '\n';
+    err << "granitegap_simulator: " << problem.what() << '\n';
     return 2;
   }
   return 0;
--- a/src/snapshot/keeper.cpp
+++ b/src/snapshot/persistence_actor.cpp
@@ -1,4 +1,4 @@
-#include "snapshot/keeper.h"
+#include "snapshot/persistence_actor.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-Keeper::Keeper(const asio::any_io_executor& executor, std::filesystem::path folder, std::string name,
-               Duration every, Hooks hooks, Logger& log)
+PersistenceActor::PersistenceActor(const asio::any_io_executor& executor, std::filesystem::path folder,
+                                   std::string name, Duration every, Hooks hooks, Logger& log)
     : executor_(executor),
       folder_(std::move(folder)),
       name_(std::move(name)),
@@ -29,9 +29,9 @@
       again_(executor),
       slow_(executor) {}
 
-Keeper::~Keeper() { disk_.join(); }
+PersistenceActor::~PersistenceActor() { disk_.join(); }
 
-Keeper::Begun Keeper::begin() {
+PersistenceActor::Begun PersistenceActor::begin() {
   Begun b;
   b.fault = lock_.take(folder_);
   if (b.fault) return b;
@@ -43,12 +43,12 @@
   return b;
 }
 
-std::optional<Fault> Keeper::write(const Snapshot& snapshot) {
+std::optional<Fault> PersistenceActor::write(const Snapshot& snapshot) {
   return write_snapshot(folder_, encode(snapshot));
 }
 
 template <class F>
-auto Keeper::on_disk(F work, const char* meanwhile) -> asio::awaitable<decltype(work())> {
+auto PersistenceActor::on_disk(F work, const char* meanwhile) -> asio::awaitable<decltype(work())> {
   slow_.expires_after(kSlow);
   slow_.async_wait([this, meanwhile](const boost::system::error_code& error) {
     if (!error)
@@ -67,7 +67,7 @@
   co_return result;
 }
 
-asio::awaitable<void> Keeper::run() {
+asio::awaitable<void> PersistenceActor::run() {
   boost::system::error_code woken;
   while (!owned_ && !ending_) {
     const auto work = [this] { return begin(); };
@@ -90,8 +90,8 @@
   }
 }
 
-void Keeper::told(Begun b) {
-  recovery::EarlierLife found;
+void PersistenceActor::told(Begun b) {
+  recovery::PreviousIncarnation found;
   if (b.fault) {
     found.end_stays = true;
     if (!std::exchange(told_fault_, true))
@@ -119,10 +119,10 @@
   log_.line(
       "recovery: a snapshot, " + (age ? std::to_string(age->count() / 1000) + " ms old" : "of no known age"),
       {{"event", "recovery_snapshot"}, {"age_ms", age ? std::int64_t(age->count() / 1000) : -1}});
-  hooks_.learned(learned::faded(std::move(newest->what), age));
+  hooks_.learned(warm_state::aged(std::move(newest->what), age));
 }
 
-void Keeper::told_ended(const Begun& b, recovery::EarlierLife& found) {
+void PersistenceActor::told_ended(const Begun& b, recovery::PreviousIncarnation& found) {
   const auto* ended = std::get_if<Ended>(&b.ended);
   const auto* bad = std::get_if<Fault>(&b.ended);
   if (bad || (ended && ended->name != name_)) {
@@ -132,14 +132,14 @@
     return;
   }
   if (!ended) return;
-  found = earlier_life(*ended, b.at);
+  found = previous_incarnation(*ended, b.at);
   if (found.ended_in_order)
     log_.line("recovery: the last life ended in order " +
                   std::to_string(found.ended_in_order->count() / 1000) + " ms ago",
               {{"event", "recovery_ended"}, {"ago_ms", std::int64_t(found.ended_in_order->count() / 1000)}});
 }
 
-void Keeper::told_write(const std::optional<Fault>& fault) {
+void PersistenceActor::told_write(const std::optional<Fault>& fault) {
   if (!fault) {
     told_unwritten_ = false;
   } else if (!std::exchange(told_unwritten_, true)) {
@@ -148,7 +148,7 @@
   }
 }
 
-void Keeper::end() {
+void PersistenceActor::end() {
   if (std::exchange(ending_, true)) return;
   again_.cancel();
   if (!owned_) {
--- a/src/snapshot/keeper.h
+++ b/src/snapshot/persistence_actor.h
@@ -16,17 +16,17 @@
 
 namespace granitegap::snapshot {
 
-class Keeper {
+class PersistenceActor {
  public:
   struct Hooks {  // called on the io thread
     // Hears what the earlier life left, and again whenever that changes.
-    std::function<void(const recovery::EarlierLife&)> found;
-    std::function<void(learned::Learned)> learned;  // faded by its age
-    std::function<learned::Learned()> collect;      // what is to be written down
+    std::function<void(const recovery::PreviousIncarnation&)> found;
+    std::function<void(warm_state::WarmState)> learned;  // aged by its age
+    std::function<warm_state::WarmState()> collect;      // what is to be written down
   };
-  Keeper(const boost::asio::any_io_executor& executor, std::filesystem::path folder, std::string name,
-         Duration every, Hooks hooks, Logger& log);
-  ~Keeper();
+  PersistenceActor(const boost::asio::any_io_executor& executor, std::filesystem::path folder,
+                   std::string name, Duration every, Hooks hooks, Logger& log);
+  ~PersistenceActor();
   boost::asio::awaitable<void> run();
   // Nothing runs any more: written down once, and only by whoever owns the directory.
   void end();
@@ -50,7 +50,7 @@
   template <class F>
   auto on_disk(F work, const char* meanwhile) -> boost::asio::awaitable<decltype(work())>;
   void told(Begun begun);
-  void told_ended(const Begun& begun, recovery::EarlierLife& found);
+  void told_ended(const Begun& begun, recovery::PreviousIncarnation& found);
   void told_write(const std::optional<Fault>& fault);
   boost::asio::any_io_executor executor_;
   std::filesystem::path folder_;
@@ -58,7 +58,7 @@
   Duration every_;
   Hooks hooks_;
   Logger& log_;
-  FolderLock lock_;  // the disk's thread alone
+  DirectoryLock lock_;  // the disk's thread alone
   boost::asio::steady_timer again_, slow_;
   std::atomic<int> at_work_ = 0;
   bool owned_ = false, told_fault_ = false, told_unwritten_ = false, ending_ = false, done_ = false;
--- a/src/snapshot/show.cpp
+++ b/src/snapshot/show.cpp
@@ -8,7 +8,7 @@
 
 std::string to_json(const Snapshot& s) {
   const auto ms = [](Duration d) { return double(d.count()) / 1000; };
-  nlohmann::ordered_json out{{"by", s.what.by}, {"life", s.what.life}, {"unix_ms", s.at.unix_us / 1000}};
+  nlohmann::ordered_json out{{"by", s.what.by}, {"life", s.what.boot_id}, {"unix_ms", s.at.unix_us / 1000}};
   out["endpoints"] = nlohmann::ordered_json::array();
   for (const auto& e : s.what.endpoints)
     out["endpoints"].push_back({{"dependency", e.dependency},
--- a/src/snapshot/life_file.cpp
+++ b/src/snapshot/shutdown_record.cpp
@@ -1,4 +1,4 @@
-#include "snapshot/life_file.h"
+#include "snapshot/shutdown_record.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -17,7 +17,7 @@
 
 constexpr char kMagic[] = "gge1";  // its last character is the format's version
 constexpr char kName[] = "ended", kLock[] = "lock";
-constexpr std::size_t kMost = 512, kMostText = 200;
+constexpr std::size_t kMax = 512, kMaxText = 200;
 
 Fault fault(const char* step) { return {step, std::generic_category().message(errno)}; }
 
@@ -41,7 +41,7 @@
   for (int i = 0; i < 8; ++i) to += char(value >> (8 * i));
 }
 void put(std::string& to, const std::string& text) {
-  const auto part = text.substr(0, kMostText);
+  const auto part = text.substr(0, kMaxText);
   put(to, part.size());
   to += part;
 }
@@ -58,7 +58,7 @@
   }
   std::string text() {
     const auto size = number();
-    if (!good || size > kMostText || bytes.size() - at < size) return good = false, std::string();
+    if (!good || size > kMaxText || bytes.size() - at < size) return good = false, std::string();
     at += size;
     return std::string(bytes.substr(at - size, size));
   }
@@ -118,7 +118,7 @@
 }
 
 std::variant<Ended, Fault> decode(const std::string& bytes) {
-  const auto body = unseal(kMagic, bytes, kMost);
+  const auto body = unseal(kMagic, bytes, kMax);
   if (const auto* fault = std::get_if<Fault>(&body)) return *fault;
   Cursor c{std::get<std::string_view>(body), 0};
   Ended e;
@@ -135,18 +135,18 @@
   return Duration(std::max<std::int64_t>(then.unix_us + passed - now.unix_us, 0));
 }
 
-recovery::EarlierLife earlier_life(const Ended& ended, const Stamp& now) {
-  recovery::EarlierLife found;
+recovery::PreviousIncarnation previous_incarnation(const Ended& ended, const Stamp& now) {
+  recovery::PreviousIncarnation found;
   if (same_boot(ended.at, now)) found.ended_in_order = now.since_boot - ended.at.since_boot;
   found.clock_behind = clock_behind(ended.at, now);
   return found;
 }
 
-FolderLock::~FolderLock() {
+DirectoryLock::~DirectoryLock() {
   if (fd_ >= 0) ::close(fd_);
 }
 
-std::optional<Fault> FolderLock::take(const std::filesystem::path& folder) {
+std::optional<Fault> DirectoryLock::take(const std::filesystem::path& folder) {
   if (held()) return std::nullopt;
   if (::mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) return fault("making the directory");
   const int fd = ::open((folder / kLock).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
@@ -199,7 +199,7 @@
 std::variant<Ended, Nothing, Fault> read_ended(const std::filesystem::path& folder) {
   struct stat there {};
   if (::stat((folder / kName).c_str(), &there) != 0 && errno == ENOENT) return Nothing{};
-  auto bytes = read_file(folder / kName, kMost + 1);
+  auto bytes = read_file(folder / kName, kMax + 1);
   if (auto* bad = std::get_if<Fault>(&bytes)) return *bad;
   auto decoded = decode(std::get<std::string>(bytes));
   if (auto* bad = std::get_if<Fault>(&decoded)) return *bad;
--- a/src/snapshot/life_file.h
+++ b/src/snapshot/shutdown_record.h
@@ -12,7 +12,7 @@
 #include <variant>
 
 #include "granitegap/policy.h"
-#include "recovery/lost_memory.h"
+#include "recovery/restart_quarantine.h"
 
 namespace granitegap::snapshot {
 
@@ -50,7 +50,7 @@
 
 // What the file proves at `now`: the span since the end only by one boot's clock, as a Unix clock may have
 // jumped in between.
-recovery::EarlierLife earlier_life(const Ended& ended, const Stamp& now);
+recovery::PreviousIncarnation previous_incarnation(const Ended& ended, const Stamp& now);
 // How far the Unix clock stands behind what was stamped then: exactly by one boot's clock, else what is seen
 // of it.
 Duration clock_behind(const Stamp& then, const Stamp& now);
@@ -69,12 +69,12 @@
 
 // One process at a time owns the directory: guards against a predecessor that is still draining, and would
 // write its end after this one has begun. Given back by the system when the process is over, however.
-class FolderLock {
+class DirectoryLock {
  public:
-  FolderLock() = default;
-  ~FolderLock();
-  FolderLock(const FolderLock&) = delete;
-  FolderLock& operator=(const FolderLock&) = delete;
+  DirectoryLock() = default;
+  ~DirectoryLock();
+  DirectoryLock(const DirectoryLock&) = delete;
+  DirectoryLock& operator=(const DirectoryLock&) = delete;
   // Makes the directory where it is missing. Without a fault it is held.
   std::optional<Fault> take(const std::filesystem::path& folder);
   bool held() const { return fd_ >= 0; }
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -13,19 +13,19 @@
 
 constexpr char kMagic[] = "ggl1";
 constexpr const char* kNames[] = {"learned-a", "learned-b"};
-constexpr std::size_t kMostText = 255;
-constexpr Duration kMostSpan = std::chrono::hours(24 * 365);
+constexpr std::size_t kMaxText = 255;
+constexpr Duration kMaxSpan = std::chrono::hours(24 * 365);
 
-bool plausible(std::int64_t us) { return us >= 0 && us <= kMostSpan.count(); }
+bool plausible(std::int64_t us) { return us >= 0 && us <= kMaxSpan.count(); }
 
 }  // namespace
 
 std::string encode(const Snapshot& s) {
   auto what = s.what;
-  learned::bound(what);
+  warm_state::bound(what);
   wire::Snapshot p;
   p.set_by(what.by);
-  p.set_life(what.life);
+  p.set_boot_id(what.boot_id);
   p.set_boot(s.at.boot);
   p.set_since_boot_us(s.at.since_boot.count());
   p.set_unix_us(s.at.unix_us);
@@ -45,14 +45,14 @@
     to->set_port(m.port);
   }
   for (const auto& part : what.parts) {
-    auto* to = p.add_parts();
+    auto* to = p.add_cached_responses();
     to->set_dependency(part.dependency);
     to->set_path(part.path);
     to->set_body(*part.body);
     to->set_age_us(part.age.count());
   }
   // Long names can still make too much of it: what is left out is only warmth.
-  while (p.ByteSizeLong() + kSeal > kMostSnapshot && p.endpoints_size() > 0)
+  while (p.ByteSizeLong() + kSeal > kMaxSnapshot && p.endpoints_size() > 0)
     p.mutable_endpoints()->DeleteSubrange(p.endpoints_size() / 2,
                                           p.endpoints_size() - p.endpoints_size() / 2);
   return seal(kMagic, p.SerializeAsString());
@@ -60,25 +60,24 @@
 
 std::variant<Snapshot, Fault> decode_snapshot(const std::string& bytes) {
   const Fault bad{"reading it", "damaged"};
-  const auto body = unseal(kMagic, bytes, kMostSnapshot);
+  const auto body = unseal(kMagic, bytes, kMaxSnapshot);
   if (const auto* fault = std::get_if<Fault>(&body)) return *fault;
   const auto& sealed = std::get<std::string_view>(body);
   wire::Snapshot p;
   if (!p.ParseFromArray(sealed.data(), int(sealed.size()))) return bad;
   // A sum that is right says who wrote it, not that it makes sense: held against the bounds all the same.
-  if (p.by().size() > kMostText || p.boot().size() > kMostText || p.since_boot_us() < 0 ||
-      std::size_t(p.endpoints_size()) > learned::kMostEndpoints ||
-      std::size_t(p.members_size()) > learned::kMostMembers ||
-      std::size_t(p.parts_size()) > learned::kMostParts)
+  if (p.by().size() > kMaxText || p.boot().size() > kMaxText || p.since_boot_us() < 0 ||
+      std::size_t(p.endpoints_size()) > warm_state::kMaxEndpoints ||
+      std::size_t(p.members_size()) > warm_state::kMaxMembers ||
+      std::size_t(p.cached_responses_size()) > warm_state::kMaxParts)
     return bad;
   Snapshot s;
   s.at = {p.boot(), Duration(p.since_boot_us()), p.unix_us()};
   s.what.by = p.by();
-  s.what.life = p.life();
+  s.what.boot_id = p.boot_id();
   for (const auto& e : p.endpoints()) {
-    if (e.dependency().size() > kMostText || e.host().size() > kMostText || e.port() == 0 ||
-        e.port() > 65535 || !plausible(e.out_for_us()) || !plausible(e.latency_us()) ||
-        !plausible(e.heard_ago_us()))
+    if (e.dependency().size() > kMaxText || e.host().size() > kMaxText || e.port() == 0 || e.port() > 65535 ||
+        !plausible(e.out_for_us()) || !plausible(e.latency_us()) || !plausible(e.heard_ago_us()))
       return bad;
     s.what.endpoints.push_back({e.dependency(), e.host(), std::uint16_t(e.port()), Duration(e.out_for_us()),
                                 e.times_out(), Duration(e.latency_us()), Duration(e.heard_ago_us())});
@@ -92,12 +91,13 @@
     s.what.members.push_back(a);
   }
   std::size_t together = 0;
-  for (const auto& from : p.parts()) {
-    learned::Part part{from.dependency(), from.path(), std::make_shared<const std::string>(from.body()),
-                       Duration(from.age_us())};
-    together += learned::bytes_of(part);
-    if (part.dependency.size() > kMostText || !learned::fits(part) || !plausible(from.age_us()) ||
-        together > learned::kMostPartBytes)
+  for (const auto& from : p.cached_responses()) {
+    warm_state::CachedResponse part{from.dependency(), from.path(),
+                                    std::make_shared<const std::string>(from.body()),
+                                    Duration(from.age_us())};
+    together += warm_state::bytes_of(part);
+    if (part.dependency.size() > kMaxText || !warm_state::fits(part) || !plausible(from.age_us()) ||
+        together > warm_state::kMaxPartBytes)
       return bad;
     s.what.parts.push_back(std::move(part));
   }
@@ -111,7 +111,7 @@
 }
 
 std::variant<Snapshot, Fault> read_snapshot_file(const std::filesystem::path& file) {
-  auto bytes = read_file(file, kMostSnapshot + 1);
+  auto bytes = read_file(file, kMaxSnapshot + 1);
   if (auto* fault = std::get_if<Fault>(&bytes)) return *fault;
   return decode_snapshot(std::get<std::string>(bytes));
 }
@@ -119,7 +119,7 @@
 Newest read_newest(const std::filesystem::path& folder) {
   Newest newest;
   for (const auto* name : kNames) {
-    auto bytes = read_file(folder / name, kMostSnapshot + 1);
+    auto bytes = read_file(folder / name, kMaxSnapshot + 1);
     if (std::holds_alternative<Fault>(bytes)) {
       std::error_code ignored;
       if (std::filesystem::exists(folder / name, ignored))
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -4,20 +4,20 @@
 // Blocking; call the file's functions off the io thread. Damage of every kind costs only warmth: a value says
 // what is wrong, and whoever starts goes on without.
 #pragma once
-#include "learned/learned.h"
-#include "snapshot/life_file.h"
+#include "snapshot/shutdown_record.h"
+#include "warm_state/warm_state.h"
 
 namespace granitegap::snapshot {
 
-inline constexpr std::size_t kMostSnapshot = 256 * 1024;  // bytes
+inline constexpr std::size_t kMaxSnapshot = 256 * 1024;  // bytes
 
 struct Snapshot {
   Stamp at;
-  learned::Learned what;
+  warm_state::WarmState what;
 };
 
 // ---- The bytes; no I/O ----
-// Within kMostSnapshot, whatever was learned.
+// Within kMaxSnapshot, whatever was learned.
 std::string encode(const Snapshot& snapshot);
 std::variant<Snapshot, Fault> decode_snapshot(const std::string& bytes);
 // How old it is at `now`: by one boot's clock, or by the Unix clock; absent where that stands behind the
--- a/src/learning_tcp/actor.cpp
+++ b/src/state_transfer/actor.cpp
@@ -1,4 +1,4 @@
-#include "learning_tcp/actor.h"
+#include "state_transfer/actor.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -12,14 +12,14 @@
 #include "membership_udp/actor.h"
 #include "net/accept.h"
 
-namespace granitegap::learning_tcp {
+namespace granitegap::state_transfer {
 namespace {
 
 namespace asio = boost::asio;
 using boost::system::error_code;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMostAtOnce = 4;
+constexpr std::size_t kMaxAtOnce = 4;
 constexpr double kPerSecond = 8, kBurst = 8;
 constexpr auto kDawdle = 1s;  // for a question, and again for the taking of its answer
 
@@ -43,8 +43,8 @@
 
 }  // namespace
 
-Actor::Actor(const asio::any_io_executor& executor, Place place, recovery::LearningRules rules, Hooks hooks,
-             Logger& log)
+Actor::Actor(const asio::any_io_executor& executor, Place place, recovery::DonorSelectionOptions rules,
+             Hooks hooks, Logger& log)
     : executor_(executor),
       place_(std::move(place)),
       hooks_(std::move(hooks)),
@@ -64,7 +64,7 @@
   const auto now = hooks_.clock();
   room_ = std::min(kBurst, room_ + kPerSecond * std::chrono::duration<double>(now - filled_).count());
   filled_ = now;
-  if (room_ < 1 || at_once_ >= kMostAtOnce) return false;
+  if (room_ < 1 || at_once_ >= kMaxAtOnce) return false;
   room_ -= 1;
   return true;
 }
@@ -94,7 +94,7 @@
   const net::Counted counted(at_once_);
   {
     const Deadline dawdles(socket, std::chrono::steady_clock::now() + 2 * kDawdle);
-    const auto bytes = co_await read(socket, kMostQuestion);
+    const auto bytes = co_await read(socket, kMaxQuestion);
     if (bytes) {
       const auto decoded = decode_question(*bytes);
       if (const auto* asked = std::get_if<Asked>(&decoded); asked && asked->cluster == place_.cluster) {
@@ -156,7 +156,7 @@
   }
 }
 
-asio::awaitable<void> Actor::ask(recovery::Question question) {
+asio::awaitable<void> Actor::ask(recovery::TransferRequest question) {
   Tcp::socket socket(executor_);
   bool heard = false;
   {
@@ -169,9 +169,9 @@
       co_await asio::async_write(socket, asio::buffer(out), into(error));
     }
     if (!error) {
-      if (const auto bytes = co_await read(socket, kMostOffer)) {
+      if (const auto bytes = co_await read(socket, kMaxOffer)) {
         const auto decoded = decode_offer(*bytes);
-        if (const auto* offer = std::get_if<recovery::Offer>(&decoded)) {
+        if (const auto* offer = std::get_if<recovery::TransferResponse>(&decoded)) {
           heard = true;
           learning_.answered(*offer, hooks_.clock());
         }
@@ -182,4 +182,4 @@
   wake_.cancel();
 }
 
-}  // namespace granitegap::learning_tcp
+}  // namespace granitegap::state_transfer
--- a/src/learning_tcp/actor.h
+++ b/src/state_transfer/actor.h
@@ -1,4 +1,4 @@
-// Learning from the running, over TCP between members: the door where others ask, and the one who asks.
+// DonorSelection from the running, over TCP between members: the door where others ask, and the one who asks.
 //
 // The door gives so many answers a second and serves so many at once; whoever comes beyond that, dawdles or
 // says what is no question is closed without a word, and asks somebody else. Only loopback and members'
@@ -13,22 +13,22 @@
 #include <set>
 #include <string>
 
-#include "learning_tcp/codec.h"
 #include "log/logger.h"
-#include "recovery/learning.h"
+#include "recovery/donor_selection.h"
+#include "state_transfer/codec.h"
 
-namespace granitegap::learning_tcp {
+namespace granitegap::state_transfer {
 
 class Actor {
  public:
   struct Hooks {
     std::function<TimePoint()> clock;
     // What this one offers; its nonce is filled in here.
-    std::function<recovery::Offer()> offer;
+    std::function<recovery::TransferResponse()> offer;
     // Whether somebody at this address may ask.
     std::function<bool(const boost::asio::ip::address&)> may_ask;
     // All that was learned, once it is over; from nobody where nobody could tell.
-    std::function<void(learned::Learned, std::size_t sources)> learned;
+    std::function<void(warm_state::WarmState, std::size_t sources)> learned;
   };
   struct Place {
     std::string cluster, name, zone;
@@ -37,8 +37,8 @@
     std::uint64_t seed = 0;
   };
   // Throws boost::system::system_error where the address can't be bound.
-  Actor(const boost::asio::any_io_executor& executor, Place place, recovery::LearningRules rules, Hooks hooks,
-        Logger& log);
+  Actor(const boost::asio::any_io_executor& executor, Place place, recovery::DonorSelectionOptions rules,
+        Hooks hooks, Logger& log);
   std::uint16_t port() const { return door_.local_endpoint().port(); }
   boost::asio::awaitable<void> serve();
   boost::asio::awaitable<void> learn();
@@ -52,7 +52,7 @@
  private:
   using Tcp = boost::asio::ip::tcp;
   boost::asio::awaitable<void> answer(Tcp::socket socket);
-  boost::asio::awaitable<void> ask(recovery::Question question);
+  boost::asio::awaitable<void> ask(recovery::TransferRequest question);
   boost::asio::awaitable<std::optional<std::string>> read(Tcp::socket& socket, std::size_t most);
   bool may_give();
 
@@ -60,7 +60,7 @@
   Place place_;
   Hooks hooks_;
   Logger& log_;
-  recovery::Learning learning_;
+  recovery::DonorSelection learning_;
   std::shared_ptr<const membership::View> view_;
   Tcp::acceptor door_;
   boost::asio::steady_timer wake_;
@@ -72,4 +72,4 @@
   bool pending_ = false, closed_ = false;
 };
 
-}  // namespace granitegap::learning_tcp
+}  // namespace granitegap::state_transfer
--- a/src/learning_tcp/codec.cpp
+++ b/src/state_transfer/codec.cpp
@@ -1,15 +1,15 @@
-#include "learning_tcp/codec.h"
+#include "state_transfer/codec.h"
 
 #include <algorithm>
 #include <chrono>
 
-#include "learning.pb.h"
+#include "state_transfer.pb.h"
 
-namespace granitegap::learning_tcp {
+namespace granitegap::state_transfer {
 namespace {
 
 constexpr char kQuestion[] = "ggq1", kOffer[] = "ggo1";
-constexpr std::size_t kMostText = 64;
+constexpr std::size_t kMaxText = 64;
 
 using snapshot::Fault;
 
@@ -26,7 +26,7 @@
 }  // namespace
 
 std::string encode(const Asked& a) {
-  wire::Question p;
+  wire::TransferRequest p;
   p.set_cluster(a.cluster);
   p.set_name(a.name);
   p.set_nonce(a.nonce);
@@ -34,20 +34,20 @@
 }
 
 std::variant<Asked, Fault> decode_question(std::string_view bytes) {
-  const auto read = parsed<wire::Question>(kQuestion, bytes, kMostQuestion);
+  const auto read = parsed<wire::TransferRequest>(kQuestion, bytes, kMaxQuestion);
   if (const auto* fault = std::get_if<Fault>(&read)) return *fault;
-  const auto& p = std::get<wire::Question>(read);
-  if (p.cluster().size() > kMostText || p.name().size() > kMostText)
+  const auto& p = std::get<wire::TransferRequest>(read);
+  if (p.cluster().size() > kMaxText || p.name().size() > kMaxText)
     return Fault{"reading it", "a name is too long"};
   return Asked{p.cluster(), p.name(), p.nonce()};
 }
 
-std::string encode(const recovery::Offer& o) {
+std::string encode(const recovery::TransferResponse& o) {
   using namespace std::chrono;
-  wire::Offer p;
+  wire::TransferResponse p;
   p.set_nonce(o.nonce);
   p.set_by(o.by);
-  p.set_life(std::uint64_t(o.life));
+  p.set_boot_id(std::uint64_t(o.boot_id));
   p.set_in_service(o.in_service);
   p.set_sure(o.sure);
   p.set_view_age_ms(std::uint32_t(
@@ -56,25 +56,25 @@
   if (o.in_service) {
     snapshot::Snapshot inner;
     inner.what = o.what;
-    p.set_learned(snapshot::encode(inner));
+    p.set_warm_state(snapshot::encode(inner));
   }
   return snapshot::seal(kOffer, p.SerializeAsString());
 }
 
-std::variant<recovery::Offer, Fault> decode_offer(std::string_view bytes) {
-  const auto read = parsed<wire::Offer>(kOffer, bytes, kMostOffer);
+std::variant<recovery::TransferResponse, Fault> decode_offer(std::string_view bytes) {
+  const auto read = parsed<wire::TransferResponse>(kOffer, bytes, kMaxOffer);
   if (const auto* fault = std::get_if<Fault>(&read)) return *fault;
-  const auto& p = std::get<wire::Offer>(read);
-  if (p.by().size() > kMostText) return Fault{"reading it", "a name is too long"};
-  recovery::Offer o;
+  const auto& p = std::get<wire::TransferResponse>(read);
+  if (p.by().size() > kMaxText) return Fault{"reading it", "a name is too long"};
+  recovery::TransferResponse o;
   o.nonce = p.nonce();
   o.by = p.by();
-  o.life = membership::Life(p.life());
+  o.boot_id = membership::BootId(p.boot_id());
   o.in_service = p.in_service();
   o.sure = p.sure();
   o.view_age = std::chrono::milliseconds(p.view_age_ms());
   if (!o.in_service) return o;
-  auto inner = snapshot::decode_snapshot(p.learned());
+  auto inner = snapshot::decode_snapshot(p.warm_state());
   if (const auto* fault = std::get_if<Fault>(&inner)) return *fault;
   o.what = std::move(std::get<snapshot::Snapshot>(inner).what);
   return o;
@@ -94,4 +94,4 @@
   return length;
 }
 
-}  // namespace granitegap::learning_tcp
+}  // namespace granitegap::state_transfer
--- a/src/learning_tcp/codec.h
+++ b/src/state_transfer/codec.h
@@ -6,13 +6,13 @@
 #include <string_view>
 #include <variant>
 
-#include "recovery/learning.h"
+#include "recovery/donor_selection.h"
 #include "snapshot/snapshot.h"
 
-namespace granitegap::learning_tcp {
+namespace granitegap::state_transfer {
 
-inline constexpr std::size_t kMostQuestion = 256,
-                             kMostOffer = snapshot::kMostSnapshot + 1024;  // bytes, sealed
+inline constexpr std::size_t kMaxQuestion = 256,
+                             kMaxOffer = snapshot::kMaxSnapshot + 1024;  // bytes, sealed
 
 struct Asked {
   std::string cluster, name;
@@ -21,11 +21,11 @@
 
 std::string encode(const Asked& asked);
 std::variant<Asked, snapshot::Fault> decode_question(std::string_view bytes);
-std::string encode(const recovery::Offer& offer);
-std::variant<recovery::Offer, snapshot::Fault> decode_offer(std::string_view bytes);
+std::string encode(const recovery::TransferResponse& offer);
+std::variant<recovery::TransferResponse, snapshot::Fault> decode_offer(std::string_view bytes);
 
 // With its length in front; and the length, absent where it is over `most` or nothing at all.
 std::string framed(std::string_view bytes);
 std::optional<std::size_t> length_of(std::string_view head, std::size_t most);
 
-}  // namespace granitegap::learning_tcp
+}  // namespace granitegap::state_transfer
--- a/src/records/grammar.cpp
+++ b/src/typed_config/parser.cpp
@@ -8,15 +8,15 @@
 #include <tao/pegtl.hpp>
 #include <tao/pegtl/contrib/parse_tree.hpp>
 
-#include "records/records.h"
+#include "typed_config/typed_config.h"
 
-namespace granitegap::records {
+namespace granitegap::typed_config {
 namespace {
 
 namespace p = tao::pegtl;
 
-constexpr std::size_t kMostBytes = 1 << 20;
-constexpr std::size_t kMostDepth = 64;
+constexpr std::size_t kMaxBytes = 1 << 20;
+constexpr std::size_t kMaxDepth = 64;
 
 // ---- Grammar ----
 struct comment : p::seq<p::string<'/', '/'>, p::until<p::at<p::eolf>>> {};
@@ -347,7 +347,7 @@
     } else if (c == '"') {
       quoted = true;
     } else if (c == '{' || c == '[' || c == '(') {
-      if (++depth > kMostDepth) return at;
+      if (++depth > kMaxDepth) return at;
     } else if (depth && (c == '}' || c == ']' || c == ')')) {
       --depth;
     }
@@ -382,7 +382,7 @@
 
 std::variant<Document, Error> parse(std::string_view source, std::string name) {
   const auto fail = [&](Position at, std::string what) { return Error{name, at, "", std::move(what)}; };
-  if (source.size() > kMostBytes) return fail({}, "larger than 1 MiB");
+  if (source.size() > kMaxBytes) return fail({}, "larger than 1 MiB");
   if (const auto at = too_deep(source)) return fail(*at, "nested more than 64 deep");
   try {
     p::memory_input input(source.data(), source.size(), name);
@@ -408,10 +408,10 @@
   if (!in) return Error{path, {}, "", "cannot be opened"};
   std::string bytes;
   char chunk[4096];
-  while (bytes.size() <= kMostBytes && (in.read(chunk, sizeof chunk), in.gcount() > 0))
+  while (bytes.size() <= kMaxBytes && (in.read(chunk, sizeof chunk), in.gcount() > 0))
     bytes.append(chunk, std::size_t(in.gcount()));
   if (in.bad()) return Error{path, {}, "", "cannot be read"};
   return parse(bytes, path);
 }
 
-}  // namespace granitegap::records
+}  // namespace granitegap::typed_config
--- a/src/records/records.cpp
+++ b/src/typed_config/typed_config.cpp
@@ -1,11 +1,11 @@
-#include "records/records.h"
+#include "typed_config/typed_config.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <optional>
 
-namespace granitegap::records {
+namespace granitegap::typed_config {
 namespace {
 
 using Errors = std::vector<Error>;
@@ -587,4 +587,4 @@
   return p.out + "\n";
 }
 
-}  // namespace granitegap::records
+}  // namespace granitegap::typed_config
--- a/src/records/records.h
+++ b/src/typed_config/typed_config.h
@@ -20,7 +20,7 @@
 #include <variant>
 #include <vector>
 
-namespace granitegap::records {
+namespace granitegap::typed_config {
 
 struct Position {
   std::size_t line = 0, column = 0;  // from 1; 0: nowhere
@@ -105,4 +105,4 @@
 bool read_span(std::string_view text, Span& to);
 bool read_size(std::string_view text, Size& to);
 
-}  // namespace granitegap::records
+}  // namespace granitegap::typed_config
--- a/src/learned/learned.cpp
+++ b/src/warm_state/warm_state.cpp
@@ -1,4 +1,4 @@
-#include "learned/learned.h"
+#include "warm_state/warm_state.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,29 +7,29 @@
 #include <tuple>
 #include <utility>
 
-namespace granitegap::learned {
+namespace granitegap::warm_state {
 
-bool fits(const Part& p) {
-  return p.body && p.body->size() <= kMostPartBody && !p.path.empty() && p.path.size() <= kMostPartPath;
+bool fits(const CachedResponse& p) {
+  return p.body && p.body->size() <= kMaxPartBody && !p.path.empty() && p.path.size() <= kMaxPartPath;
 }
 
-std::size_t bytes_of(const Part& p) { return p.body->size() + p.path.size() + p.dependency.size(); }
+std::size_t bytes_of(const CachedResponse& p) { return p.body->size() + p.path.size() + p.dependency.size(); }
 
-void bound(Learned& learned) {
+void bound(WarmState& learned) {
   auto& e = learned.endpoints;
-  if (e.size() > kMostEndpoints) {
+  if (e.size() > kMaxEndpoints) {
     const auto says_more = [](const Endpoint& a, const Endpoint& b) {
       return std::pair(a.out_for, a.latency) > std::pair(b.out_for, b.latency);
     };
-    std::nth_element(e.begin(), e.begin() + kMostEndpoints, e.end(), says_more);
-    e.resize(kMostEndpoints);
+    std::nth_element(e.begin(), e.begin() + kMaxEndpoints, e.end(), says_more);
+    e.resize(kMaxEndpoints);
   }
-  if (learned.members.size() > kMostMembers) learned.members.resize(kMostMembers);
-  std::erase_if(learned.parts, [](const Part& p) { return !fits(p); });
+  if (learned.members.size() > kMaxMembers) learned.members.resize(kMaxMembers);
+  std::erase_if(learned.parts, [](const CachedResponse& p) { return !fits(p); });
   std::size_t bytes = 0, kept = 0;
-  for (; kept < std::min(learned.parts.size(), kMostParts); ++kept) {
+  for (; kept < std::min(learned.parts.size(), kMaxParts); ++kept) {
     bytes += bytes_of(learned.parts[kept]);
-    if (bytes > kMostPartBytes) break;
+    if (bytes > kMaxPartBytes) break;
   }
   learned.parts.resize(kept);
 }
@@ -80,12 +80,12 @@
 
 }  // namespace
 
-Learned merged(const std::vector<Learned>& several) {
-  Learned to;
+WarmState merged(const std::vector<WarmState>& several) {
+  WarmState to;
   std::map<std::tuple<std::string, std::string, std::uint16_t>, std::vector<const Endpoint*>> endpoints;
   std::set<membership::Address> members;
   struct Kept {
-    const Part* youngest = nullptr;
+    const CachedResponse* youngest = nullptr;
     std::size_t by = 0, at = 0;  // how many keep it; its best place among theirs
   };
   std::map<std::pair<std::string, std::string>, Kept> parts;
@@ -110,7 +110,7 @@
   return to;
 }
 
-Learned faded(Learned learned, std::optional<Duration> age) {
+WarmState aged(WarmState learned, std::optional<Duration> age) {
   if (!age || *age < Duration{}) {
     learned.endpoints.clear();  // of no known age: guards against acting on an hour-old ejection
     learned.parts.clear();
@@ -119,14 +119,14 @@
   for (auto& e : learned.endpoints) {
     e.out_for = std::max(e.out_for - *age, Duration{});
     e.heard_ago += *age;
-    if (e.heard_ago > kLatencyLasts) e.latency = {};
+    if (e.heard_ago > kLatencyLifetime) e.latency = {};
   }
   std::erase_if(learned.endpoints,
                 [](const Endpoint& e) { return e.out_for <= Duration{} && e.latency <= Duration{}; });
   for (auto& p : learned.parts) p.age += *age;
-  std::erase_if(learned.parts, [](const Part& p) { return p.age > kPartsLast; });
-  if (*age > kMembersLast) learned.members.clear();
+  std::erase_if(learned.parts, [](const CachedResponse& p) { return p.age > kCachedResponseLifetime; });
+  if (*age > kMembersLifetime) learned.members.clear();
   return learned;
 }
 
-}  // namespace granitegap::learned
+}  // namespace granitegap::warm_state
--- a/src/learned/learned.h
+++ b/src/warm_state/warm_state.h
@@ -20,15 +20,15 @@
 #include "granitegap/policy.h"
 #include "membership/types.h"
 
-namespace granitegap::learned {
+namespace granitegap::warm_state {
 
-inline constexpr std::size_t kMostEndpoints = 1024, kMostMembers = 512;
+inline constexpr std::size_t kMaxEndpoints = 1024, kMaxMembers = 512;
 // Of kept answers: how many, how long a path and a body may be, and all of them together, in bytes.
-inline constexpr std::size_t kMostParts = 512, kMostPartPath = 1024, kMostPartBody = 16 * 1024,
-                             kMostPartBytes = 128 * 1024;
-inline constexpr Duration kPartsLast = std::chrono::hours(24);
-inline constexpr Duration kLatencyLasts = std::chrono::seconds(60);
-inline constexpr Duration kMembersLast = std::chrono::hours(24);
+inline constexpr std::size_t kMaxParts = 512, kMaxPartPath = 1024, kMaxPartBody = 16 * 1024,
+                             kMaxPartBytes = 128 * 1024;
+inline constexpr Duration kCachedResponseLifetime = std::chrono::hours(24);
+inline constexpr Duration kLatencyLifetime = std::chrono::seconds(60);
+inline constexpr Duration kMembersLifetime = std::chrono::hours(24);
 
 struct Endpoint {
   std::string dependency, host;
@@ -41,37 +41,37 @@
 };
 
 // One kept answer of a dependency.
-struct Part {
+struct CachedResponse {
   std::string dependency, path;
   std::shared_ptr<const std::string> body;  // never null
   Duration age{};                           // since the dependency answered
-  bool operator==(const Part& o) const {
+  bool operator==(const CachedResponse& o) const {
     return dependency == o.dependency && path == o.path && age == o.age && *body == *o.body;
   }
 };
 
-struct Learned {
-  std::string by;          // the process's name
-  std::uint64_t life = 0;  // which of its lives; 0: it takes part in no fleet
+struct WarmState {
+  std::string by;             // the process's name
+  std::uint64_t boot_id = 0;  // which of its lives; 0: it takes part in no fleet
   std::vector<Endpoint> endpoints;
   std::vector<membership::Address> members;  // alive in the last certain view, without this one
-  std::vector<Part> parts;                   // the hottest first
-  bool operator==(const Learned&) const = default;
+  std::vector<CachedResponse> parts;         // the hottest first
+  bool operator==(const WarmState&) const = default;
 };
 
-std::size_t bytes_of(const Part& part);
+std::size_t bytes_of(const CachedResponse& part);
 // Whether it can be among what is learned at all.
-bool fits(const Part& part);
+bool fits(const CachedResponse& part);
 // Keeps to the bounds: the endpoints with most to say, members and parts as they come.
-void bound(Learned& learned);
+void bound(WarmState& learned);
 
 // What several say of the same, in one value: of each endpoint the weighted median of its latency, where what
 // was heard longer ago weighs less; out only where most of the weight of those that speak of it says so. One
 // that differs wildly from the others moves nothing. Each member's address once, and of each kept answer the
 // youngest; those that several keep come first.
-Learned merged(const std::vector<Learned>& several);
+WarmState merged(const std::vector<WarmState>& several);
 
 // As it may still be used after `age`; nothing of it that fades where the age is not known.
-Learned faded(Learned learned, std::optional<Duration> age);
+WarmState aged(WarmState learned, std::optional<Duration> age);
 
-}  // namespace granitegap::learned
+}  // namespace granitegap::warm_state
--- a/tests/cache_fill_test.cpp
+++ b/tests/cache_fill_test.cpp
@@ -6,12 +6,12 @@
 #include <queue>
 #include <random>
 
-#include "standin/deps_world.h"
+#include "standin/dependency_simulation.h"
 
 namespace granitegap::deps {
 namespace {
 
-using membership::Life;
+using membership::BootId;
 using membership::Status;
 using membership::View;
 using namespace std::chrono_literals;
@@ -21,12 +21,12 @@
   p.name = "n" + std::to_string(n);
   p.hash = membership::name_hash(p.name);
   p.present = p.certain = Status::alive;
-  p.told.version = 1;
-  p.told.stage = membership::Stage::serving;
-  p.told.fill_port = std::uint16_t(8000 + n);
+  p.metadata.version = 1;
+  p.metadata.stage = membership::Stage::serving;
+  p.metadata.fill_port = std::uint16_t(8000 + n);
   p.address.ip = {127, 0, 0, 1};
   p.address.port = std::uint16_t(9000 + n);
-  p.life = Life(100 + n);
+  p.boot_id = BootId(100 + n);
   return p;
 }
 View view_for(std::size_t own, std::size_t members) {
@@ -41,10 +41,10 @@
 TEST(FillOwners, AllNameTheSameAndEachFillsItsShare) {
   constexpr std::size_t kMembers = 8;
   std::map<std::uint64_t, int> share;
-  std::vector<Owners> all(kMembers);
+  std::vector<KeyOwners> all(kMembers);
   for (std::size_t n = 0; n < kMembers; ++n) all[n].see(view_for(n, kMembers));
   for (int k = 0; k < 800; ++k) {
-    const auto key = fill_key("e", "/" + std::to_string(k));
+    const auto key = cache_fill_key("e", "/" + std::to_string(k));
     std::set<std::uint64_t> named;
     for (std::size_t n = 0; n < kMembers; ++n) {
       const auto o = all[n].of(key, {});
@@ -58,10 +58,10 @@
   // One goes: only its keys move.
   auto less = view_for(0, kMembers);
   less.peers.erase(less.peers.begin() + 2);
-  Owners after;
+  KeyOwners after;
   after.see(less);
   for (int k = 0; k < 800; ++k) {
-    const auto key = fill_key("e", "/" + std::to_string(k));
+    const auto key = cache_fill_key("e", "/" + std::to_string(k));
     const auto before = all[0].of(key, {});
     const auto now = after.of(key, {});
     if (!before || before->hash != member(3).hash) {
@@ -74,24 +74,24 @@
   const auto asked = [](const std::function<void(View&)>& change) {
     auto v = view_for(0, 3);
     change(v);
-    Owners o;
+    KeyOwners o;
     o.see(v);
     int n = 0;
-    for (int k = 0; k < 100; ++k) n += o.of(fill_key("e", std::to_string(k)), {}).has_value();
+    for (int k = 0; k < 100; ++k) n += o.of(cache_fill_key("e", std::to_string(k)), {}).has_value();
     return n;
   };
   EXPECT_GT(asked([](View&) {}), 40);
   EXPECT_EQ(asked([](View& v) { v.majority = false; }), 0);
   EXPECT_EQ(asked([](View& v) { v.uncertain = true; }), 0);
-  EXPECT_EQ(asked([](View& v) { v.hearing = membership::Hearing::deaf; }), 0);
-  EXPECT_EQ(asked([](View& v) { v.twin = true; }), 0);
+  EXPECT_EQ(asked([](View& v) { v.local_connectivity = membership::LocalConnectivity::deaf; }), 0);
+  EXPECT_EQ(asked([](View& v) { v.duplicate = true; }), 0);
   EXPECT_EQ(asked([](View& v) {
-              v.peers[0].told.fill_port = 0;
+              v.peers[0].metadata.fill_port = 0;
               v.peers[1].present = Status::suspect;
             }),
             0);
   EXPECT_EQ(asked([](View& v) {
-              v.peers[0].told.stage = membership::Stage::draining;
+              v.peers[0].metadata.stage = membership::Stage::draining;
               v.peers[1].certain = Status::dead;
             }),
             0);
@@ -99,7 +99,7 @@
 
 TEST(FillOwners, WhoDoesNotAnswerIsPassedOverForLongerEachTimeAndANewLifeIsNot) {
   auto v = view_for(0, 2);
-  Owners o;
+  KeyOwners o;
   o.see(v);
   std::uint64_t key = 0;
   while (!o.of(key, {})) ++key;
@@ -114,13 +114,13 @@
   EXPECT_FALSE(o.of(key, now + 1400ms));
   EXPECT_TRUE(o.of(key, now + 1500ms));
   o.failed(member(1).hash, now + 1500ms);
-  v.peers[0].life = Life(7);
+  v.peers[0].boot_id = BootId(7);
   o.see(v);
-  EXPECT_EQ(o.of(key, now + 1500ms)->life, Life(7));
+  EXPECT_EQ(o.of(key, now + 1500ms)->boot_id, BootId(7));
 }
 
-TEST(FillQuestion, IsReadAsItWasWrittenAndNothingElseIs) {
-  const FillQuestion q{Life(0xfedcba9876543210), "e.example.org:80", "/e?r=a%20b/c", 10s, 150ms};
+TEST(CacheFillRequest, IsReadAsItWasWrittenAndNothingElseIs) {
+  const CacheFillRequest q{BootId(0xfedcba9876543210), "e.example.org:80", "/e?r=a%20b/c", 10s, 150ms};
   EXPECT_EQ(read_target(target_of(q)), q);
   for (const char* bad : {"", "/", "/fill/", "/fill/1/2", "/fill/x/1/1/e/p", "/fill/1/-1/1/e/p",
                           "/fill/1/1/99999999999999999999/e/p", "/fill/1/1/1/e", "/fill/1/1/1//p",
@@ -178,9 +178,9 @@
   }
   // The member that fills it.
   std::size_t owner(std::uint64_t obj) {
-    Owners o;
+    KeyOwners o;
     o.see(view_for(0, all_.size()));
-    const auto who = o.of(fill_key("elevation.example.org", path_of(obj)), now);
+    const auto who = o.of(cache_fill_key("elevation.example.org", path_of(obj)), now);
     for (std::size_t n = 1; who && n < all_.size(); ++n)
       if (member(n).hash == who->hash) return n;
     return 0;
@@ -218,10 +218,10 @@
   }
   void settle(std::size_t n) {
     const std::vector<Action> actions(at(n).actions().begin(), at(n).actions().end());
-    std::vector<std::pair<std::string, Owner>> texts;
+    std::vector<std::pair<std::string, KeyOwner>> texts;
     for (const auto& a : actions)
       if (const auto* s = std::get_if<StartCall>(&a))
-        texts.emplace_back(*s->path, s->owner ? *s->owner : Owner{});
+        texts.emplace_back(*s->path, s->owner ? *s->owner : KeyOwner{});
     at(n).clear_actions();
     std::size_t text = 0;
     for (const auto& a : actions) {
@@ -261,7 +261,7 @@
     const auto question = read_target(target);
     ASSERT_TRUE(question);
     if (silent.contains(n)) return;
-    const bool mine = question->to == member(n).life && !other_lives.contains(n);
+    const bool mine = question->to == member(n).boot_id && !other_lives.contains(n);
     const auto id = ++next_;
     all_[n]->fills[id] = [this, by, call](const Bytes& body, Duration age) {
       later(1ms, [this, by, call, body, age] {
@@ -391,9 +391,9 @@
   for (std::uint64_t name = 1;; ++name) {
     third.hash = name;
     odd.peers = {third};
-    Owners o;
+    KeyOwners o;
     o.see(odd);
-    if (o.of(fill_key("elevation.example.org", path_of(key)), {})) break;
+    if (o.of(cache_fill_key("elevation.example.org", path_of(key)), {})) break;
   }
   m.at(owner).fleet(std::make_shared<View>(odd), m.now);
   m.ask(0, key);
--- a/tests/caller_test.cpp
+++ b/tests/dependency_client_test.cpp
@@ -1,5 +1,5 @@
 // Calls over HTTP against stand-in dependencies on loopback, one fault a case.
-#include "deps_http/caller.h"
+#include "deps_http/dependency_client.h"
 
 #include <doctest/doctest.h>
 
@@ -7,7 +7,7 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "edge/edge.h"
-#include "parts/compose.h"
+#include "partial_response/compose.h"
 #include "standin/dependency.h"
 
 namespace granitegap::deps_http {
@@ -32,7 +32,7 @@
     if (fault != FaultKind::none) phase.faults = {{fault, 1, std::chrono::seconds(7)}};
     return {{phase}, {}};
   }
-  edge::CallBelow call(std::uint64_t id) {
+  edge::DependencyCall call(std::uint64_t id) {
     return {deps::CallId{id},
             "/p",
             {"127.0.0.1", dependency.port(0)},
@@ -59,7 +59,7 @@
   Duration quiet = milliseconds(300);
   standin::Dependency dependency;
   std::vector<deps::CallReport> reports;
-  Caller caller;
+  DependencyClient caller;
 };
 
 TEST_CASE("a whole answer comes back, and its connection carries the next call") {
@@ -156,15 +156,15 @@
   std::vector<edge::GatheredPart> parts{{"small", PartStatus::fresh, milliseconds(5), body(100)},
                                         {"large", PartStatus::stale, milliseconds(9), body(5000)},
                                         {"gone", PartStatus::absent, {}, nullptr}};
-  const auto whole = granitegap::parts::compose("result", parts, 100000);
+  const auto whole = granitegap::partial_response::compose("result", parts, 100000);
   CHECK(whole.parts == "small,large");
   CHECK(whole.missing == "gone");
   CHECK(whole.bytes.size() > 5100);
-  const auto cut = granitegap::parts::compose("result", parts, 1000);
+  const auto cut = granitegap::partial_response::compose("result", parts, 1000);
   CHECK(cut.parts == "small");
   CHECK(cut.missing == "large,gone");
   CHECK(cut.bytes.size() < 1000);
-  const auto bare = granitegap::parts::compose("result", parts, 1);
+  const auto bare = granitegap::partial_response::compose("result", parts, 1);
   CHECK(bare.parts.empty());
   CHECK(bare.bytes.find("result") != std::string::npos);
 }
@@ -172,7 +172,7 @@
 TEST_CASE("a script's phases, endpoints and shares") {
   const auto read = [](const char* text) {
     return std::get<standin::Script>(
-        standin::read_script(std::get<records::Document>(records::parse(text, "s"))));
+        standin::read_script(std::get<typed_config::Document>(typed_config::parse(text, "s"))));
   };
   const auto script = read(R"(phases: [
 	{shape: "fixed", latency: 10ms},
@@ -196,8 +196,9 @@
     errors += standin::plan(script, 1, milliseconds(1500), random).fault == FaultKind::error;
   CHECK(errors > 900);
   CHECK(errors < 1100);
-  CHECK(std::holds_alternative<standin::Errors>(standin::read_scenario(std::get<records::Document>(
-      records::parse("name: \"x\"\nfault_to: 20s\nelevation: {phases: [{}]}\nnames: {phases: [{}]}", "s")))));
+  CHECK(std::holds_alternative<standin::Errors>(
+      standin::read_scenario(std::get<typed_config::Document>(typed_config::parse(
+          "name: \"x\"\nfault_to: 20s\nelevation: {phases: [{}]}\nnames: {phases: [{}]}", "s")))));
 }
 
 }  // namespace
--- a/tests/deps_test.cpp
+++ b/tests/deps_test.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "standin/deps_world.h"
+#include "standin/dependency_simulation.h"
 
 namespace granitegap::deps {
 namespace {
@@ -181,7 +181,7 @@
 
 TEST(ScatterGather, HangIsNoticedWhereEveryBudgetEndsBeforeATimeout) {
   auto spec = two_dependencies();
-  spec.dependencies[0].timeout_least = milliseconds(500);
+  spec.dependencies[0].min_timeout = milliseconds(500);
   spec.gathers[0].parts[0].within = milliseconds(60);
   World w(spec, 1);
   flow(w, seconds(1), milliseconds(10), 1000);
@@ -194,7 +194,7 @@
 
 TEST(ScatterGather, SlowDependencyTakesNeitherSlotsNorTime) {
   auto spec = two_dependencies();
-  spec.dependencies[0].most_open = 32;
+  spec.dependencies[0].max_open = 32;
   World w(spec, 3);
   flow(w, seconds(3), milliseconds(5), 1000);
   w.behaviour = [](std::uint32_t d, auto, auto) {
@@ -227,14 +227,14 @@
 
 TEST(ScatterGather, RecoveryAfterALongOutageIsNoStampede) {
   auto spec = two_dependencies();
-  spec.dependencies[0].least_open = 16;  // whatever the failures cut it to, it is begun anew from one
+  spec.dependencies[0].min_open = 16;  // whatever the failures cut it to, it is begun anew from one
   World w(spec, 1);
   flow(w, seconds(2), milliseconds(5), 1000);
   w.behaviour = [](auto, auto, auto) { return Reply{.never = true}; };
   flow(w, seconds(60), milliseconds(20), 50000);
   const auto back_at = w.now;
   w.behaviour = [](auto, auto, auto) { return Reply{.after = milliseconds(10)}; };
-  std::uint32_t most_at_first = 0;
+  std::uint32_t max_at_first = 0;
   std::uint64_t key = 200000;
   std::optional<TimePoint> heard;
   for (; w.now < back_at + seconds(3); w.run_for(milliseconds(5))) {
@@ -242,14 +242,14 @@
     const bool out = w.gatherer.out(0);
     if (!out && !heard) {
       heard = w.now;
-      most_at_first = w.gatherer.open_calls(0);
+      max_at_first = w.gatherer.open_calls(0);
       EXPECT_LE(w.gatherer.limit(0), 2u);
     }
     EXPECT_LE(w.gatherer.open_calls(0), std::max(w.gatherer.limit(0), 3u));
   }
   ASSERT_TRUE(heard);
   EXPECT_LE(*heard - back_at, seconds(2));
-  EXPECT_LE(most_at_first, 3u);  // from one, not from where it stood
+  EXPECT_LE(max_at_first, 3u);  // from one, not from where it stood
   const auto after = flow(w, seconds(1), milliseconds(5), 900000);
   w.run_for(seconds(1));
   EXPECT_GE(share_whole(w, after), 0.98);
@@ -336,8 +336,8 @@
 
 TEST(ScatterGather, QueueIsBoundedAndItsWaitersLeaveWithTheirBudget) {
   auto spec = two_dependencies();
-  spec.dependencies[0].most_open = 4;
-  spec.dependencies[0].most_waiting = 10;
+  spec.dependencies[0].max_open = 4;
+  spec.dependencies[0].max_waiting = 10;
   World w(spec, 1);
   w.behaviour = [](std::uint32_t d, auto, auto) { return d == 0 ? Reply{.never = true} : Reply{}; };
   std::vector<RequestId> ids;
@@ -385,7 +385,7 @@
 
 TEST(ScatterGather, NobodyWaitsForASlotThatCannotBeFreeInTime) {
   auto spec = two_dependencies();
-  spec.dependencies[0].least_open = spec.dependencies[0].most_open = 2;
+  spec.dependencies[0].min_open = spec.dependencies[0].max_open = 2;
   spec.dependencies[0].hedge_after = 0;
   World w(spec, 1);
   w.behaviour = [](std::uint32_t d, auto, auto) { return Reply{.after = milliseconds(d == 0 ? 110 : 1)}; };
@@ -448,9 +448,9 @@
     const auto draw = [&](double most) { return std::uniform_real_distribution<double>(0, most)(chance); };
     auto spec = two_dependencies();
     for (auto& d : spec.dependencies) {
-      d.most_open = 1 + std::uint32_t(draw(30));
-      d.least_open = 1;
-      d.most_waiting = std::uint32_t(draw(30));
+      d.max_open = 1 + std::uint32_t(draw(30));
+      d.min_open = 1;
+      d.max_waiting = std::uint32_t(draw(30));
       d.endpoints.resize(1 + std::size_t(draw(2)));
     }
     spec.gathers[0].parts[0].required = seed % 3 == 0;
@@ -597,7 +597,7 @@
 }
 
 TEST(Cache, IsBoundedInBytesAndSurvivesAScan) {
-  PartCache cache(200 * 1024);
+  ResponseCache cache(200 * 1024);
   const TimePoint now(seconds(1));
   const auto body = std::make_shared<const std::string>(900, 'x');
   const auto key = [](std::uint64_t n) { return key_of(0, "/e/" + std::to_string(n), 5); };
@@ -618,7 +618,7 @@
 }
 
 TEST(Cache, AgreesWithAPlainMapOfWhatItKeeps) {
-  PartCache cache(30 * 1024);
+  ResponseCache cache(30 * 1024);
   std::map<std::uint64_t, std::string> model;
   std::mt19937_64 chance(9);
   const TimePoint now(seconds(1));
@@ -636,7 +636,7 @@
 }
 
 TEST(Cache, TellsWhatIsAskedForMost) {
-  PartCache cache(200 * 1024);
+  ResponseCache cache(200 * 1024);
   const TimePoint now(seconds(1));
   const auto body = std::make_shared<const std::string>(900, 'x');
   const auto path = [](std::uint64_t n) { return "/e/" + std::to_string(n); };
@@ -660,12 +660,12 @@
   before.run_for(seconds(4));
   before.ask(8);
   before.run_for(seconds(1));
-  learned::Learned what;
+  warm_state::WarmState what;
   before.gatherer.export_to(what, before.now);
   ASSERT_EQ(what.parts.size(), 4u);
 
   World after(spec, 2);  // another seed: other keys
-  EXPECT_EQ(after.gatherer.learn(learned::faded(what, seconds(2)), after.now).parts, 4u);
+  EXPECT_EQ(after.gatherer.learn(warm_state::aged(what, seconds(2)), after.now).parts, 4u);
   const auto fresh = after.ask(7);
   EXPECT_EQ(parts_of(after, fresh), (std::vector{S::fresh, S::fresh}));
   EXPECT_EQ(after.outcomes[fresh].bodies[0], "data of /e/0000000000000007");
@@ -681,8 +681,8 @@
   EXPECT_EQ(after.gatherer.learn(what, after.now - seconds(30)).parts, 0u);
   // Past every declared age, and of no known age, nothing is taken over.
   World late(spec, 3);
-  EXPECT_EQ(late.gatherer.learn(learned::faded(what, seconds(61)), late.now).parts, 0u);
-  EXPECT_EQ(late.gatherer.learn(learned::faded(what, std::nullopt), late.now).parts, 0u);
+  EXPECT_EQ(late.gatherer.learn(warm_state::aged(what, seconds(61)), late.now).parts, 0u);
+  EXPECT_EQ(late.gatherer.learn(warm_state::aged(what, std::nullopt), late.now).parts, 0u);
   expect_sound(after);
 }
 
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -269,9 +269,9 @@
       for (auto at = text.find(capitals); at != std::string::npos; at = text.find(capitals))
         text.replace(at, capitals.size(), std::to_string(door.local_endpoint().port()));
     }
-    const auto document = records::parse(text, cue.filename().string());
-    if (const auto* error = std::get_if<records::Error>(&document)) return operators::Errors{*error};
-    return operators::read(std::get<records::Document>(document));
+    const auto document = typed_config::parse(text, cue.filename().string());
+    if (const auto* error = std::get_if<typed_config::Error>(&document)) return operators::Errors{*error};
+    return operators::read(std::get<typed_config::Document>(document));
   }
   template <class Protocol>
   static typename Protocol::endpoint any_port() {
@@ -291,7 +291,8 @@
   void advance(std::int64_t by) {
     passed_ += by;
     asio::post(context_, [&] {
-      REQUIRE(server_->module().mailbox().post(edge::PeerGone{}));  // no such peer: only wakes the module
+      REQUIRE(
+          server_->module().mailbox().post(edge::PeerDisconnected{}));  // no such peer: only wakes the module
     });
     const auto hang = std::chrono::steady_clock::now() + std::chrono::seconds(kHangSeconds);
     for (bool over = false; !over; std::this_thread::yield()) {
@@ -392,7 +393,7 @@
   bool over = false;
   std::size_t seen_full = 0;
   std::function<void()> refill = [&] {
-    while (server.module().mailbox().post(edge::PeerGone{})) {
+    while (server.module().mailbox().post(edge::PeerDisconnected{})) {
     }
     ++seen_full;
     if (!over) asio::post(context, refill);
--- a/tests/upgrade_test.cpp
+++ b/tests/hot_restart_process_test.cpp
@@ -9,7 +9,7 @@
 #include <cstdio>
 #include <list>
 
-#include "fleet/runner.h"
+#include "fleet/process_fleet.h"
 #include "standin/caller.h"
 
 namespace granitegap::fleet {
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -111,7 +111,7 @@
   }
 
   asio::io_context io;
-  edge::Catalog catalog;
+  edge::NameRegistry catalog;
   Mailbox<edge::Input> mailbox{io.get_executor(), 1000};
   Logger log{"test", LogForm::text};
   net::Listener listener{
--- a/tests/membership_codec_test.cpp
+++ b/tests/membership_codec_test.cpp
@@ -23,81 +23,82 @@
     a.port = std::uint16_t(1 + upto(65534));
     return a;
   }
-  Told told() {
-    Told t{any32(),
-           Stage(upto(4)),
-           std::uint8_t(upto(100)),
-           std::uint8_t(upto(100)),
-           random(),
-           {},
-           {},
-           {},
-           {},
-           std::uint16_t(random()),
-           Life(random()),
-           {},
-           {}};
+  MemberMetadata metadata() {
+    MemberMetadata t{any32(),
+                     Stage(upto(4)),
+                     std::uint8_t(upto(100)),
+                     std::uint8_t(upto(100)),
+                     random(),
+                     {},
+                     {},
+                     {},
+                     {},
+                     std::uint16_t(random()),
+                     BootId(random()),
+                     {},
+                     {}};
     if (upto(1))
-      t.course = {std::uint8_t(upto(kMostCourse)), std::uint8_t(upto(100)), std::uint16_t(random()), any32()};
-    t.zone = upto(1) ? name(kMostZone) : "";
-    if (upto(1)) t.twin = address();
+      t.recovery_status = {std::uint8_t(upto(kMaxCourse)), std::uint8_t(upto(100)), std::uint16_t(random()),
+                           any32()};
+    t.zone = upto(1) ? name(kMaxZone) : "";
+    if (upto(1)) t.duplicate = address();
     if (upto(1)) t.second = address();
-    for (auto k = upto(kMostLinkFaults); k > 0; --k) t.links.push_back({random(), upto(1) == 1});
-    for (auto k = upto(kMostFindings); k > 0; --k) t.findings.push_back({random(), upto(1) == 1});
+    for (auto k = upto(kMaxLinkFaults); k > 0; --k) t.links.push_back({random(), upto(1) == 1});
+    for (auto k = upto(kMaxEndpointHealth); k > 0; --k) t.endpoint_health.push_back({random(), upto(1) == 1});
     return t;
   }
   Record record() {
-    Record r{name(kMostName), address(), Life(random()), random() >> 2,
-             Status(upto(3)), random(),  any32(),        std::nullopt};
-    if (upto(1)) r.told = told();
+    Record r{name(kMaxName),  address(), BootId(random()), random() >> 2,
+             Status(upto(3)), random(),  any32(),          std::nullopt};
+    if (upto(1)) r.metadata = metadata();
     return r;
   }
   Body body() {
     switch (upto(8)) {
       case 0:
-        return Ping{any32(), upto(1) ? name(kMostName) : "", upto(1) ? name(kMostName) : "", upto(1) == 1};
+        return Ping{any32(), upto(1) ? name(kMaxName) : "", upto(1) ? name(kMaxName) : "", upto(1) == 1};
       case 1:
         return Ack{any32(), any32(), upto(1) == 1};
       case 2:
-        return Ask{any32(), name(kMostName), address()};
+        return PingRequest{any32(), name(kMaxName), address()};
       case 3:
-        return Relayed{any32(), name(kMostName), any32()};
+        return IndirectAck{any32(), name(kMaxName), any32()};
       case 4:
         return Nack{any32()};
       case 5: {
-        ExchangeAsk ask{any32(), upto(1) == 1, {}};
+        SyncRequest ask{any32(), upto(1) == 1, {}};
         ask.sums.resize(upto(1) ? std::size_t(8) << upto(4) : 0);
         for (auto& s : ask.sums) s = any32();
         return ask;
       }
       case 6:
-        return Piece{any32(), std::uint16_t(upto(65535)), upto(1) == 1};
+        return SyncChunk{any32(), std::uint16_t(upto(65535)), upto(1) == 1};
       case 7:
-        return TwinNotice{Life(random())};
+        return NameConflict{BootId(random())};
       default:
-        return Tidings{};
+        return GossipOnly{};
     }
   }
   Datagram datagram() {
-    Datagram d{{name(kMostName), address(), Life(random()), random() >> 2, any32()}, body(), {}, 0};
+    Datagram d{{name(kMaxName), address(), BootId(random()), random() >> 2, any32()}, body(), {}, 0};
     for (;;) {
       auto r = record();
-      if (most_bytes(d) + most_bytes(r) > kMostDatagram || upto(7) == 0) break;
+      if (max_bytes(d) + max_bytes(r) > kMaxDatagram || upto(7) == 0) break;
       d.updates.push_back(std::move(r));
     }
-    if (upto(3) == 0 && most_bytes(d) + 3 < kMostDatagram)
-      d.filler = std::uint16_t(upto(kMostDatagram - most_bytes(d) - 3));
+    if (upto(3) == 0 && max_bytes(d) + 3 < kMaxDatagram)
+      d.filler = std::uint16_t(upto(kMaxDatagram - max_bytes(d) - 3));
     return d;
   }
 };
 
 TEST(MembershipCodec, ReadsWhatItMakesWithinItsBounds) {
   Maker make{std::mt19937_64(1)};
-  const std::string cluster(kMostName, 'c');
+  const std::string cluster(kMaxName, 'c');
   for (int k = 0; k < 5000; ++k) {
     const auto d = make.datagram();
     const auto bytes = encode(d, cluster);
-    ASSERT_LE(bytes.size(), most_bytes(d));
+    ASSERT_LE(bytes.size(), max_bytes(d));
     const auto back = decode(bytes, cluster);
     ASSERT_TRUE(std::holds_alternative<Datagram>(back));
     ASSERT_EQ(std::get<Datagram>(back), d);
@@ -129,8 +130,8 @@
     const auto back = decode(again, "c");
     if (const auto* d = std::get_if<Datagram>(&back)) {
       ++read;
-      ASSERT_LE(d->from.name.size(), kMostName);
-      for (const auto& r : d->updates) ASSERT_TRUE(!r.name.empty() && r.name.size() <= kMostName);
+      ASSERT_LE(d->from.name.size(), kMaxName);
+      for (const auto& r : d->updates) ASSERT_TRUE(!r.name.empty() && r.name.size() <= kMaxName);
       (void)encode(*d, "c");
     }
   }
@@ -167,19 +168,19 @@
                          {3, 45, 9001, 0},
                          {"n3"},
                          {}});
-  reply.way_back.emplace();
-  reply.way_back->phase = "ramping";
-  reply.way_back->reached_ms[2] = 1500;
-  reply.way_back->sources = {{"n4", 20}};
+  reply.recovery_report.emplace();
+  reply.recovery_report->phase = "ramping";
+  reply.recovery_report->reached_ms[2] = 1500;
+  reply.recovery_report->sources = {{"n4", 20}};
   const auto r = decode(encode(reply), "other");
   ASSERT_TRUE(std::holds_alternative<Reply>(r));
   EXPECT_EQ(std::get<Reply>(r).lines.at(0).unheard_from.at(0), "n3");
   EXPECT_EQ(std::get<Reply>(r).lines.at(0).status, Status::suspect);
-  EXPECT_EQ(std::get<Reply>(r).lines.at(0).course.offered, 45);
-  ASSERT_TRUE(std::get<Reply>(r).way_back);
-  EXPECT_EQ(std::get<Reply>(r).way_back->reached_ms, reply.way_back->reached_ms);
-  EXPECT_EQ(std::get<Reply>(r).way_back->sources.at(0).name, "n4");
-  EXPECT_TRUE(std::get<Query>(decode(encode(Query{7, 3, true}), "any")).way_back);
+  EXPECT_EQ(std::get<Reply>(r).lines.at(0).recovery_status.offered, 45);
+  ASSERT_TRUE(std::get<Reply>(r).recovery_report);
+  EXPECT_EQ(std::get<Reply>(r).recovery_report->reached_ms, reply.recovery_report->reached_ms);
+  EXPECT_EQ(std::get<Reply>(r).recovery_report->sources.at(0).name, "n4");
+  EXPECT_TRUE(std::get<Query>(decode(encode(Query{7, 3, true}), "any")).recovery_report);
 }
 
 }  // namespace
--- a/tests/membership_digest_test.cpp
+++ b/tests/membership_digest_test.cpp
@@ -10,11 +10,11 @@
   Record r;
   r.name = "n" + std::to_string(n);
   r.address.port = std::uint16_t(9000 + n);
-  r.life = Life(n + 1);
+  r.boot_id = BootId(n + 1);
   r.incarnation = incarnation;
   r.status = status;
-  r.told = Told{};
-  r.told->version = 1;
+  r.metadata = MemberMetadata{};
+  r.metadata->version = 1;
   return r;
 }
 
@@ -53,37 +53,39 @@
 TEST(Digest, LoadIsNoDifferenceAndAStageIs) {
   Held a(0, 50), b(0, 50);
   auto warmer = record(4);
-  warmer.told->version = 2;
-  warmer.told->warmth = 50;
+  warmer.metadata->version = 2;
+  warmer.metadata->warmth = 50;
   b.take(warmer);
   EXPECT_TRUE(differing(a.digest(record(99)), b.digest(record(99))).none());
-  warmer.told->version = 3;
-  warmer.told->stage = Stage::serving;
+  warmer.metadata->version = 3;
+  warmer.metadata->stage = Stage::serving;
   b.take(warmer);
   EXPECT_EQ(differing(a.digest(record(99)), b.digest(record(99))).count(), 1u);
 }
 
-// Where others are told what it has learned and whether it is in service, lost once, still comes by an exchange.
+// Where others are told what it has learned and whether it is in service, lost once, still comes by an
+// exchange.
 TEST(Digest, AWayBackIsADifferenceAndWhatIsOfferedIsNone) {
-  for (const auto& course : {Course{4, 100, 0, 0}, Course{0, 100, 9000, 0}, Course{0, 100, 0, 1500}}) {
+  for (const auto& course :
+       {RecoveryStatus{4, 100, 0, 0}, RecoveryStatus{0, 100, 9000, 0}, RecoveryStatus{0, 100, 0, 1500}}) {
     Held a(0, 50), b(0, 50);
-    auto told = record(4);
-    told.told->version = 2;
-    told.told->course = course;
-    b.take(told);
+    auto metadata = record(4);
+    metadata.metadata->version = 2;
+    metadata.metadata->recovery_status = course;
+    b.take(metadata);
     EXPECT_EQ(differing(a.digest(record(99)), b.digest(record(99))).count(), 1u);
-    told.told->version = 3;
-    told.told->course.offered = 40;
-    a.take(told);
+    metadata.metadata->version = 3;
+    metadata.metadata->recovery_status.offered = 40;
+    a.take(metadata);
     EXPECT_TRUE(differing(a.digest(record(99)), b.digest(record(99))).none());
   }
 }
 
 TEST(Digest, WhoKnowsNothingWantsEverything) {
   EXPECT_TRUE(differing({1, 2, 3, 4, 5, 6, 7, 8}, {}).all());
-  EXPECT_EQ(buckets_for(0), kLeastBuckets);
+  EXPECT_EQ(buckets_for(0), kMinBuckets);
   EXPECT_EQ(buckets_for(100), 16u);
-  EXPECT_EQ(buckets_for(100000), kMostBuckets);
+  EXPECT_EQ(buckets_for(100000), kMaxBuckets);
 }
 
 }  // namespace
--- a/tests/fleet_test.cpp
+++ b/tests/membership_process_test.cpp
@@ -9,14 +9,14 @@
 #include <set>
 #include <thread>
 
-#include "fleet/runner.h"
+#include "fleet/process_fleet.h"
 #include "membership_udp/actor.h"
 #include "standin/caller.h"
 
 namespace granitegap::fleet {
 namespace {
 
-using membership::Hearing;
+using membership::LocalConnectivity;
 using membership::Status;
 using namespace std::chrono_literals;
 
@@ -44,7 +44,9 @@
       if (const auto v = view(name); !v || v->agreed != n) return false;
     return true;
   }
-  Hearing hearing(const std::string& name) const { return view(name).value().hearing; }
+  LocalConnectivity local_connectivity(const std::string& name) const {
+    return view(name).value().local_connectivity;
+  }
   // Nobody but these was held dead by anybody.
   void only_these_died(const Names& these) const {
     for (const auto& who : names())
@@ -218,11 +220,12 @@
   Trial f(6);
   f.form();
   const auto cut = f.cut({"n4"}, {});
-  EXPECT_TRUE(f.until([&] { return f.hearing("n4") == Hearing::unheard; }, kLong));
+  EXPECT_TRUE(f.until([&] { return f.local_connectivity("n4") == LocalConnectivity::unheard; }, kLong));
   EXPECT_FALSE(f.view("n4")->majority);
   EXPECT_TRUE(f.until([&] { return f.holds("n0", "n4") == Status::dead; }, kLong));
   f.mend(cut);
-  EXPECT_TRUE(f.until([&] { return f.agree() && f.hearing("n4") == Hearing::ok; }, kLong));
+  EXPECT_TRUE(
+      f.until([&] { return f.agree() && f.local_connectivity("n4") == LocalConnectivity::ok; }, kLong));
   f.only_these_died({"n4"});
 }
 
@@ -230,9 +233,10 @@
   Trial f(6);
   f.form();
   const auto cut = f.cut({}, {"n4"});
-  EXPECT_TRUE(f.until([&] { return f.hearing("n4") == Hearing::deaf; }, kLong));
+  EXPECT_TRUE(f.until([&] { return f.local_connectivity("n4") == LocalConnectivity::deaf; }, kLong));
   f.mend(cut);
-  EXPECT_TRUE(f.until([&] { return f.agree() && f.hearing("n4") == Hearing::ok; }, kLong));
+  EXPECT_TRUE(
+      f.until([&] { return f.agree() && f.local_connectivity("n4") == LocalConnectivity::ok; }, kLong));
   f.only_these_died({"n4"});
 }
 
@@ -326,14 +330,14 @@
 TEST(Fleet, TwoUnderOneNameBothSaySo) {
   Trial f(4);
   f.form();
-  const auto twin = f.start_twin("n1");
+  const auto duplicate = f.start_twin("n1");
   EXPECT_TRUE(f.until(
       [&] {
         return f.times("n1", "another process lives under this name") == 1 &&
-               f.times(twin, "another process lives under this name") == 1;
+               f.times(duplicate, "another process lives under this name") == 1;
       },
       kLong));
-  f.kill(twin);
+  f.kill(duplicate);
   EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong)) << f.state();
 }
 
@@ -342,7 +346,7 @@
   f.form();
   std::mt19937_64 random(7);
   const membership::Datagram valid{
-      {"n1", f.advertised("n1"), membership::Life(1), 1, 1}, membership::Ping{1, "n0", {}}, {}, 0};
+      {"n1", f.advertised("n1"), membership::BootId(1), 1, 1}, membership::Ping{1, "n0", {}}, {}, 0};
   for (int k = 0; k < 5000; ++k) {
     std::string bytes(random() % 1500, '\0');
     for (auto& c : bytes) c = char(random());
@@ -371,7 +375,8 @@
   // Until the way round is known to all, one may be suspect for a moment: it is seen to hold, not at once.
   const auto carried = [&] {
     for (const auto& name : f.names())
-      if (const auto v = f.view(name); !v || v->hearing != Hearing::ok || !v->majority) return false;
+      if (const auto v = f.view(name); !v || v->local_connectivity != LocalConnectivity::ok || !v->majority)
+        return false;
     return f.agree();
   };
   EXPECT_TRUE(f.until(carried, kLong)) << f.state();
@@ -403,17 +408,17 @@
   f.form();
   const auto advice = [&] {
     std::mutex mutex;
-    std::multiset<std::int64_t> told;
+    std::multiset<std::int64_t> metadata;
     std::vector<std::thread> callers;
     for (int k = 0; k < 48; ++k)
       callers.emplace_back([&, k] {
         standin::Caller caller(f.port("n0"), 1 + k);
         const auto a = caller.ask({"tile", "x", {}, {}, 400});
         const std::lock_guard lock(mutex);
-        if (a && a->code == 1 && a->backoff > 0ms) told.insert(a->backoff.count());
+        if (a && a->code == 1 && a->backoff > 0ms) metadata.insert(a->backoff.count());
       });
     for (auto& c : callers) c.join();
-    return told;
+    return metadata;
   };
   // The first runs teach it how long they are.
   EXPECT_TRUE(f.until([&] { return advice().size() > 8; }, kLong));
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -5,17 +5,18 @@
 #include <set>
 #include <tuple>
 
-#include "fleet/simulated.h"
+#include "fleet/simulated_fleet.h"
 
 namespace granitegap::membership {
 namespace {
 
-using fleet::Simulated;
+using fleet::SimulatedFleet;
 using standin::Rule;
 using namespace std::chrono_literals;
 
-struct Fleet : Simulated {
-  explicit Fleet(std::size_t n, std::uint64_t seed = 1, Options options = {}) : Simulated(options, seed, n) {
+struct Fleet : SimulatedFleet {
+  explicit Fleet(std::size_t n, std::uint64_t seed = 1, Options options = {})
+      : SimulatedFleet(options, seed, n) {
     on_change = [this](Node who, const Change& c) {
       if (c.own && c.kind == ChangeKind::died) dead_by[c.name].insert(who);
       never_back(who, c);
@@ -25,13 +26,13 @@
   // it.
   void never_back(Node who, const Change& c) {
     if (c.kind == ChangeKind::forgotten) {
-      held.erase({who, member(who).self().life, c.name});
+      held.erase({who, member(who).self().boot_id, c.name});
       return;
     }
     const auto& roster = member(who).roster();
     const auto i = roster.find(c.name);
     if (i == kNobody || !roster.at(i).known) return;
-    auto& highest = held[{who, member(who).self().life, c.name}];
+    auto& highest = held[{who, member(who).self().boot_id, c.name}];
     EXPECT_GE(roster.at(i).incarnation, highest) << name(who) << " of " << c.name;
     highest = roster.at(i).incarnation;
     ++changes_held;
@@ -48,21 +49,21 @@
     for (Node n = from; n < to; ++n) s.insert(name(n));
     return s;
   }
-  standin::Weather::RuleId cut(std::set<std::string> from, std::set<std::string> to, bool both = true) {
+  standin::FaultInjector::RuleId cut(std::set<std::string> from, std::set<std::string> to, bool both = true) {
     Rule r;
     r.from = std::move(from);
     r.to = std::move(to);
     r.both = both;
     r.cut = true;
-    return weather().add(r);
+    return fault_injector().add(r);
   }
-  standin::Weather::RuleId loss(double share) {
+  standin::FaultInjector::RuleId loss(double share) {
     Rule r;
     r.loss = share;
-    return weather().add(r);
+    return fault_injector().add(r);
   }
   std::map<std::string, std::set<Node>> dead_by;
-  std::map<std::tuple<Node, Life, std::string>, Incarnation> held;
+  std::map<std::tuple<Node, BootId, std::string>, Incarnation> held;
   std::size_t changes_held = 0;
 };
 
@@ -81,7 +82,7 @@
   EXPECT_TRUE(f.agree());
   EXPECT_EQ(f.figures().false_dead, 0u);
   EXPECT_EQ(f.figures().flaps, 0u);
-  EXPECT_LE(f.figures().largest, kMostDatagram);
+  EXPECT_LE(f.figures().largest, kMaxDatagram);
   for (std::size_t n = 0; n < f.size(); ++n) {
     EXPECT_TRUE(f.member(n).majority());
     EXPECT_FALSE(f.member(n).uncertain());
@@ -138,7 +139,7 @@
   r.burst_loss = 1;
   r.good_for = 10s;
   r.bad_for = 2s;
-  f.weather().add(r);
+  f.fault_injector().add(r);
   f.run_for(60s);
   EXPECT_EQ(f.figures().false_dead, 0u);
 }
@@ -207,7 +208,7 @@
   f.run_for(30s);
   EXPECT_TRUE(f.agree());
   EXPECT_TRUE(f.dead_by.empty());
-  f.weather().remove(rule);
+  f.fault_injector().remove(rule);
   EXPECT_TRUE(f.run_until([&] { return !edge(1, 2) && !edge(2, 1); }, 30s));
 }
 
@@ -215,24 +216,25 @@
   Fleet f(16);
   f.form();
   const auto rule = f.cut({"n5"}, {}, false);
-  EXPECT_TRUE(f.run_until([&] { return f.member(5).hearing() == Hearing::unheard; }, 5s));
+  EXPECT_TRUE(
+      f.run_until([&] { return f.member(5).local_connectivity() == LocalConnectivity::unheard; }, 5s));
   EXPECT_TRUE(f.run_until([&] { return f.all_know(5, Status::dead); }, 5s));
   f.run_for(20s);
   EXPECT_EQ(f.dead_by.size(), 1u);
   EXPECT_FALSE(f.member(5).majority());
-  f.weather().remove(rule);
+  f.fault_injector().remove(rule);
   EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 5s));
-  EXPECT_EQ(f.member(5).hearing(), Hearing::ok);
+  EXPECT_EQ(f.member(5).local_connectivity(), LocalConnectivity::ok);
 }
 
 TEST(Membership, WhoHearsNobodyKnowsItAndBlamesNobody) {
   Fleet f(16);
   f.form();
   const auto rule = f.cut({}, {"n5"}, false);
-  EXPECT_TRUE(f.run_until([&] { return f.member(5).hearing() == Hearing::deaf; }, 5s));
+  EXPECT_TRUE(f.run_until([&] { return f.member(5).local_connectivity() == LocalConnectivity::deaf; }, 5s));
   f.run_for(20s);
   for (const auto& [name, by] : f.dead_by) EXPECT_EQ(name, "n5");
-  f.weather().remove(rule);
+  f.fault_injector().remove(rule);
   EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 5s));
 }
 
@@ -249,7 +251,7 @@
       5s));
   f.run_for(15s);
   EXPECT_TRUE(f.dead_by.empty());
-  f.weather().remove(rule);
+  f.fault_injector().remove(rule);
   EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 5s));
 }
 
@@ -268,7 +270,7 @@
     EXPECT_TRUE(f.member(n).majority());
     EXPECT_EQ(f.holds(n, 0), Status::dead);
   }
-  f.weather().remove(rule);
+  f.fault_injector().remove(rule);
   EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 10s));
 }
 
@@ -279,7 +281,7 @@
   f.cut(f.names(6, 12), f.names(12, 18));
   f.run_for(30s);
   EXPECT_TRUE(f.dead_by.empty());
-  f.weather().clear();
+  f.fault_injector().clear();
   EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 5s));
 }
 
@@ -294,7 +296,7 @@
     f.start(n);
   }
   f.run_for(10s);
-  f.weather().clear();
+  f.fault_injector().clear();
   EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 15s));
   const auto& r = f.member(0).roster();
   EXPECT_EQ(r.at(r.find("n11")).address.port, 9500);
@@ -310,31 +312,31 @@
   EXPECT_TRUE(f.run_until([&] { return f.agree() && f.member(4).incarnation() > before; }, 5s));
   f.run_for(10s);
   EXPECT_TRUE(f.dead_by.empty());
-  EXPECT_FALSE(f.member(4).twin());
+  EXPECT_FALSE(f.member(4).duplicate());
   for (std::size_t n = 0; n < 12; ++n)
     if (n != 4) {
       const auto& r = f.member(n).roster();
-      EXPECT_EQ(r.at(r.find("n4")).life, f.identity(4).life);
+      EXPECT_EQ(r.at(r.find("n4")).boot_id, f.identity(4).boot_id);
     }
 }
 
 TEST(Membership, TwoUnderOneNameBothSaySoAndTheViewStands) {
   Fleet f(10);
   f.form();
-  const auto twin = f.clone(4);
-  f.start(twin);
-  EXPECT_TRUE(f.run_until([&] { return f.member(4).twin() && f.member(twin).twin(); }, 10s));
-  EXPECT_EQ(*f.member(4).twin(), f.identity(twin).address);
-  EXPECT_EQ(*f.member(twin).twin(), f.identity(4).address);
+  const auto duplicate = f.clone(4);
+  f.start(duplicate);
+  EXPECT_TRUE(f.run_until([&] { return f.member(4).duplicate() && f.member(duplicate).duplicate(); }, 10s));
+  EXPECT_EQ(*f.member(4).duplicate(), f.identity(duplicate).address);
+  EXPECT_EQ(*f.member(duplicate).duplicate(), f.identity(4).address);
   f.run_for(5s);
   std::size_t changes = 0;
   f.on_change = [&](auto who, const Change& c) {
-    changes += who != 4 && who != twin && c.name == "n4" && c.kind != ChangeKind::told;
+    changes += who != 4 && who != duplicate && c.name == "n4" && c.kind != ChangeKind::metadata;
   };
   f.run_for(20s);
   EXPECT_EQ(changes, 0u);
-  f.kill(twin);
-  EXPECT_TRUE(f.run_until([&] { return !f.member(4).twin(); }, 20s));
+  f.kill(duplicate);
+  EXPECT_TRUE(f.run_until([&] { return !f.member(4).duplicate(); }, 20s));
   EXPECT_TRUE(f.run_until(
       [&] {
         for (std::size_t n = 0; n < 10; ++n)
@@ -347,24 +349,26 @@
 // One life alone with what a neighbour tells it of a twin that has superseded it.
 struct Superseded {
   TimePoint now{1h};
-  Member member{{}, Identity{"n1", "z", address(1), {}, Life(1), 10}, 1, now};
-  Superseded() { member.introduce({{"n0", address(0), Life(9), 1, Status::alive, 0, 0, std::nullopt}}, now); }
+  Member member{{}, Identity{"n1", "z", address(1), {}, BootId(1), 10}, 1, now};
+  Superseded() {
+    member.introduce({{"n0", address(0), BootId(9), 1, Status::alive, 0, 0, std::nullopt}}, now);
+  }
   static Address address(std::uint16_t n) {
     Address a;
     a.port = std::uint16_t(4000 + n);
     return a;
   }
-  void told(Incarnation twin, Status status) {
-    Told t;
+  void metadata(Incarnation duplicate, Status status) {
+    MemberMetadata t;
     t.version = 1;
-    t.beyond = Life(1);
+    t.superseded_boot_id = BootId(1);
     Datagram d;
     d.from.name = "n0";
     d.from.address = address(0);
-    d.from.life = Life(9);
+    d.from.boot_id = BootId(9);
     d.from.incarnation = d.from.sent_ms = 1;
-    d.body = Tidings{};
-    d.updates.push_back({"n1", address(2), Life(2), twin, status, 0, 0, t});
+    d.body = GossipOnly{};
+    d.updates.push_back({"n1", address(2), BootId(2), duplicate, status, 0, 0, t});
     member.receive(d, 500, now);
   }
   void pass(Duration time) {
@@ -378,20 +382,20 @@
 // Guards against a tie that nobody answers: the dead twin's number is this life's own.
 TEST(Membership, WhoOutlivedItsTwinGoesBeyondItEvenFromTheSameIncarnation) {
   Superseded s;
-  s.told(10, Status::dead);
+  s.metadata(10, Status::dead);
   EXPECT_EQ(s.member.incarnation(), 11u);
-  s.told(10, Status::dead);  // late
+  s.metadata(10, Status::dead);  // late
   EXPECT_EQ(s.member.incarnation(), 11u);
 }
 
 TEST(Membership, WhoTakesItsNameBackGoesBeyondAllThatItsTwinWas) {
   Superseded s;
-  s.told(10, Status::alive);
-  ASSERT_TRUE(s.member.twin());
-  s.told(17, Status::alive);
+  s.metadata(10, Status::alive);
+  ASSERT_TRUE(s.member.duplicate());
+  s.metadata(17, Status::alive);
   EXPECT_EQ(s.member.incarnation(), 10u);
   s.pass(10s);
-  EXPECT_FALSE(s.member.twin());
+  EXPECT_FALSE(s.member.duplicate());
   EXPECT_GT(s.member.incarnation(), 17u);
 }
 
@@ -401,8 +405,8 @@
   f.kill(3);
   // n3's address answers again, under another name.
   const auto counted = f.member(9).counters().not_mine;
-  f.inject(9, ping_of({"n0", f.identity(0).address, f.identity(0).life, f.member(0).incarnation(), 5000}, 1,
-                      "n3"));
+  f.inject(9, ping_of({"n0", f.identity(0).address, f.identity(0).boot_id, f.member(0).incarnation(), 5000},
+                      1, "n3"));
   f.run_for(1s);
   EXPECT_EQ(f.member(9).counters().not_mine, counted + 1);
   EXPECT_TRUE(f.run_until([&] { return f.all_know(3, Status::dead); }, 6s));
@@ -412,17 +416,17 @@
   Fleet f(10);
   f.form();
   const auto old =
-      ping_of({"n3", f.identity(3).address, f.identity(3).life, f.member(3).incarnation(), 4000}, 7, "n0");
+      ping_of({"n3", f.identity(3).address, f.identity(3).boot_id, f.member(3).incarnation(), 4000}, 7, "n0");
   f.kill(3);
   f.start(3);
   EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 5s));
-  const auto life = f.identity(3).life;
-  const auto stale = f.member(0).counters().stale_life;
+  const auto boot_id = f.identity(3).boot_id;
+  const auto stale = f.member(0).counters().stale_boot_id;
   for (int k = 0; k < 20; ++k) f.inject(0, old);
   f.run_for(5s);
-  EXPECT_EQ(f.member(0).counters().stale_life, stale + 20);
+  EXPECT_EQ(f.member(0).counters().stale_boot_id, stale + 20);
   const auto& r = f.member(0).roster();
-  EXPECT_EQ(r.at(r.find("n3")).life, life);
+  EXPECT_EQ(r.at(r.find("n3")).boot_id, boot_id);
   EXPECT_TRUE(f.agree());
 }
 
@@ -433,15 +437,15 @@
   Fleet f(8, 1, options);
   f.form();
   const Record late{
-      "n3",   f.identity(3).address, f.identity(3).life, f.member(3).incarnation(), Status::alive, 0,
+      "n3",   f.identity(3).address, f.identity(3).boot_id, f.member(3).incarnation(), Status::alive, 0,
       30'000, std::nullopt};
-  const Sender speaker{"n3", f.identity(3).address, f.identity(3).life, f.member(3).incarnation(), 4000};
+  const Sender speaker{"n3", f.identity(3).address, f.identity(3).boot_id, f.member(3).incarnation(), 4000};
   f.kill(3);
   EXPECT_TRUE(f.run_until([&] { return f.member(0).roster().find("n3") == kNobody; }, 60s));
   f.inject(0, {speaker, Ping{7, "n0", {}}, {}, 0});
-  f.inject(0, {{"n1", f.identity(1).address, f.identity(1).life, f.member(1).incarnation(),
+  f.inject(0, {{"n1", f.identity(1).address, f.identity(1).boot_id, f.member(1).incarnation(),
                 std::uint32_t(f.elapsed().count() / 1000)},
-               Tidings{},
+               GossipOnly{},
                {late},
                0});
   f.run_for(3s);
@@ -540,10 +544,10 @@
   r.delay = 3s;
   r.shape = standin::Shape::even;
   r.spread = 0.3;
-  const auto id = f.weather().add(r);
+  const auto id = f.fault_injector().add(r);
   f.run_for(30s);
   EXPECT_TRUE(f.dead_by.empty());
-  f.weather().remove(id);
+  f.fault_injector().remove(id);
   EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 20s));
 }
 
@@ -558,12 +562,12 @@
     f.run_for(20s);
     EXPECT_EQ(f.dead_by.contains("n4"), !second);
     if (second) {
-      EXPECT_EQ(f.member(4).hearing(), Hearing::ok);
+      EXPECT_EQ(f.member(4).local_connectivity(), LocalConnectivity::ok);
       EXPECT_TRUE(f.all_know(4, Status::alive));
       EXPECT_TRUE(f.member(4).roster().at(f.member(4).roster().find("n5")).link_broken);
     }
-    f.weather().remove(cut);
-    f.weather().remove(more);
+    f.fault_injector().remove(cut);
+    f.fault_injector().remove(more);
     EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 20s));
   }
 }
@@ -578,7 +582,7 @@
   EXPECT_EQ(f.holds(0, 1), Status::alive);
   EXPECT_EQ(f.holds(1, 0), Status::alive);
   EXPECT_TRUE(f.member(0).majority());
-  EXPECT_EQ(f.member(0).hearing(), Hearing::ok);
+  EXPECT_EQ(f.member(0).local_connectivity(), LocalConnectivity::ok);
 }
 
 TEST(Membership, ALargeFleetFormsSoonAfterTheLastStart) {
@@ -604,15 +608,15 @@
   Fleet f(8);
   f.form();
   auto& m = f.member(3);
-  const auto version = m.told().version;
+  const auto version = m.metadata().version;
   for (int k = 0; k < 9; ++k) m.tell(Stage::starting, 0, std::uint8_t(k), {}, f.now());
-  EXPECT_EQ(m.told().version, version);
+  EXPECT_EQ(m.metadata().version, version);
   m.tell(Stage::starting, 0, 40, {}, f.now());
-  EXPECT_EQ(m.told().version, version + 1);
+  EXPECT_EQ(m.metadata().version, version + 1);
   m.tell(Stage::starting, 0, 80, {}, f.now());  // too soon after the last one
-  EXPECT_EQ(m.told().version, version + 1);
+  EXPECT_EQ(m.metadata().version, version + 1);
   m.tell(Stage::serving, 0, 80, {}, f.now());  // a stage is told at once
-  EXPECT_EQ(m.told().version, version + 2);
+  EXPECT_EQ(m.metadata().version, version + 2);
 }
 
 // Over random schedules of faults: who could always talk with most is never dead in a majority's certain view
@@ -642,7 +646,7 @@
           f.loss(0.1);
           break;
         case 4:
-          f.weather().clear();
+          f.fault_injector().clear();
           break;
         case 5:
           if (faulty.size() < 5) {
@@ -670,10 +674,10 @@
         }
       }
     }
-    f.weather().clear();
+    f.fault_injector().clear();
     for (std::size_t k = 0; k < 14; ++k) f.resume(k);
     EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 40s)) << "seed " << seed;
-    EXPECT_LE(f.figures().largest, kMostDatagram);
+    EXPECT_LE(f.figures().largest, kMaxDatagram);
   }
 }
 
