--- a/tests/membership_views_test.cpp
+++ b/tests/membership_views_test.cpp
@@ -1,7 +1,7 @@
 // What the rest of the program concludes from a view of the fleet.
 #include <gtest/gtest.h>
 
-#include "fleet/probers.h"
+#include "fleet/health_check_simulation.h"
 #include "membership/views.h"
 
 namespace granitegap::membership {
@@ -16,7 +16,7 @@
     View::Peer p;
     p.name = "n" + std::to_string(n);
     p.hash = name_hash(p.name);
-    p.told.stage = Stage::serving;
+    p.metadata.stage = Stage::serving;
     v.peers.push_back(std::move(p));
   }
   v.agreed = peers + 1;
@@ -69,11 +69,11 @@
   const auto chosen = prober_of(v, d);
   EXPECT_TRUE(probes_itself(v, d));  // the chosen one says nothing of it
   for (auto& p : v.peers)
-    if (p.hash == chosen) p.told.findings = {{d, true}};
+    if (p.hash == chosen) p.metadata.endpoint_health = {{d, true}};
   EXPECT_FALSE(probes_itself(v, d));
   EXPECT_FALSE(told_back(v, d));
   for (auto& p : v.peers)
-    if (p.hash == chosen) p.told.findings = {{d, false}};
+    if (p.hash == chosen) p.metadata.endpoint_health = {{d, false}};
   EXPECT_TRUE(told_back(v, d));
   v.majority = false;
   EXPECT_TRUE(probes_itself(v, d));
@@ -81,7 +81,7 @@
 }
 
 TEST(Views, AnOutageIsProbedByOneForAll) {
-  const auto alone = fleet::probe_outage(8, false, 1), together = fleet::probe_outage(8, true, 1);
+  const auto alone = fleet::simulate_outage(8, false, 1), together = fleet::simulate_outage(8, true, 1);
   EXPECT_LT(together.calls_a_second * 4, alone.calls_a_second);
   EXPECT_GT(together.calls_a_second, 0);
   EXPECT_GE(together.back_within_s, 0);
@@ -90,14 +90,15 @@
 
 // Two endpoints of one dependency: each has a prober of its own, and one that is back frees all.
 TEST(Views, EachEndpointHasItsOwnProber) {
-  const auto one = fleet::probe_outage(8, true, 3, false, 1), two = fleet::probe_outage(8, true, 3, false, 2);
+  const auto one = fleet::simulate_outage(8, true, 3, false, 1),
+             two = fleet::simulate_outage(8, true, 3, false, 2);
   EXPECT_GT(two.calls_a_second, one.calls_a_second);  // of both endpoints together
   EXPECT_LT(two.calls_a_second, 3 * one.calls_a_second);
   EXPECT_GE(two.back_within_s, 0);
 }
 
 TEST(Views, AnotherTakesOverWhenTheProberGoes) {
-  const auto probed = fleet::probe_outage(8, true, 2, true);
+  const auto probed = fleet::simulate_outage(8, true, 2, true);
   EXPECT_GT(probed.calls_a_second, 0);
   EXPECT_GE(probed.back_within_s, 0);
 }
--- a/tests/operation_test.cpp
+++ b/tests/operation_unit_test.cpp
@@ -10,16 +10,16 @@
 #include <random>
 
 #include "admin/codec.h"
-#include "handover/shared_table.h"
+#include "hot_restart/shared_lease_table.h"
 #include "lifecycle/lifecycle.h"
 
 namespace granitegap {
 namespace {
 
 using namespace std::chrono_literals;
-using handover::Claims;
-using handover::SharedTable;
-using handover::Verdict;
+using hot_restart::KeyLeaseTable;
+using hot_restart::SharedLeaseTable;
+using hot_restart::Verdict;
 using lifecycle::Lifecycle;
 using lifecycle::Phase;
 
@@ -28,20 +28,20 @@
 enum class Event { up, quiesce, resume, drain, hand_over };
 constexpr Event kEvents[] = {Event::up, Event::quiesce, Event::resume, Event::drain, Event::hand_over};
 
-bool tell(Lifecycle& life, Event event) {
+bool tell(Lifecycle& boot_id, Event event) {
   switch (event) {
     case Event::up:
-      life.kernel_up();
+      boot_id.kernel_up();
       return true;
     case Event::quiesce:
-      return life.quiesce();
+      return boot_id.quiesce();
     case Event::resume:
-      return life.resume();
+      return boot_id.resume();
     case Event::drain:
-      life.stop(false);
+      boot_id.stop(false);
       return true;
     case Event::hand_over:
-      life.stop(true);
+      boot_id.stop(true);
       return true;
   }
   return false;
@@ -49,11 +49,11 @@
 
 // What it must be after any two events, told from the rules and not from the code: a stop wins and the first
 // stop counts; else the last of quiesce and resume; else whether the kernel has been up.
-TEST(Life, EveryOrderedPairOfEvents) {
+TEST(BootId, EveryOrderedPairOfEvents) {
   for (const auto first : kEvents)
     for (const auto second : kEvents) {
-      Lifecycle life;
-      const bool one = tell(life, first), two = tell(life, second);
+      Lifecycle boot_id;
+      const bool one = tell(boot_id, first), two = tell(boot_id, second);
       const auto stops = [](Event e) { return e == Event::drain || e == Event::hand_over; };
       const auto was = [&](Event e) { return first == e || second == e; };
       const auto stop = stops(first) ? first : second;
@@ -64,10 +64,10 @@
                             : was(Event::up) ? Phase::serving
                                              : Phase::starting;
       SCOPED_TRACE(std::to_string(int(first)) + " then " + std::to_string(int(second)));
-      EXPECT_EQ(life.phase(), expected);
-      EXPECT_EQ(life.up(), was(Event::up));
-      EXPECT_EQ(life.welcomes(), stopped ? stop == Event::hand_over : !quiesced);
-      EXPECT_EQ(life.reports(), !(stopped && stop == Event::hand_over));
+      EXPECT_EQ(boot_id.phase(), expected);
+      EXPECT_EQ(boot_id.up(), was(Event::up));
+      EXPECT_EQ(boot_id.welcomes(), stopped ? stop == Event::hand_over : !quiesced);
+      EXPECT_EQ(boot_id.reports(), !(stopped && stop == Event::hand_over));
       EXPECT_TRUE(one);
       // After a stop nothing leads back, and the caller hears so.
       EXPECT_EQ(two, !(stops(first) && (second == Event::quiesce || second == Event::resume)));
@@ -104,30 +104,30 @@
   admin::Reader endless;
   std::size_t given = 0;
   std::optional<std::variant<admin::Call, admin::BadCall>> told;
-  for (; !told && given < 10 * admin::kMostLine; given += 10) told = endless.add("xxxxxxxxxx");
+  for (; !told && given < 10 * admin::kMaxLine; given += 10) told = endless.add("xxxxxxxxxx");
   ASSERT_TRUE(told);
   EXPECT_EQ(std::get<admin::BadCall>(*told).why, "line too long");
-  EXPECT_LE(given, admin::kMostLine + 20);
+  EXPECT_LE(given, admin::kMaxLine + 20);
 }
 
-// ---- Claims ----
+// ---- KeyLeaseTable ----
 
 constexpr Duration kSpan = 10s;
-handover::UnixTime at(Duration since) { return handover::UnixTime(Duration(1764576000s) + since); }
+hot_restart::UnixTime at(Duration since) { return hot_restart::UnixTime(Duration(1764576000s) + since); }
 
 struct Memory {
-  handover::Head head;
-  std::vector<handover::Claim> places = std::vector<handover::Claim>(256);
-  Claims claims() { return {head, places}; }
+  hot_restart::Head head;
+  std::vector<hot_restart::KeyLease> places = std::vector<hot_restart::KeyLease>(256);
+  KeyLeaseTable claims() { return {head, places}; }
   Memory() { claims().adopt(at(0s), kSpan); }
-  Verdict claim(const std::string& token, std::uint64_t life, Duration reached,
+  Verdict claim(const std::string& token, std::uint64_t boot_id, Duration reached,
                 std::optional<Duration> now = {}) {
-    return claims().claim(handover::token_of("report", token), at(reached), kSpan, life,
+    return claims().claim(hot_restart::token_of("report", token), at(reached), kSpan, boot_id,
                           at(now.value_or(reached)), kSpan);
   }
 };
 
-TEST(Claims, ATokenIsOneProcesssForItsWindowInEitherOrder) {
+TEST(KeyLeaseTable, ATokenIsOneProcesssForItsWindowInEitherOrder) {
   Memory m;
   EXPECT_EQ(m.claim("a", 1, 0s), Verdict::mine);
   EXPECT_EQ(m.claim("a", 2, 1s), Verdict::theirs);
@@ -138,16 +138,16 @@
   EXPECT_EQ(m.claim("b", 1, 11s), Verdict::theirs);
 }
 
-TEST(Claims, WhatTheKernelNeverRanIsGivenBackByWhoeverClaimedIt) {
+TEST(KeyLeaseTable, WhatTheKernelNeverRanIsGivenBackByWhoeverClaimedIt) {
   Memory m;
   m.claim("a", 1, 0s);
-  m.claims().never_ran(handover::token_of("report", "a"), 2);
+  m.claims().never_ran(hot_restart::token_of("report", "a"), 2);
   EXPECT_EQ(m.claim("a", 2, 1s), Verdict::theirs);
-  m.claims().never_ran(handover::token_of("report", "a"), 1);
+  m.claims().never_ran(hot_restart::token_of("report", "a"), 1);
   EXPECT_EQ(m.claim("a", 2, 1s), Verdict::mine);
 }
 
-TEST(Claims, AFullTableIsDoubtAndAgedClaimsMakeRoom) {
+TEST(KeyLeaseTable, AFullTableIsDoubtAndAgedClaimsMakeRoom) {
   Memory m;
   int doubts = 0;
   for (int i = 0; i < 1000; ++i) doubts += m.claim(std::to_string(i), 1, 0s) == Verdict::doubt;
@@ -157,8 +157,8 @@
 }
 
 // Every byte of a record spoilt in turn: whatever it makes of it, the token does not run again.
-TEST(Claims, NoDamageLetsATokenRunAgain) {
-  for (std::size_t byte = 0; byte < sizeof(handover::Claim); ++byte)
+TEST(KeyLeaseTable, NoDamageLetsATokenRunAgain) {
+  for (std::size_t byte = 0; byte < sizeof(hot_restart::KeyLease); ++byte)
     for (const unsigned char flip : {std::uint8_t{0x01}, std::uint8_t{0x80}, std::uint8_t{0xff}}) {
       Memory m;
       ASSERT_EQ(m.claim("a", 1, 0s), Verdict::mine);
@@ -170,7 +170,7 @@
     }
 }
 
-TEST(Claims, AfterDamageAllWaitsForOneWindowAndNoLonger) {
+TEST(KeyLeaseTable, AfterDamageAllWaitsForOneWindowAndNoLonger) {
   Memory m;
   m.claim("a", 1, 0s);
   m.head.magic ^= 1;
@@ -184,7 +184,7 @@
 }
 
 // Two processes and an earlier life at random, against a model that knows when each token ran last.
-TEST(Claims, RandomHistoriesRunNoTokenTwiceInAWindow) {
+TEST(KeyLeaseTable, RandomHistoriesRunNoTokenTwiceInAWindow) {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     Memory m;
     std::mt19937 random(seed);
@@ -193,8 +193,8 @@
     for (Duration now{}; now < 120s; now += Duration(random() % 100000)) {
       const auto token = std::to_string(random() % 30);
       const Duration reached = std::max(now - Duration(random() % 4000000), Duration{});
-      const std::uint64_t life = 1 + random() % 3;
-      if (m.claim(token, life, reached, now) != Verdict::mine) {
+      const std::uint64_t boot_id = 1 + random() % 3;
+      if (m.claim(token, boot_id, reached, now) != Verdict::mine) {
         ++refused;
         continue;
       }
@@ -202,9 +202,9 @@
       // A life's own repeats are its own table of keys' to refuse.
       const auto last = ran.find(token);
       if (last != ran.end() && reached <= last->second.first + kSpan) {
-        EXPECT_EQ(life, last->second.second) << "seed " << seed;
+        EXPECT_EQ(boot_id, last->second.second) << "seed " << seed;
       }
-      ran[token] = {reached, life};
+      ran[token] = {reached, boot_id};
     }
     EXPECT_GT(runs, 100);
     EXPECT_GT(refused, 100);
@@ -219,8 +219,8 @@
     path = ::mkdtemp(pattern.data());
   }
   ~Folder() { std::filesystem::remove_all(path); }
-  std::variant<SharedTable, handover::Unusable> open(std::uint64_t life) const {
-    return SharedTable::open(path, "n1", life, kSpan, at(0s));
+  std::variant<SharedLeaseTable, hot_restart::LeaseTableError> open(std::uint64_t boot_id) const {
+    return SharedLeaseTable::open(path, "n1", boot_id, kSpan, at(0s));
   }
   std::string path;
 };
@@ -228,43 +228,45 @@
 TEST(SharedTables, TellWhoServesWhileItLives) {
   Folder f;
   auto one = f.open(1);
-  auto& old = std::get<SharedTable>(one);
+  auto& old = std::get<SharedLeaseTable>(one);
   old.serves();
   EXPECT_FALSE(old.another_serves());
   {
     auto two = f.open(2);
-    auto& fresh = std::get<SharedTable>(two);
+    auto& fresh = std::get<SharedLeaseTable>(two);
     EXPECT_TRUE(fresh.another_serves());
     EXPECT_FALSE(old.another_serves());  // it is there, and can't serve yet
     fresh.serves();
     EXPECT_TRUE(old.another_serves());
-    const auto token = handover::token_of("report", "a");
+    const auto token = hot_restart::token_of("report", "a");
     EXPECT_EQ(fresh.claim(token, at(0s), kSpan, at(0s)), Verdict::mine);
     EXPECT_EQ(old.claim(token, at(0s), kSpan, at(0s)), Verdict::theirs);
   }
   EXPECT_FALSE(old.another_serves());
   auto three = f.open(3);  // takes the row of the one that went
   EXPECT_FALSE(old.another_serves());
-  EXPECT_EQ(std::get<SharedTable>(three).claim(handover::token_of("report", "a"), at(1s), kSpan, at(1s)),
-            Verdict::theirs);
+  EXPECT_EQ(
+      std::get<SharedLeaseTable>(three).claim(hot_restart::token_of("report", "a"), at(1s), kSpan, at(1s)),
+      Verdict::theirs);
 }
 
 TEST(SharedTables, SayWhatIsWrongWithTheFolderAndMendAFileThatIsNoTable) {
   Folder f;
-  EXPECT_TRUE(std::holds_alternative<handover::Unusable>(SharedTable::open("", "n1", 1, kSpan, at(0s))));
-  EXPECT_TRUE(std::holds_alternative<handover::Unusable>(
-      SharedTable::open(f.path + "/gone", "n1", 1, kSpan, at(0s))));
-  EXPECT_TRUE(
-      std::holds_alternative<handover::Unusable>(SharedTable::open(f.path, "../n1", 1, kSpan, at(0s))));
+  EXPECT_TRUE(std::holds_alternative<hot_restart::LeaseTableError>(
+      SharedLeaseTable::open("", "n1", 1, kSpan, at(0s))));
+  EXPECT_TRUE(std::holds_alternative<hot_restart::LeaseTableError>(
+      SharedLeaseTable::open(f.path + "/gone", "n1", 1, kSpan, at(0s))));
+  EXPECT_TRUE(std::holds_alternative<hot_restart::LeaseTableError>(
+      SharedLeaseTable::open(f.path, "../n1", 1, kSpan, at(0s))));
   std::filesystem::create_directory(f.path + "/granitegap-n1.claims");
-  EXPECT_TRUE(std::holds_alternative<handover::Unusable>(f.open(1)));
+  EXPECT_TRUE(std::holds_alternative<hot_restart::LeaseTableError>(f.open(1)));
   std::filesystem::remove(f.path + "/granitegap-n1.claims");
   std::ofstream(f.path + "/granitegap-n1.claims") << "something else";
   auto opened = f.open(1);
-  auto& table = std::get<SharedTable>(opened);
+  auto& table = std::get<SharedLeaseTable>(opened);
   EXPECT_TRUE(table.wiped());
-  EXPECT_EQ(table.claim(handover::token_of("report", "a"), at(1s), kSpan, at(1s)), Verdict::doubt);
-  EXPECT_EQ(table.claim(handover::token_of("report", "a"), at(11s), kSpan, at(11s)), Verdict::mine);
+  EXPECT_EQ(table.claim(hot_restart::token_of("report", "a"), at(1s), kSpan, at(1s)), Verdict::doubt);
+  EXPECT_EQ(table.claim(hot_restart::token_of("report", "a"), at(11s), kSpan, at(11s)), Verdict::mine);
 }
 
 }  // namespace
--- a/tests/comeback_test.cpp
+++ b/tests/recovery_process_test.cpp
@@ -12,7 +12,7 @@
 #include <future>
 #include <thread>
 
-#include "fleet/runner.h"
+#include "fleet/process_fleet.h"
 #include "snapshot/snapshot.h"
 #include "standin/caller.h"
 #include "standin/dependency.h"
@@ -81,7 +81,7 @@
 constexpr char kToken[] = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", kOther[] = "5c0f6e1a2b3d4c59a8b7c6d5e4f30212";
 
 // The control: without the wait the same report runs twice, or the tests below prove nothing.
-TEST(Comeback, WithoutTheWaitAReportRunsTwice) {
+TEST(RecoveryProcess, WithoutTheWaitAReportRunsTwice) {
   Trial f(options("recovery: {after_lost_memory: \"go_on\"}"));
   f.up();
   EXPECT_EQ(f.report(kToken)->code, 0);
@@ -91,7 +91,7 @@
   EXPECT_EQ(f.ran(kToken), 2);
 }
 
-TEST(Comeback, AfterACrashKeyedRequestsWaitAndReadsDoNot) {
+TEST(RecoveryProcess, AfterACrashKeyedRequestsWaitAndReadsDoNot) {
   Trial f(options(kWait));
   f.up();
   EXPECT_EQ(f.insist(kToken)->code, 0);
@@ -107,7 +107,7 @@
   EXPECT_EQ(f.ran(kToken), 1);
 }
 
-TEST(Comeback, AnOrderlyEndThatIsWrittenDownShortensTheWait) {
+TEST(RecoveryProcess, AnOrderlyEndThatIsWrittenDownShortensTheWait) {
   Trial f(options(kFolder));
   f.up();
   EXPECT_EQ(f.insist(kToken)->code, 0);
@@ -121,7 +121,7 @@
 }
 
 // Of three lives the middle one crashed: the first one's end must not be taken for its.
-TEST(Comeback, AnEndIsNotTakenForThatOfALaterLifeThatCrashed) {
+TEST(RecoveryProcess, AnEndIsNotTakenForThatOfALaterLifeThatCrashed) {
   Trial f(options(kFolder));
   f.up();
   f.end("n0");
@@ -136,7 +136,7 @@
 
 // A directory that can't be used: reads go on, keyed requests are refused for as long, and run once it can
 // be.
-TEST(Comeback, AFolderThatCanNotBeUsedHoldsKeyedRequestsAlone) {
+TEST(RecoveryProcess, AFolderThatCanNotBeUsedHoldsKeyedRequestsAlone) {
   Trial f(options(kFolder));
   std::filesystem::create_directories(f.folder("n0").parent_path());
   std::ofstream(f.folder("n0")) << "in the way";
@@ -148,7 +148,7 @@
   EXPECT_EQ(f.insist(kToken)->code, 0);
 }
 
-TEST(Comeback, ADamagedEndIsNotBelievedAndStartsAllTheSame) {
+TEST(RecoveryProcess, ADamagedEndIsNotBelievedAndStartsAllTheSame) {
   Trial f(options(kFolder));
   std::filesystem::create_directories(f.folder("n0"));
   std::ofstream(f.folder("n0") / "ended") << "gge1 and then nothing that makes sense";
@@ -159,7 +159,7 @@
 }
 
 // The clock goes back by a minute between two lives: the wait grows, and is told.
-TEST(Comeback, AClockSetBackLengthensTheWait) {
+TEST(RecoveryProcess, AClockSetBackLengthensTheWait) {
   Trial f(options(kFolder));
   f.up();
   EXPECT_EQ(f.insist(kToken)->code, 0);
@@ -176,7 +176,7 @@
 
 // The kernel outlives the process and tells of the earlier life's runs, before BOOTED and under its numbers:
 // the next life's own notices are read all the same.
-TEST(Comeback, AKernelThatTellsOfTheEarlierLifesRunsMakesNobodyDeaf) {
+TEST(RecoveryProcess, AKernelThatTellsOfTheEarlierLifesRunsMakesNobodyDeaf) {
   Trial f(options("recovery: {after_lost_memory: \"go_on\"}"));
   f.tell_old_ends("n0");
   f.up();
@@ -187,7 +187,7 @@
 }
 
 // Two under one name: neither knows what the other runs.
-TEST(Comeback, WhileAnotherLivesUnderTheNameNoKeyedRequestRuns) {
+TEST(RecoveryProcess, WhileAnotherLivesUnderTheNameNoKeyedRequestRuns) {
   auto o = options(kWait);
   o.size = 2;
   Trial f(o);
@@ -195,10 +195,10 @@
   f.up("n1");
   EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
   EXPECT_EQ(f.insist(kToken)->code, 0);
-  const auto twin = f.start_twin("n0");
+  const auto duplicate = f.start_twin("n0");
   EXPECT_TRUE(f.until([&] { return f.says("another process lives under this name"); }, kLong));
   EXPECT_EQ(f.report(kOther)->code, 1);
-  f.kill(twin);
+  f.kill(duplicate);
   EXPECT_EQ(f.insist(kOther)->code, 0);
 }
 
@@ -209,7 +209,7 @@
 
 // The only seed is gone for good: whoever restarts finds the others by what its earlier life knew. Wiped, it
 // is alone.
-TEST(Comeback, ASnapshotFindsTheFleetThatTheSeedsNoLongerDo) {
+TEST(RecoveryProcess, ASnapshotFindsTheFleetThatTheSeedsNoLongerDo) {
   auto o = options("recovery: {folder: \"@FOLDER\", snapshot_every: 100ms}");
   o.size = 4;
   o.seeds = 1;
@@ -236,7 +236,7 @@
 }
 
 // An hour-old word that an endpoint is out is not acted on; a fresh one is.
-TEST(Comeback, AnOldSnapshotDecidesNothing) {
+TEST(RecoveryProcess, AnOldSnapshotDecidesNothing) {
   for (const bool old : {true, false}) {
     auto o = options("recovery: {folder: \"@FOLDER\", snapshot_every: 100ms}");
     o.operator_file =
@@ -258,7 +258,7 @@
   }
 }
 
-TEST(Comeback, ADamagedSnapshotCostsOnlyWarmth) {
+TEST(RecoveryProcess, ADamagedSnapshotCostsOnlyWarmth) {
   Trial f(options("recovery: {folder: \"@FOLDER\", snapshot_every: 100ms}"));
   std::filesystem::create_directories(f.folder("n0"));
   std::ofstream(f.folder("n0") / "learned-a") << "ggl1 and then nothing that makes sense";
@@ -270,7 +270,7 @@
 }
 
 // The commands: what a snapshot holds, and whether it is whole.
-TEST(Comeback, TheSnapshotCommandShowsAndVerifies) {
+TEST(RecoveryProcess, TheSnapshotCommandShowsAndVerifies) {
   Trial f(options("recovery: {folder: \"@FOLDER\", snapshot_every: 100ms}"));
   f.up();
   ASSERT_TRUE(f.until([&] { return std::filesystem::exists(f.folder("n0") / "learned-a"); }, kLong));
@@ -289,13 +289,13 @@
 }
 
 // A predecessor that still drains holds the directory: the successor starts, serves reads, and takes it over.
-TEST(Comeback, ASuccessorWaitsForThePredecessorsFolder) {
+TEST(RecoveryProcess, ASuccessorWaitsForThePredecessorsFolder) {
   auto o = options(kFolder);
   o.operator_file = "dependencies: []\ngathers: []\nrecovery: {folder: \"@FOLDER\"}\n";
   Trial f(o);
   f.up();
   EXPECT_EQ(f.insist(kToken)->code, 0);
-  snapshot::FolderLock busy;
+  snapshot::DirectoryLock busy;
   f.kill("n0");
   ASSERT_FALSE(busy.take(f.folder("n0")));
   f.up();
@@ -307,7 +307,7 @@
 // A disk that hangs, here at the look at what the last life left: reads are served, no keyed request runs
 // however long it takes, as the note of an end may stay there for a third life to find; and the notice to
 // leave is an orderly end all the same. Once the disk is back all goes on without a restart.
-TEST(Comeback, ADiskThatHangsHoldsKeyedRequestsAndNothingElse) {
+TEST(RecoveryProcess, ADiskThatHangsHoldsKeyedRequestsAndNothingElse) {
   Trial f(options(kFolder));
   const auto note = f.folder("n0") / "ended";
   for (const bool comes_back : {false, true}) {
@@ -317,8 +317,8 @@
     f.up();
     ASSERT_TRUE(f.until([&] { return f.says("does not answer: keyed requests are refused"); }, kLong));
     const auto way = membership_udp::ask(f.bound("n0"), 2s, true);
-    ASSERT_TRUE(way && way->way_back);
-    EXPECT_GT(way->way_back->keyed_wait_ms, 1'000'000'000u);  // no end in sight
+    ASSERT_TRUE(way && way->recovery_report);
+    EXPECT_GT(way->recovery_report->keyed_wait_ms, 1'000'000'000u);  // no end in sight
     EXPECT_EQ(f.report(kToken)->code, 1);
     if (comes_back) {
       { std::ofstream(note) << "of no life"; }
@@ -354,9 +354,9 @@
     o.run_cost = 5ms;
     return o;
   }
-  std::optional<membership_udp::WayBack> way(const std::string& name) const {
+  std::optional<membership_udp::RecoveryReport> way(const std::string& name) const {
     const auto r = membership_udp::ask(bound(name), 2s, true);
-    return r ? r->way_back : std::nullopt;
+    return r ? r->recovery_report : std::nullopt;
   }
   bool in_service(const std::string& name) const {
     const auto w = way(name);
@@ -397,7 +397,7 @@
             const auto v = view(name);
             if (!v) return false;
             for (const auto& l : v->lines)
-              if (l.course.donor_port == 0 || l.course.full_ms == 0) return false;
+              if (l.recovery_status.donor_port == 0 || l.recovery_status.full_ms == 0) return false;
           }
           return true;
         },
@@ -407,7 +407,7 @@
 };
 
 // One among healthy ones: it learns from them, proves itself, and says how long all of it took.
-TEST(Return, OneThatRestartsLearnsFromTheRunning) {
+TEST(RecoveryProcess, OneThatRestartsLearnsFromTheRunning) {
   Ways f(5);
   f.form();
   f.kill("n2");
@@ -425,13 +425,13 @@
       [&] {
         const auto v = f.view("n0");
         for (const auto& l : v->lines)
-          if (l.name == "n2") return l.course.full_ms > 0;
+          if (l.name == "n2") return l.recovery_status.full_ms > 0;
         return false;
       },
       kLong));
 }
 
-TEST(Return, TheRecoveryCommandShowsIt) {
+TEST(RecoveryProcess, TheRecoveryCommandShowsIt) {
   Ways f(1);
   f.up();
   const auto address = membership_udp::text_of(f.bound("n0"));
@@ -445,7 +445,7 @@
 }
 
 // All at once: nobody to learn from, nobody is waited for, all come back; and again while they still ramp.
-TEST(Return, AllThatRestartAtOnceComeBackAlsoFromASecondTime) {
+TEST(RecoveryProcess, AllThatRestartAtOnceComeBackAlsoFromASecondTime) {
   Ways f(6);
   f.form();
   for (int round = 0; round < 2; ++round) {
@@ -462,7 +462,7 @@
 }
 
 // Most of the fleet restarts; those left are guarded, and the guard goes when the others are back.
-TEST(Return, SurvivorsAreGuardedUntilTheOthersAreBack) {
+TEST(RecoveryProcess, SurvivorsAreGuardedUntilTheOthersAreBack) {
   Ways f(6);
   f.form();
   for (const char* name : {"n2", "n3", "n4", "n5"}) f.kill(name);
@@ -473,7 +473,7 @@
 }
 
 // Newcomers behind a cut learn from their own half alone.
-TEST(Return, BehindAPartitionOnlyTheOwnHalfIsAsked) {
+TEST(RecoveryProcess, BehindAPartitionOnlyTheOwnHalfIsAsked) {
   Ways f(6);
   f.form();
   f.cut({"n0", "n1", "n2"}, {"n3", "n4", "n5"}, true);
@@ -497,7 +497,7 @@
 
 // What others found out of a service below the newcomer need not find out again: whom they hold out, it does
 // not choose. Alone in its knowledge it would have.
-TEST(Return, ANewcomerLearnsOfEndpointsFromOthers) {
+TEST(RecoveryProcess, ANewcomerLearnsOfEndpointsFromOthers) {
   auto o = Ways::made(4, "");
   o.operator_file = with_dependency(o.operator_file);
   Ways f(4, o);
@@ -535,7 +535,7 @@
            "\"e.example.org\", path: \"/e?r={body}\", fresh_for: 10m}]}]\n";
   }
   std::size_t calls() { return seen().requests.size(); }
-  std::size_t most_open() { return seen().most_open; }
+  std::size_t max_open() { return seen().max_open; }
 
  private:
   static standin::Script script(std::uint32_t capacity) {
@@ -570,7 +570,7 @@
 };
 
 // Of what all ask for one member asks below, and tells the others; also while that one stands still.
-TEST(Return, OneMemberAsksBelowForAll) {
+TEST(RecoveryProcess, OneMemberAsksBelowForAll) {
   Service service;
   Profiles f(4, over(service, "fleet_fill: true", 4));
   f.form();
@@ -605,7 +605,7 @@
 }
 
 // What was kept outlives its process, by its snapshot, and the fleet's by those that are asked.
-TEST(Return, KeptAnswersOutliveTheirProcess) {
+TEST(RecoveryProcess, KeptAnswersOutliveTheirProcess) {
   for (const bool alone : {true, false}) {
     Service service;
     auto o = over(service, "", alone ? 1 : 3);
@@ -634,7 +634,7 @@
 
 // Donors that stand still in the middle give their place to others; what they send when they wake is
 // nobody's.
-TEST(Return, ADonorThatStandsStillIsLeftForTheNext) {
+TEST(RecoveryProcess, ADonorThatStandsStillIsLeftForTheNext) {
   Ways f(6, "learn_most: 5s");
   f.form();
   const auto before = f.times("n0", "recovery: learned from");
@@ -650,7 +650,7 @@
 }
 
 // One that dies in the middle, its connection taken and the question with it.
-TEST(Return, ADonorThatDiesInTheMiddleIsLeftForTheNext) {
+TEST(RecoveryProcess, ADonorThatDiesInTheMiddleIsLeftForTheNext) {
   Ways f(6, "learn_most: 10s");
   f.form();
   f.kill("n0");
@@ -665,7 +665,7 @@
 }
 
 // Kernels that stay cold: what they do at that pace is proven, and that is full service.
-TEST(Return, AKernelThatStaysColdIsNoReasonToStayAway) {
+TEST(RecoveryProcess, AKernelThatStaysColdIsNoReasonToStayAway) {
   Ways f(2);
   for (const auto& name : f.names()) f.set_pace(name, {0.1, 10min, 8});
   f.form();
@@ -681,7 +681,7 @@
 // A service that can do just so much, when all come back at once and want it: everybody is answered, and few
 // calls are open there. While a member sees only one other its share is half of the fleet's four, so that
 // four of them may have eight; each for itself would have all of its eight callers' open.
-TEST(Return, AServiceAtItsLimitIsNotFallenUpon) {
+TEST(RecoveryProcess, AServiceAtItsLimitIsNotFallenUpon) {
   Service service(2);
   auto o = over(service, "fleet_open: 4", 4);
   Profiles f(4, o);
@@ -704,13 +704,13 @@
   }
   for (auto& a : asks) a.join();
   EXPECT_EQ(answered, 320);
-  EXPECT_LE(service.most_open(), 8u);
+  EXPECT_LE(service.max_open(), 8u);
   ASSERT_TRUE(f.until([&] { return f.agree(); }, kLong));
   EXPECT_TRUE(f.all_in_service());
 }
 
 // Whoever stood still while its peers moved on takes its own memory for old, and asks them.
-TEST(Return, ALongPauseIsAWayBack) {
+TEST(RecoveryProcess, ALongPauseIsAWayBack) {
   Ways f(4, "pause_most: 1s");
   f.form();
   f.pause("n1");
@@ -720,22 +720,22 @@
       << f.log("n1");
   ASSERT_TRUE(f.until([&] { return f.agree(); }, kLong));
   ASSERT_TRUE(f.all_in_service()) << f.state();
-  EXPECT_EQ(f.way("n1")->ways_back, 1u);
+  EXPECT_EQ(f.way("n1")->recoveries, 1u);
 }
 
 // A machine that restarts under a process that goes on: its kernel is cold, and the way back begins again.
-TEST(Return, AKernelThatStartsAnewIsAWayBack) {
+TEST(RecoveryProcess, AKernelThatStartsAnewIsAWayBack) {
   Ways f(1);
   f.set_pace("n0", {0.5, 300ms, 8});
   f.up();
   ASSERT_TRUE(f.all_in_service());
   f.reboot_kernel("n0");
-  EXPECT_TRUE(f.until([&] { return f.way("n0")->ways_back == 1; }, kLong)) << f.log("n0");
+  EXPECT_TRUE(f.until([&] { return f.way("n0")->recoveries == 1; }, kLong)) << f.log("n0");
   EXPECT_TRUE(f.all_in_service());
 }
 
 // The notice to leave while it learns, and while it ramps: all that was read is answered.
-TEST(Return, TheNoticeToLeaveOnTheWayIsAnOrderlyEnd) {
+TEST(RecoveryProcess, TheNoticeToLeaveOnTheWayIsAnOrderlyEnd) {
   for (const char* phase : {"learning", "ramping"}) {
     Ways f(2, "learn_most: 20s, first: 0.01, growth: 1.1");
     f.start("n0");
--- a/tests/recovery_test.cpp
+++ b/tests/restart_quarantine_test.cpp
@@ -1,4 +1,6 @@
 // What a process that has lost its memory must not run, and what one life leaves to the next.
+#include "recovery/restart_quarantine.h"
+
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 #include <unistd.h>
@@ -6,23 +8,22 @@
 #include <fstream>
 
 #include "deps/scatter_gather.h"
-#include "recovery/lost_memory.h"
-#include "snapshot/life_file.h"
+#include "snapshot/shutdown_record.h"
 #include "snapshot/snapshot.h"
 
 namespace granitegap {
 namespace {
 
 using namespace std::chrono_literals;
-using recovery::EarlierLife;
-using recovery::LostMemory;
+using recovery::PreviousIncarnation;
+using recovery::RestartQuarantine;
 
 constexpr TimePoint kStart(100s);
 constexpr ClassId kTile{0}, kReport{1};
 
-LostMemory fresh() { return LostMemory({{0s, 9s}, 2s, 1h}, kStart); }
+RestartQuarantine fresh() { return RestartQuarantine({{0s, 9s}, 2s, 1h}, kStart); }
 
-TEST(LostMemory, WithoutAnyWordTheWholeWindowFromTheStartIsInDoubt) {
+TEST(RestartQuarantine, WithoutAnyWordTheWholeWindowFromTheStartIsInDoubt) {
   const auto m = fresh();
   EXPECT_TRUE(m.in_doubt(kReport, kStart));
   EXPECT_TRUE(m.in_doubt(kReport, kStart + 11s - 1us));
@@ -32,9 +33,9 @@
 }
 
 // What reached the machine while it was in doubt stays so, however late it is read.
-TEST(LostMemory, ByWhenItReachedTheMachine) { EXPECT_TRUE(fresh().in_doubt(kReport, kStart - 5s)); }
+TEST(RestartQuarantine, ByWhenItReachedTheMachine) { EXPECT_TRUE(fresh().in_doubt(kReport, kStart - 5s)); }
 
-TEST(LostMemory, AnOrderlyEndShortensTheWaitAndNothingElseDoes) {
+TEST(RestartQuarantine, AnOrderlyEndShortensTheWaitAndNothingElseDoes) {
   auto m = fresh();
   m.learn({4s, false, {}}, kStart + 100ms);
   EXPECT_EQ(m.until(kReport), kStart + 100ms - 4s + 11s);
@@ -45,7 +46,7 @@
   EXPECT_EQ(ahead.until(kReport), kStart + 11s);
 }
 
-TEST(LostMemory, AnEndThatStaysHoldsEverythingUntilItIsGone) {
+TEST(RestartQuarantine, AnEndThatStaysHoldsEverythingUntilItIsGone) {
   auto m = fresh();
   m.learn({std::nullopt, true, {}}, kStart);
   EXPECT_TRUE(m.in_doubt(kReport, kStart + 24h));
@@ -54,7 +55,7 @@
   EXPECT_FALSE(m.in_doubt(kReport, kStart + 1h));
 }
 
-TEST(LostMemory, AnotherUnderTheNameIsWaitedOutAnew) {
+TEST(RestartQuarantine, AnotherUnderTheNameIsWaitedOutAnew) {
   auto m = fresh();
   m.another_lives(true, kStart + 1h);
   EXPECT_TRUE(m.in_doubt(kReport, kStart + 2h));
@@ -65,7 +66,7 @@
   EXPECT_FALSE(m.in_doubt(kReport, kStart + 4h));
 }
 
-TEST(LostMemory, AClockSetBackNeverShortensAndAWrongOneDoesNotHoldForEver) {
+TEST(RestartQuarantine, AClockSetBackNeverShortensAndAWrongOneDoesNotHoldForEver) {
   auto m = fresh();
   m.learn({std::nullopt, false, 60s}, kStart);
   EXPECT_EQ(m.until(kReport), kStart + 71s);
@@ -126,15 +127,15 @@
 }
 
 TEST(LifeFile, OnlyOneBootsClockTellsHowLongAgo) {
-  EXPECT_EQ(earlier_life(kEnded, {"boot-1", 5004s, 1'700'000'004'000'000}).ended_in_order, 4s);
-  EXPECT_EQ(earlier_life(kEnded, {"boot-1", 5004s, 1'700'000'004'000'000}).clock_behind, 0s);
-  EXPECT_FALSE(earlier_life(kEnded, {"boot-2", 5004s, 1'700'000'004'000'000}).ended_in_order);
-  EXPECT_FALSE(earlier_life(kEnded, {"", 5004s, 1'700'000'004'000'000}).ended_in_order);
-  EXPECT_FALSE(earlier_life(kEnded, {"boot-1", 4000s, 1'700'000'004'000'000}).ended_in_order);
+  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'700'000'004'000'000}).ended_in_order, 4s);
+  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'700'000'004'000'000}).clock_behind, 0s);
+  EXPECT_FALSE(previous_incarnation(kEnded, {"boot-2", 5004s, 1'700'000'004'000'000}).ended_in_order);
+  EXPECT_FALSE(previous_incarnation(kEnded, {"", 5004s, 1'700'000'004'000'000}).ended_in_order);
+  EXPECT_FALSE(previous_incarnation(kEnded, {"boot-1", 4000s, 1'700'000'004'000'000}).ended_in_order);
   // The Unix clock a day ahead does not make the end older, and one set back is seen by as much.
-  EXPECT_EQ(earlier_life(kEnded, {"boot-1", 5004s, 1'700'086'404'000'000}).ended_in_order, 4s);
-  EXPECT_EQ(earlier_life(kEnded, {"boot-1", 5004s, 1'699'999'944'000'000}).clock_behind, 60s);
-  EXPECT_EQ(earlier_life(kEnded, {"boot-2", 4s, 1'699'999'944'000'000}).clock_behind, 56s);
+  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'700'086'404'000'000}).ended_in_order, 4s);
+  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'699'999'944'000'000}).clock_behind, 60s);
+  EXPECT_EQ(previous_incarnation(kEnded, {"boot-2", 4s, 1'699'999'944'000'000}).clock_behind, 56s);
 }
 
 TEST(LifeFile, WhatCanNotBeWrittenOrTakenSaysSo) {
@@ -142,7 +143,7 @@
   EXPECT_EQ(write_ended(f.path / "none", kEnded)->step, "creating it");
   EXPECT_TRUE(take_ended(f.path / "none"));
   std::ofstream(f.path / "file") << "x";
-  FolderLock lock;
+  DirectoryLock lock;
   EXPECT_TRUE(lock.take(f.path / "file" / "below"));
   EXPECT_TRUE(lock.take(f.path / "file"));
   EXPECT_FALSE(lock.held());
@@ -154,7 +155,7 @@
 
 TEST(LifeFile, ADirectoryHasOneOwner) {
   Folder f;
-  FolderLock first, second;
+  DirectoryLock first, second;
   EXPECT_FALSE(first.take(f.path / "state"));
   EXPECT_EQ(second.take(f.path / "state")->why, "another process holds it");
   EXPECT_FALSE(first.take(f.path / "state"));
@@ -162,10 +163,10 @@
 
 // ---- What was learned ----
 
-learned::Learned some() {
-  learned::Learned what;
+warm_state::WarmState some() {
+  warm_state::WarmState what;
   what.by = "n1";
-  what.life = 7;
+  what.boot_id = 7;
   what.endpoints = {{"e.example.org", "127.0.0.1", 9001, 5s, 2, 80ms, 1s},
                     {"e.example.org", "127.0.0.1", 9002, 0s, 0, 3ms, 1s}};
   membership::Address a;
@@ -177,7 +178,7 @@
 }
 
 Snapshot snapshot_of(const std::string& boot, Duration since_boot, std::int64_t unix_us,
-                     learned::Learned what) {
+                     warm_state::WarmState what) {
   Snapshot s;
   s.at.boot = boot;
   s.at.since_boot = since_boot;
@@ -204,11 +205,11 @@
   auto version = whole;
   version[3] = '9';
   EXPECT_EQ(std::get<Fault>(decode_snapshot(version)).why, "of another version");
-  EXPECT_TRUE(std::holds_alternative<Fault>(decode_snapshot(std::string(kMostSnapshot + 1, 'g'))));
+  EXPECT_TRUE(std::holds_alternative<Fault>(decode_snapshot(std::string(kMaxSnapshot + 1, 'g'))));
 }
 
 TEST(Snapshot, TheLargestThatCanBeLearnedStaysWithinItsBound) {
-  learned::Learned what;
+  warm_state::WarmState what;
   for (std::size_t n = 0; n < 5000; ++n) {
     what.endpoints.push_back({std::string(253, 'd'), "2001:db8:ffff:ffff:ffff:ffff:ffff:ffff",
                               std::uint16_t(1 + n), 30s, 9, 1s, 1s});
@@ -221,9 +222,9 @@
   }
   const auto made = snapshot_of(std::string(36, 'b'), 5s, 77, what);
   const auto bytes = encode(made);
-  EXPECT_LE(bytes.size(), kMostSnapshot);
+  EXPECT_LE(bytes.size(), kMaxSnapshot);
   ASSERT_TRUE(std::holds_alternative<Snapshot>(decode_snapshot(bytes)));
-  EXPECT_EQ(std::get<Snapshot>(decode_snapshot(bytes)).what.members.size(), learned::kMostMembers);
+  EXPECT_EQ(std::get<Snapshot>(decode_snapshot(bytes)).what.members.size(), warm_state::kMaxMembers);
 }
 
 TEST(Snapshot, TheNewerWholeOneOfTwoCounts) {
@@ -232,18 +233,18 @@
   EXPECT_TRUE(read_newest(f.path).faults.empty());
   for (int n = 1; n <= 3; ++n) {
     auto what = some();
-    what.life = std::uint64_t(n);
+    what.boot_id = std::uint64_t(n);
     const auto made = snapshot_of("boot", Duration(n), n, what);
     EXPECT_FALSE(write_snapshot(f.path, encode(made)));
-    EXPECT_EQ(read_newest(f.path).snapshot->what.life, std::uint64_t(n));
+    EXPECT_EQ(read_newest(f.path).snapshot->what.boot_id, std::uint64_t(n));
   }
   // The newest is damaged: the one before it counts, and what is wrong is named.
   for (const char* name : {"learned-a", "learned-b"}) {
     const auto read = read_snapshot_file(f.path / name);
-    if (std::get<Snapshot>(read).what.life == 3) std::filesystem::resize_file(f.path / name, 20);
+    if (std::get<Snapshot>(read).what.boot_id == 3) std::filesystem::resize_file(f.path / name, 20);
   }
   const auto newest = read_newest(f.path);
-  EXPECT_EQ(newest.snapshot->what.life, 2u);
+  EXPECT_EQ(newest.snapshot->what.boot_id, 2u);
   EXPECT_EQ(newest.faults.size(), 1u);
   EXPECT_EQ(write_snapshot(f.path / "none", "x")->step, "creating it");
 }
@@ -255,16 +256,16 @@
   EXPECT_FALSE(age_of(then, {"other", 1s, 999'999'999}));
 }
 
-TEST(Learned, FadesByKindAndAnUnknownAgeIsTooOld) {
-  const auto soon = learned::faded(some(), 2s);
+TEST(WarmState, FadesByKindAndAnUnknownAgeIsTooOld) {
+  const auto soon = warm_state::aged(some(), 2s);
   EXPECT_EQ(soon.endpoints[0].out_for, 3s);
   EXPECT_EQ(soon.endpoints[0].heard_ago, 3s);
-  EXPECT_EQ(learned::faded(some(), 10s).endpoints[0].out_for, 0s);
-  EXPECT_TRUE(learned::faded(some(), 1h).endpoints.empty());
-  EXPECT_EQ(learned::faded(some(), 1h).members.size(), 1u);
-  EXPECT_TRUE(learned::faded(some(), 25h).members.empty());
-  EXPECT_TRUE(learned::faded(some(), std::nullopt).endpoints.empty());
-  EXPECT_EQ(learned::faded(some(), std::nullopt).members.size(), 1u);
+  EXPECT_EQ(warm_state::aged(some(), 10s).endpoints[0].out_for, 0s);
+  EXPECT_TRUE(warm_state::aged(some(), 1h).endpoints.empty());
+  EXPECT_EQ(warm_state::aged(some(), 1h).members.size(), 1u);
+  EXPECT_TRUE(warm_state::aged(some(), 25h).members.empty());
+  EXPECT_TRUE(warm_state::aged(some(), std::nullopt).endpoints.empty());
+  EXPECT_EQ(warm_state::aged(some(), std::nullopt).members.size(), 1u);
 }
 
 // ---- Endpoints that an earlier life knew ----
--- a/tests/parts_test.cpp
+++ b/tests/server_parts_test.cpp
@@ -7,7 +7,7 @@
 
 #include "config/config.h"
 #include "edge/edge.h"
-#include "edge/keys.h"
+#include "edge/idempotency_table.h"
 #include "frames/frames.h"
 #include "kernel/link.h"
 
@@ -15,7 +15,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using edge::KeyTable;
+using edge::IdempotencyTable;
 
 constexpr auto kConfig =
     R"({"name":"n1","listen":"127.0.0.1:7001","kernel":"127.0.0.1:1","announce":"127.0.0.1:2",
@@ -74,12 +74,12 @@
 
 // Guards against running a write twice: the window counts from the arrival of the try that ran.
 TEST_CASE("keys: a run covers what reached the machine within its window, however late it is read") {
-  KeyTable keys({{8949ms, 3s}});
+  IdempotencyTable keys({{8949ms, 3s}});
   const auto first = keyed("1", 10s);
   CHECK_FALSE(keys.arrive(first, RequestId{1}, 1));
   CHECK_FALSE(keys.covering_run(first));
   keys.started(first, RequestId{1});
-  keys.ended(first, RequestId{1}, KeyTable::RunState::bad, nullptr);
+  keys.ended(first, RequestId{1}, IdempotencyTable::RunState::bad, nullptr);
   keys.sweep(edge::UnixTime(20s));
   CHECK(keys.covering_run(keyed("2", 10s + 8949ms + 50ms)));
   CHECK_FALSE(keys.covering_run(keyed("3", 10s + 8949ms + 1001ms)));
@@ -88,7 +88,7 @@
 }
 
 TEST_CASE("keys: repeats are linked to what is kept, or to what is held and came in the same batch") {
-  KeyTable keys({{8949ms, 3s}});
+  IdempotencyTable keys({{8949ms, 3s}});
   const auto one = keyed("1", 0s), two = keyed("2", 1ms), three = keyed("3", 2ms), four = keyed("4", 12s);
   CHECK_FALSE(keys.arrive(one, RequestId{1}, 1));
   CHECK(keys.arrive(two, RequestId{2}, 1) == RequestId{1});
@@ -122,12 +122,12 @@
   kernel::Ledger ledger;
   ledger.link_opened();
   CHECK_FALSE(ledger.take({57, edge::RunReport{"old", edge::RunEnd::ok, {}, "x"}}));
-  CHECK_FALSE(ledger.take({1, kernel::Remark{}}));  // before BOOTED: of no number that was asked for
-  CHECK(ledger.take({0, edge::Booted{}}));
+  CHECK_FALSE(ledger.take({1, kernel::IgnoredNotice{}}));  // before BOOTED: of no number that was asked for
+  CHECK(ledger.take({0, edge::KernelStarted{}}));
   CHECK_FALSE(ledger.take({58, edge::RunReport{"older", edge::RunEnd::ok, {}, "x"}}));
   CHECK(ledger.last_notice() == 0);
   ledger.note(edge::StartRun{"a", ClassId{0}, ""});
-  CHECK(ledger.take({1, kernel::Remark{}}));
+  CHECK(ledger.take({1, kernel::IgnoredNotice{}}));
   CHECK(ledger.take({2, edge::RunReport{"a", edge::RunEnd::ok, {}, "x"}}));
   // Notices that the kernel no longer keeps leave a gap, past which an own run's end counts.
   ledger.note(edge::StartRun{"b", ClassId{0}, ""});
@@ -150,7 +150,7 @@
     CHECK(std::get<edge::RunReport>(got[0].what).result == "\r\nx\n");
     CHECK(std::get<edge::RunReport>(got[0].what).took == 1500us);
     CHECK(std::get<kernel::Info>(got[1].what).gauges.values == std::vector<float>{0.5F, 2});
-    CHECK(std::get<edge::Booted>(got[2].what).ago == 12ms);
+    CHECK(std::get<edge::KernelStarted>(got[2].what).ago == 12ms);
     CHECK(std::holds_alternative<kernel::BadLine>(got[3].what));
   }
 }
@@ -217,7 +217,7 @@
 
 // Guards against connections that ask once and stay, each with the room its request took.
 TEST_CASE("frames: a reader with nothing unread holds no buffer") {
-  edge::Catalog catalog{{"tile"}, {}, {false}};
+  edge::NameRegistry catalog{{"tile"}, {}, {false}};
   frames::Reader reader(catalog, edge::PeerId{1});
   const std::string check("\x00\x00\x00\x06\x06\x00\x00\x00\x02\x00", 10);
   for (int i = 0; i < 100; ++i) reader.add(check);
@@ -229,7 +229,7 @@
 
 // Guards against buffers that grow with what is sent.
 TEST_CASE("frames: an oversize request is turned away and skipped, and the next one is read") {
-  edge::Catalog catalog{{"tile"}, {}, {false}};
+  edge::NameRegistry catalog{{"tile"}, {}, {false}};
   frames::Reader reader(catalog, edge::PeerId{1});
   reader.add(std::string_view("\x00\x03\x00\x00\x00\x00\x00\x00\x05", 9));
   const auto bad = reader.next();
--- a/tests/crossing_test.cpp
+++ b/tests/shutdown_race_test.cpp
@@ -9,7 +9,7 @@
 #include <list>
 #include <thread>
 
-#include "fleet/runner.h"
+#include "fleet/process_fleet.h"
 #include "standin/caller.h"
 
 namespace granitegap::fleet {
@@ -48,7 +48,7 @@
   }
 };
 
-TEST(Crossing, ANoticeBetweenTheAcceptAndTheFirstByteLeavesTheAnswerOwed) {
+TEST(ShutdownRace, ANoticeBetweenTheAcceptAndTheFirstByteLeavesTheAnswerOwed) {
   Trial f;
   f.up();
   Caller c(f.port("n0"));
@@ -58,7 +58,7 @@
   f.left_in_order();
 }
 
-TEST(Crossing, ARequestInTheBacklogAtTheNoticeIsAnswered) {
+TEST(ShutdownRace, ARequestInTheBacklogAtTheNoticeIsAnswered) {
   Trial f;
   f.up();
   f.pause("n0");
@@ -70,7 +70,7 @@
   f.left_in_order();
 }
 
-TEST(Crossing, HalfALineAtTheNoticeAndTheRestAfterItIsOneRequest) {
+TEST(ShutdownRace, HalfALineAtTheNoticeAndTheRestAfterItIsOneRequest) {
   Trial f;
   f.up();
   Caller c(f.port("n0"));
@@ -82,7 +82,7 @@
   f.left_in_order();
 }
 
-TEST(Crossing, ANoticeDirectlyAfterAReloadEndsInOrderWithWhatRuns) {
+TEST(ShutdownRace, ANoticeDirectlyAfterAReloadEndsInOrderWithWhatRuns) {
   auto o = options();
   o.run_cost = 300ms;
   Trial f(o);
@@ -100,7 +100,7 @@
 }
 
 // A notice in the first instants: whatever has been built by then, it is heeded and nothing is cut off.
-TEST(Crossing, ANoticeAsSoonAsTheDoorIsOpenIsHeeded) {
+TEST(ShutdownRace, ANoticeAsSoonAsTheDoorIsOpenIsHeeded) {
   Trial f;
   f.start("n0");
   ASSERT_TRUE(f.until([&] { return f.says("listening on"); }, kLong));
@@ -108,7 +108,7 @@
   f.left_in_order();
 }
 
-TEST(Crossing, IdleClientsFillTheDescriptorsWhileTheListIsAway) {
+TEST(ShutdownRace, IdleClientsFillTheDescriptorsWhileTheListIsAway) {
   boost::asio::io_context io;
   udp::socket list(io, udp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
   const auto at = list.local_endpoint();
--- a/tests/records_test.cpp
+++ b/tests/typed_config_test.cpp
@@ -1,11 +1,11 @@
 // Typed records: what is read, what is refused and how that is told; and the operator's file on top of them.
-#include "records/records.h"
+#include "typed_config/typed_config.h"
 
 #include <gtest/gtest.h>
 
 #include "operators/operator_file.h"
 
-namespace granitegap::records {
+namespace granitegap::typed_config {
 namespace {
 
 Document parsed(std::string_view text) {
@@ -139,7 +139,7 @@
   ASSERT_TRUE(std::holds_alternative<operators::Declared>(declared));
   const auto& d = std::get<operators::Declared>(declared);
   EXPECT_EQ(d.spec.dependencies.size(), 2u);
-  EXPECT_EQ(d.spec.dependencies[0].most_open, 32u);
+  EXPECT_EQ(d.spec.dependencies[0].max_open, 32u);
   EXPECT_EQ(d.spec.gathers[0].parts[1].fallback, "");
   const auto again = operators::read(parsed(print(d.filled)));
   ASSERT_TRUE(std::holds_alternative<operators::Declared>(again));
@@ -213,4 +213,4 @@
 }
 
 }  // namespace
-}  // namespace granitegap::records
+}  // namespace granitegap::typed_config
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -129,7 +129,7 @@
     const auto out = fed(bytes);
     EXPECT_NE(out.status, 0);
     EXPECT_EQ(out.out, "");
-    EXPECT_EQ(out.err.rfind("granitegap_drill: batch 7, offset ", 0), 0U) << out.err;
+    EXPECT_EQ(out.err.rfind("granitegap_simulator: batch 7, offset ", 0), 0U) << out.err;
     EXPECT_EQ(std::count(out.err.begin(), out.err.end(), '\n'), 1);
   }
 }
--- a/tools/fleet/probers.h
+++ b/tools/fleet/health_check_simulation.h
@@ -9,16 +9,15 @@
 
 namespace granitegap::fleet {
 
-struct Probed {
+struct HealthCheckTraffic {
   double calls_a_second = 0;  // that the endpoint sees while it is out
   double back_within_s = 0;   // from its return to the last server's knowing; -1: not all within 20 s
 };
 
-// `together`: servers see each other's findings, a step late. `gone`: the chosen prober ends in the middle of
-// the outage.
-// `endpoints`: of the dependency; only the first comes back.
-inline Probed probe_outage(std::size_t servers, bool together, std::uint64_t seed, bool gone = false,
-                           std::uint16_t endpoints = 1) {
+// `together`: servers see each other's endpoint_health, a step late. `gone`: the chosen prober ends in the
+// middle of the outage. `endpoints`: of the dependency; only the first comes back.
+inline HealthCheckTraffic simulate_outage(std::size_t servers, bool together, std::uint64_t seed,
+                                          bool gone = false, std::uint16_t endpoints = 1) {
   using namespace std::chrono_literals;
   deps::Spec spec;
   deps::DependencySpec d;
@@ -37,7 +36,7 @@
     std::string name;
     std::unique_ptr<deps::ScatterGather> gatherer;
     std::vector<std::pair<TimePoint, deps::CallReport>> ends;
-    std::vector<membership::Finding> found;
+    std::vector<membership::EndpointHealth> found;
     bool lives = true;
   };
   std::vector<Server> all(servers);
@@ -47,7 +46,7 @@
   }
   constexpr Duration kStep = 10ms, kNews = 500ms;  // a view is as old as gossip makes it
   const TimePoint began(1000s), out_from = began + 5s, out_to = out_from + 60s;
-  Probed probed;
+  HealthCheckTraffic probed;
   std::uint64_t calls = 0;
   std::uint32_t id = 1;
   TimePoint heard{}, known{};
@@ -55,7 +54,7 @@
     const bool out = now >= out_from && now < out_to;
     if (together && now - heard >= kNews) {
       heard = now;
-      for (auto& s : all) s.found = s.gatherer->findings(now);
+      for (auto& s : all) s.found = s.gatherer->endpoint_health(now);
       for (std::size_t n = 0; n < servers; ++n) {
         auto view = std::make_shared<membership::View>();
         view->own_hash = membership::name_hash(all[n].name);
@@ -64,8 +63,8 @@
           membership::View::Peer peer;
           peer.name = all[k].name;
           peer.hash = membership::name_hash(peer.name);
-          peer.told.stage = membership::Stage::serving;
-          peer.told.findings = all[k].found;
+          peer.metadata.stage = membership::Stage::serving;
+          peer.metadata.endpoint_health = all[k].found;
           view->peers.push_back(std::move(peer));
         }
         view->agreed = servers;
@@ -78,7 +77,7 @@
           for (auto& s : all) {
             membership::View::Peer p;
             p.hash = membership::name_hash(s.name);
-            p.told.stage = membership::Stage::serving;
+            p.metadata.stage = membership::Stage::serving;
             v.peers.push_back(p);
           }
           return membership::prober_of(v, membership::name_hash(d.name + " 127.0.0.1 9001"));
--- a/tools/fleet/crowd.cpp
+++ b/tools/fleet/load_generator.cpp
@@ -1,4 +1,4 @@
-#include "fleet/crowd.h"
+#include "fleet/load_generator.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -29,7 +29,7 @@
 
 namespace {
 
-constexpr std::size_t kMostOpen = 32;  // on one connection
+constexpr std::size_t kMaxOpen = 32;  // on one connection
 constexpr auto kStickyPause = 150ms, kNobodyPause = 50ms;
 constexpr auto kRoundTrip =
     20ms;  // a caller is no nearer than that: guards against a crowd that only burns this machine
@@ -39,12 +39,12 @@
 
 }  // namespace
 
-double worth_of(const Fate& f, const CrowdClass& c) {
+double worth_of(const RequestRecord& f, const LoadClass& c) {
   if (!f.served || f.took > c.deadline) return 0;
   return f.took <= c.aim ? c.worth : c.worth * c.late_worth;
 }
 
-struct Crowd::Work {
+struct LoadGenerator::Work {
   // A connection of one proxy to one server; opened when it is needed, and anew where the server has moved.
   struct Line {
     explicit Line(asio::io_context& io) : socket(io) {}
@@ -65,7 +65,7 @@
     std::vector<Heard> heard;
   };
 
-  Work(const CrowdOptions& o, std::size_t n, Port p)
+  Work(const LoadOptions& o, std::size_t n, Port p)
       : options(o), servers(n), port(std::move(p)), random(o.seed), arrivals(io), began(Clock::now()) {
     proxies.resize(o.proxies);
     for (auto& proxy : proxies) {
@@ -88,7 +88,7 @@
       error_code error;
       co_await arrivals.async_wait(into(error));
       if (stopping) co_return;
-      Fate f;
+      RequestRecord f;
       f.wanted = std::chrono::duration_cast<Duration>(next - began);
       double drawn = roll();
       for (const auto& c : options.classes) {
@@ -99,7 +99,8 @@
       double all = 0;
       for (const double w : options.habits) all += w;
       double habit = roll() * all;
-      while (f.habit + 1u < kHabits && habit >= options.habits[f.habit]) habit -= options.habits[f.habit++];
+      while (f.habit + 1u < kRetryBehaviors && habit >= options.habits[f.habit])
+        habit -= options.habits[f.habit++];
       if (options.classes[f.cls].keyed) {
         char token[33];
         std::snprintf(token, sizeof token, "%016llx%016llx", static_cast<unsigned long long>(random()),
@@ -123,14 +124,14 @@
   }
 
   // One first try and all that its habit makes of it.
-  asio::awaitable<void> pursue(std::size_t number, Fate f, std::size_t who, std::uint64_t key,
+  asio::awaitable<void> pursue(std::size_t number, RequestRecord f, std::size_t who, std::uint64_t key,
                                std::string body) {
     const auto& cls = options.classes[f.cls];
     const auto due = began + std::chrono::duration_cast<Clock::duration>(f.wanted + cls.deadline);
     std::size_t last = servers;
     asio::steady_timer pause(io);
     while (!f.served && Clock::now() < due) {
-      const auto server = choose(proxies[who], Habit(f.habit), key, last);
+      const auto server = choose(proxies[who], RetryBehavior(f.habit), key, last);
       if (server == servers) {  // nobody may be asked now
         pause.expires_after(kNobodyPause);
         error_code ignored;
@@ -154,12 +155,12 @@
       }
       if (answer && answer->code == 1) ++f.refused;
       if (!answer) heard.hint = 0;
-      if (Habit(f.habit) == Habit::heeding) {
+      if (RetryBehavior(f.habit) == RetryBehavior::heeding) {
         heard.away_until =
             Clock::now() + std::max<std::chrono::milliseconds>(answer ? answer->backoff : 500ms, 20ms);
         if (f.tries >= kHeedingTries) break;
       }
-      pause.expires_after(Habit(f.habit) == Habit::sticky ? kStickyPause : kRoundTrip);
+      pause.expires_after(RetryBehavior(f.habit) == RetryBehavior::sticky ? kStickyPause : kRoundTrip);
       error_code ignored;
       co_await pause.async_wait(into(ignored));
     }
@@ -170,9 +171,9 @@
     --open;
   }
 
-  std::size_t choose(const Proxy& proxy, Habit habit, std::uint64_t key, std::size_t last) {
-    if (habit == Habit::sticky) return std::size_t(key % servers);
-    if (habit == Habit::tireless) {
+  std::size_t choose(const Proxy& proxy, RetryBehavior habit, std::uint64_t key, std::size_t last) {
+    if (habit == RetryBehavior::sticky) return std::size_t(key % servers);
+    if (habit == RetryBehavior::tireless) {
       const auto s = std::size_t(random() % servers);
       return s == last ? (s + 1) % servers : s;
     }
@@ -188,7 +189,7 @@
   }
 
   asio::awaitable<std::optional<standin::Answered>> ask(std::size_t who, std::size_t server,
-                                                        const CrowdClass& cls, const std::string& token,
+                                                        const LoadClass& cls, const std::string& token,
                                                         const std::string& body, Clock::time_point until) {
     auto line = proxies[who].lines[server];
     const auto there = port(server);
@@ -198,7 +199,7 @@
       co_await wait.async_wait(into(ignored));
       co_return std::nullopt;
     }
-    if (!line->up || line->port != there || line->open.size() >= kMostOpen) {
+    if (!line->up || line->port != there || line->open.size() >= kMaxOpen) {
       line = proxies[who].lines[server] = std::make_shared<Line>(io);
       line->port = there;
       error_code error;
@@ -263,7 +264,7 @@
     for (auto& [stream, tell] : std::map(line->open)) tell(std::nullopt);
   }
 
-  const CrowdOptions& options;
+  const LoadOptions& options;
   std::size_t servers;
   Port port;
   asio::io_context io;
@@ -274,11 +275,12 @@
   std::uint64_t rids = 0;
   bool stopping = false;
   mutable std::mutex mutex;  // fates and open
-  std::deque<Fate> fates;
+  std::deque<RequestRecord> fates;
   std::size_t open = 0;
 };
 
-Crowd::Crowd(CrowdOptions options, std::size_t servers, Port port) : options_(std::move(options)) {
+LoadGenerator::LoadGenerator(LoadOptions options, std::size_t servers, Port port)
+    : options_(std::move(options)) {
   work_ = std::make_unique<Work>(options_, servers, std::move(port));
   thread_ = std::thread([this] {
     const auto guard = asio::make_work_guard(work_->io);
@@ -286,12 +288,12 @@
   });
 }
 
-Crowd::~Crowd() {
+LoadGenerator::~LoadGenerator() {
   work_->io.stop();
   thread_.join();
 }
 
-void Crowd::stop() {
+void LoadGenerator::stop() {
   asio::post(work_->io, [this] {
     work_->stopping = true;
     work_->arrivals.cancel();
@@ -308,11 +310,11 @@
   }
 }
 
-Duration Crowd::elapsed() const { return work_->now(); }
+Duration LoadGenerator::elapsed() const { return work_->now(); }
 
-std::vector<Fate> Crowd::fates(Duration from, Duration to) const {
+std::vector<RequestRecord> LoadGenerator::fates(Duration from, Duration to) const {
   const std::lock_guard lock(work_->mutex);
-  std::vector<Fate> some;
+  std::vector<RequestRecord> some;
   for (const auto& f : work_->fates)
     if (f.wanted >= from && f.wanted < to) some.push_back(f);
   return some;
--- a/tools/fleet/crowd.h
+++ b/tools/fleet/load_generator.h
@@ -21,10 +21,10 @@
 
 namespace granitegap::fleet {
 
-enum class Habit : std::uint8_t { heeding, tireless, sticky };
-inline constexpr std::size_t kHabits = 3;
+enum class RetryBehavior : std::uint8_t { heeding, tireless, sticky };
+inline constexpr std::size_t kRetryBehaviors = 3;
 
-struct CrowdClass {
+struct LoadClass {
   std::string name;
   double share = 1, worth = 1, late_worth = 0;
   Duration aim{}, deadline{};
@@ -33,23 +33,23 @@
   std::uint64_t things = 0;
 };
 
-struct CrowdOptions {
+struct LoadOptions {
   std::uint64_t seed = 1;
   double rate = 100;  // first tries a second, all together
   std::size_t proxies = 12;
-  std::vector<CrowdClass> classes;
-  std::array<double, kHabits> habits{1, 1, 1};          // weights
+  std::vector<LoadClass> classes;
+  std::array<double, kRetryBehaviors> habits{1, 1, 1};  // weights
   Duration patience = std::chrono::milliseconds(1200);  // of one try
   int est_ms = 20;                                      // core time, as each request tells it
   // Counts what is wrong with a served answer to `asked`, which was under way for `took`; on the crowd's
   // thread.
-  std::function<std::uint16_t(const CrowdClass&, const std::string& asked, const std::string& body,
+  std::function<std::uint16_t(const LoadClass&, const std::string& asked, const std::string& body,
                               Duration took)>
       check;
 };
 
 // One first try and what became of it.
-struct Fate {
+struct RequestRecord {
   Duration wanted{};  // since the crowd's start
   Duration took{};    // until its final answer
   std::uint8_t cls = 0, habit = 0;
@@ -60,28 +60,28 @@
   std::string token;
 };
 
-class Crowd {
+class LoadGenerator {
  public:
   // `port` tells where server n serves now; 0: nowhere. Called on the crowd's thread.
   using Port = std::function<std::uint16_t(std::size_t server)>;
-  Crowd(CrowdOptions options, std::size_t servers, Port port);
-  ~Crowd();
-  Crowd(const Crowd&) = delete;
-  Crowd& operator=(const Crowd&) = delete;
+  LoadGenerator(LoadOptions options, std::size_t servers, Port port);
+  ~LoadGenerator();
+  LoadGenerator(const LoadGenerator&) = delete;
+  LoadGenerator& operator=(const LoadGenerator&) = delete;
   // No more first tries; returns once every request is over, or its deadline past.
   void stop();
   Duration elapsed() const;
   // Those wanted in [from, to), as they stand now.
-  std::vector<Fate> fates(Duration from, Duration to) const;
+  std::vector<RequestRecord> fates(Duration from, Duration to) const;
 
  private:
   struct Work;
-  CrowdOptions options_;
+  LoadOptions options_;
   std::unique_ptr<Work> work_;
   std::thread thread_;
 };
 
 // What a fate was worth: whole within the aim, late_worth of it up to the deadline.
-double worth_of(const Fate& fate, const CrowdClass& cls);
+double worth_of(const RequestRecord& fate, const LoadClass& cls);
 
 }  // namespace granitegap::fleet
--- a/tools/fleet/runner.cpp
+++ b/tools/fleet/process_fleet.cpp
@@ -1,4 +1,4 @@
-#include "fleet/runner.h"
+#include "fleet/process_fleet.h"
 
 #include <fcntl.h>
 #include <sys/prctl.h>
@@ -325,7 +325,7 @@
 }
 
 Fleet::Cut Fleet::rule(standin::Rule rule) {
-  return on_io([&] { return network_->weather().add(std::move(rule)); });
+  return on_io([&] { return network_->fault_injector().add(std::move(rule)); });
 }
 Fleet::Cut Fleet::cut(Names from, Names to, bool both) {
   standin::Rule r;
@@ -336,16 +336,16 @@
   return rule(std::move(r));
 }
 void Fleet::mend(Cut cut) {
-  on_io([&] { network_->weather().remove(cut); });
+  on_io([&] { network_->fault_injector().remove(cut); });
 }
 void Fleet::mend_all() {
-  on_io([&] { network_->weather().clear(); });
+  on_io([&] { network_->fault_injector().clear(); });
 }
 void Fleet::inject(const std::string& from, const std::string& to, std::string bytes) {
   on_io([&] { network_->inject(from, to, std::move(bytes)); });
 }
-standin::Weather::Seen Fleet::seen() const {
-  return on_io([&] { return network_->weather().seen(); });
+standin::FaultInjector::Seen Fleet::seen() const {
+  return on_io([&] { return network_->fault_injector().seen(); });
 }
 
 std::optional<membership_udp::Reply> Fleet::view(const std::string& name,
--- a/tools/fleet/runner.h
+++ b/tools/fleet/process_fleet.h
@@ -24,7 +24,7 @@
 #include <utility>
 #include <vector>
 
-#include "membership_udp/ask.h"
+#include "membership_udp/status_client.h"
 #include "standin/kernel.h"
 #include "standin/network.h"
 
@@ -85,7 +85,7 @@
   std::string admin(const std::string& name, const std::string& line) const;
   std::uint16_t admin_port(const std::string& name) const;  // of this life; 0 before it has said so
 
-  using Cut = standin::Weather::RuleId;
+  using Cut = standin::FaultInjector::RuleId;
   Cut cut(Names from, Names to, bool both = false);
   Cut rule(standin::Rule rule);
   void mend(Cut cut);
@@ -121,7 +121,7 @@
   void set_pace(const std::string& name, standin::Kernel::Pace pace);
   void reboot_kernel(const std::string& name);  // with its machine: cold, and nothing runs
   std::filesystem::path folder(const std::string& name) const { return at(name).folder / "state"; }
-  standin::Weather::Seen seen() const;
+  standin::FaultInjector::Seen seen() const;
 
  private:
   struct Process {
--- a/tools/fleet/return_sim.cpp
+++ b/tools/fleet/recovery_simulation.cpp
@@ -1,4 +1,4 @@
-#include "fleet/return_sim.h"
+#include "fleet/recovery_simulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -21,7 +21,7 @@
 
 double sec(Duration d) { return std::chrono::duration<double>(d).count(); }
 
-Settings settings_of(const ReturnOptions& o, bool cold) {
+Settings settings_of(const RecoverySimulationOptions& o, bool cold) {
   Settings s;
   ClassSettings c;
   c.aim = kAim;
@@ -61,11 +61,11 @@
 
 class Play {
  public:
-  explicit Play(const ReturnOptions& o) : o_(o), random_(o.seed), servers_(o.servers) {
+  explicit Play(const RecoverySimulationOptions& o) : o_(o), random_(o.seed), servers_(o.servers) {
     for (auto& s : servers_) start(s, false);
   }
 
-  ReturnFigures run() {
+  RecoverySimulationResult run() {
     const auto hit = kBegin + o_.before, end = hit + o_.after;
     f_.served.resize(std::size_t(sec(o_.before + o_.after)) + 1);
     f_.offered.resize(f_.served.size());
@@ -109,7 +109,7 @@
   };
   struct Server {
     std::optional<AdmissionController> module;
-    std::optional<recovery::Course> course;
+    std::optional<recovery::RecoveryController> recovery;
     std::map<RequestId, Try> open;
     std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers;
     std::vector<Event> events;
@@ -137,9 +137,9 @@
     s.module.emplace(settings_of(o_, cold), random_(), now_);
     for (const auto& a : s.module->start()) carry_out(s, a);
     if (!o_.guided) return;
-    s.course.emplace(o_.rules, now_);
-    s.course->kernel(cold, o_.warm_up, now_);
-    if (!cold) s.course->learned(0, now_);
+    s.recovery.emplace(o_.rules, now_);
+    s.recovery->kernel(cold, o_.warm_up, now_);
+    if (!cold) s.recovery->learned(0, now_);
   }
 
   void strike() {
@@ -154,15 +154,15 @@
   void look() {
     if (!o_.guided) return;
     std::size_t able = 0;
-    for (const auto& s : servers_) able += s.course->phase() == recovery::Phase::full;
+    for (const auto& s : servers_) able += s.recovery->phase() == recovery::Phase::full;
     for (auto& s : servers_) {
-      recovery::FleetFacts f;
+      recovery::FleetStatus f;
       f.others = servers_.size() - 1;
-      f.able = able - (s.course->phase() == recovery::Phase::full);
+      f.able = able - (s.recovery->phase() == recovery::Phase::full);
       f.returning = f.others ? double(f.others - f.able) / double(f.others) : 0;
       f.sure = true;
-      s.course->fleet(f, now_);
-      if (f.able == 0) s.course->learned(0, now_);
+      s.recovery->fleet(f, now_);
+      if (f.able == 0) s.recovery->learned(0, now_);
     }
   }
 
@@ -202,7 +202,7 @@
       s.running.push_back(run->id);
       ++f_.runs;
     } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-      if (s.course && refuse->keep_off.count() > 0) s.course->turned_away(now_);
+      if (s.recovery && refuse->keep_off.count() > 0) s.recovery->turned_away(now_);
       give_up(s, refuse->id);
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
       give_up(s, fail->id);
@@ -248,7 +248,7 @@
     s.events.emplace_back(RunEnded{id, RunResult::ok, now_ - t.reached});
     auto& w = wants_[t.want];
     const bool in_time = now_ - t.reached < o_.patience && !w.over && !t.answered;
-    if (s.course) s.course->ran(!t.answered && now_ - t.reached <= kAim, now_);
+    if (s.recovery) s.recovery->ran(!t.answered && now_ - t.reached <= kAim, now_);
     if (!in_time) return;  // its caller has given this try up
     w.over = true;
     ++f_.answered;
@@ -265,16 +265,16 @@
       s.timers.pop();
       s.events.emplace_back(fired);
     }
-    if (s.course && now_ - s.ticked >= kTickEvery) {
+    if (s.recovery && now_ - s.ticked >= kTickEvery) {
       s.ticked = now_;
-      s.course->tick(now_);
-      s.course->take_news();
-      if (s.course->proven() > 0)
-        f_.most_over_proven = std::max(f_.most_over_proven, s.course->offered() / s.course->proven());
+      s.recovery->tick(now_);
+      s.recovery->take_news();
+      if (s.recovery->proven() > 0)
+        f_.max_over_proven = std::max(f_.max_over_proven, s.recovery->offered() / s.recovery->proven());
       f_.offered[std::size_t(sec(now_ - kBegin))] +=
-          s.course->offered() * sec(kTickEvery) / double(servers_.size());
-      const BoundSet bound{s.course->wait_bound(), s.course->offered()};
-      if (bound.most_wait != s.bound.most_wait || bound.offered != s.bound.offered)
+          s.recovery->offered() * sec(kTickEvery) / double(servers_.size());
+      const BoundSet bound{s.recovery->wait_bound(), s.recovery->offered()};
+      if (bound.max_wait != s.bound.max_wait || bound.offered != s.bound.offered)
         s.events.emplace_back(s.bound = bound);
     }
     while (!s.events.empty()) {
@@ -283,7 +283,7 @@
     }
   }
 
-  ReturnFigures figures() {
+  RecoverySimulationResult figures() {
     const auto hit = std::size_t(sec(o_.before)), last = f_.served.size() - 1;
     for (std::size_t k = 2; k + 1 < hit; ++k) f_.before += f_.served[k] / double(hit - 3);
     // Requests of the last seconds may still be on their way.
@@ -292,21 +292,24 @@
     for (std::size_t k = hit; k + 3 <= until && f_.full_service_s < 0; ++k)
       if (f_.served[k] + f_.served[k + 1] + f_.served[k + 2] >= 3 * 0.95 * f_.before)
         f_.full_service_s = double(k - hit);
-    for (const auto& s : servers_) f_.still_on_the_way += s.course && s.course->phase() != recovery::Phase::full;
+    for (const auto& s : servers_)
+      f_.still_on_the_way += s.recovery && s.recovery->phase() != recovery::Phase::full;
     return std::move(f_);
   }
 
-  ReturnOptions o_;
+  RecoverySimulationOptions o_;
   std::mt19937_64 random_;
   TimePoint now_ = kBegin;
   std::vector<Server> servers_;
   std::vector<Want> wants_;
   std::priority_queue<Later, std::vector<Later>, std::greater<>> later_;
-  ReturnFigures f_;
+  RecoverySimulationResult f_;
 };
 
 }  // namespace
 
-ReturnFigures play_return(const ReturnOptions& options) { return Play(options).run(); }
+RecoverySimulationResult simulate_recovery(const RecoverySimulationOptions& options) {
+  return Play(options).run();
+}
 
 }  // namespace granitegap::fleet
--- a/tools/fleet/simulated.cpp
+++ b/tools/fleet/simulated_fleet.cpp
@@ -1,4 +1,4 @@
-#include "fleet/simulated.h"
+#include "fleet/simulated_fleet.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Duration kLeastDelay = 200us;
+constexpr Duration kMinDelay = 200us;
 constexpr std::size_t kSocketBuffer = 400;  // datagrams that a paused process's socket keeps
 
 membership::Address address_of(std::size_t n, std::uint16_t port) {
@@ -24,9 +24,9 @@
 
 }  // namespace
 
-Simulated::Simulated(membership::Options options, std::uint64_t seed, std::size_t nodes, std::size_t zones,
-                     std::size_t seeds)
-    : options_(std::move(options)), random_(seed), weather_(seed ^ 0x9e3779b97f4a7c15ull) {
+SimulatedFleet::SimulatedFleet(membership::Options options, std::uint64_t seed, std::size_t nodes,
+                               std::size_t zones, std::size_t seeds)
+    : options_(std::move(options)), random_(seed), fault_injector_(seed ^ 0x9e3779b97f4a7c15ull) {
   for (std::size_t n = 0; n < std::min(seeds, nodes); ++n) options_.seeds.push_back(address_of(n, 9000));
   nodes_.resize(nodes);
   waiting_.resize(nodes);
@@ -40,18 +40,18 @@
   }
 }
 
-void Simulated::give_second_paths() {
+void SimulatedFleet::give_second_paths() {
   for (Node n = 0; n < nodes_.size(); ++n) {
     nodes_[n].identity.second = address_of(n, 9500);
     addresses_[nodes_[n].identity.second] = n;
   }
 }
 
-void Simulated::start(Node n, membership::Incarnation first) {
+void SimulatedFleet::start(Node n, membership::Incarnation first) {
   auto& place = nodes_[n];
   ++place.lives;
   place.paused = false;
-  place.identity.life = membership::Life(random_());
+  place.identity.boot_id = membership::BootId(random_());
   place.identity.first =
       first ? first
             : membership::Incarnation(1'000'000 + elapsed().count() / 1000 + std::int64_t(place.lives));
@@ -60,41 +60,41 @@
   pass_on(n);
 }
 
-void Simulated::start_all(Duration over) {
+void SimulatedFleet::start_all(Duration over) {
   for (Node n = 0; n < nodes_.size(); ++n) {
     run_for(over / std::int64_t(nodes_.size()));
     start(n);
   }
 }
 
-void Simulated::start_formed() {
+void SimulatedFleet::start_formed() {
   std::vector<membership::Record> all;
   for (Node n = 0; n < nodes_.size(); ++n) {
     start(n);
     const auto& m = *nodes_[n].member;
-    all.push_back(
-        {m.self().name, m.self().address, m.self().life, m.incarnation(), Status::alive, 0, 0, m.told()});
+    all.push_back({m.self().name, m.self().address, m.self().boot_id, m.incarnation(), Status::alive, 0, 0,
+                   m.metadata()});
   }
   for (auto& place : nodes_) place.member->introduce(all, now_);
 }
 
-void Simulated::move(Node n, std::uint16_t port) {
+void SimulatedFleet::move(Node n, std::uint16_t port) {
   addresses_.erase(nodes_[n].identity.address);
   nodes_[n].identity.address.port = port;
   addresses_[nodes_[n].identity.address] = n;
 }
 
-Simulated::Node Simulated::clone(Node n) {
-  const Node twin = nodes_.size();
+SimulatedFleet::Node SimulatedFleet::clone(Node n) {
+  const Node duplicate = nodes_.size();
   nodes_.emplace_back();
   waiting_.emplace_back();
-  nodes_[twin].identity = nodes_[n].identity;
-  nodes_[twin].identity.address = address_of(twin, 9000);
-  addresses_[nodes_[twin].identity.address] = twin;
-  return twin;
+  nodes_[duplicate].identity = nodes_[n].identity;
+  nodes_[duplicate].identity.address = address_of(duplicate, 9000);
+  addresses_[nodes_[duplicate].identity.address] = duplicate;
+  return duplicate;
 }
 
-void Simulated::resume(Node n) {
+void SimulatedFleet::resume(Node n) {
   nodes_[n].paused = false;
   for (auto& e : std::exchange(waiting_[n], {})) {
     e.at = now_;
@@ -104,11 +104,11 @@
   if (nodes_[n].member) queue_.push({now_, order_++, n, nodes_[n].lives, nullptr, 0});
 }
 
-void Simulated::inject(Node to, Datagram datagram, std::size_t bytes, Duration after) {
+void SimulatedFleet::inject(Node to, Datagram datagram, std::size_t bytes, Duration after) {
   queue_.push({now_ + after, order_++, to, 0, std::make_shared<const Datagram>(std::move(datagram)), bytes});
 }
 
-void Simulated::pass_on(Node n) {
+void SimulatedFleet::pass_on(Node n) {
   auto& place = nodes_[n];
   for (auto& change : place.member->take_changes()) {
     if (change.own && (change.kind == ChangeKind::died || change.kind == ChangeKind::suspected)) {
@@ -119,19 +119,19 @@
     if (on_change) on_change(n, change);
   }
   for (auto& send : place.member->take_sends()) {
-    const auto bytes = membership::most_bytes(send.datagram);
+    const auto bytes = membership::max_bytes(send.datagram);
     ++figures_.datagrams;
     figures_.bytes += bytes;
     figures_.largest = std::max(figures_.largest, bytes);
     const auto to = addresses_.find(send.to);
     if (to == addresses_.end()) continue;
     const std::string path = send.second ? "/2" : "";
-    const auto fate =
-        weather_.fate(place.identity.name + path, nodes_[to->second].identity.name + path, bytes, elapsed());
+    const auto fate = fault_injector_.fate(place.identity.name + path,
+                                           nodes_[to->second].identity.name + path, bytes, elapsed());
     if (fate.corrupt || fate.arrives.empty()) continue;  // the checksum finds it
     const auto shared = std::make_shared<const Datagram>(std::move(send.datagram));
     for (const auto after : fate.arrives)
-      queue_.push({now_ + kLeastDelay + after, order_++, to->second, 0, shared, bytes});
+      queue_.push({now_ + kMinDelay + after, order_++, to->second, 0, shared, bytes});
   }
   const auto wake = std::max(place.member->next_wake(), now_ + 1us) + place.starved;
   if (place.wake > now_ && place.wake <= wake) return;  // an earlier one will look again
@@ -139,7 +139,7 @@
   queue_.push({wake, order_++, n, place.lives, nullptr, 0});
 }
 
-void Simulated::handle(const Event& e) {
+void SimulatedFleet::handle(const Event& e) {
   auto& place = nodes_[e.node];
   if (!place.member) return;
   if (place.paused) {
@@ -149,14 +149,14 @@
   if (e.datagram) {
     place.member->receive(*e.datagram, e.bytes, now_);
   } else {
-    if (e.life != place.lives) return;
+    if (e.boot_id != place.lives) return;
     if (place.wake <= now_) place.wake = {};
     if (place.member->next_wake() <= now_) place.member->wake(now_);
   }
   pass_on(e.node);
 }
 
-void Simulated::run_for(Duration span) {
+void SimulatedFleet::run_for(Duration span) {
   const auto end = now_ + span;
   while (!queue_.empty() && queue_.top().at <= end) {
     const auto e = queue_.top();
@@ -167,7 +167,7 @@
   now_ = end;
 }
 
-bool Simulated::run_until(const std::function<bool()>& holds, Duration most) {
+bool SimulatedFleet::run_until(const std::function<bool()>& holds, Duration most) {
   const auto end = now_ + most;
   while (now_ < end) {
     if (holds()) return true;
@@ -176,20 +176,20 @@
   return holds();
 }
 
-std::optional<Status> Simulated::holds(Node who, Node of) const {
+std::optional<Status> SimulatedFleet::holds(Node who, Node of) const {
   const auto& roster = nodes_[who].member->roster();
   const auto i = roster.find(nodes_[of].identity.name);
   if (i == membership::kNobody) return std::nullopt;
   return roster.at(i).status;
 }
 
-bool Simulated::all_know(Node of, Status status) const {
+bool SimulatedFleet::all_know(Node of, Status status) const {
   for (Node n = 0; n < nodes_.size(); ++n)
     if (n != of && nodes_[n].member && !nodes_[n].paused && holds(n, of) != status) return false;
   return true;
 }
 
-bool Simulated::agree() const {
+bool SimulatedFleet::agree() const {
   std::size_t living = 0;
   for (const auto& place : nodes_) living += place.member != nullptr;
   for (Node n = 0; n < nodes_.size(); ++n) {
--- a/tools/fleet/simulated.h
+++ b/tools/fleet/simulated_fleet.h
@@ -9,16 +9,16 @@
 #include <vector>
 
 #include "membership/member.h"
-#include "standin/weather.h"
+#include "standin/fault_injector.h"
 
 namespace granitegap::fleet {
 
-class Simulated {
+class SimulatedFleet {
  public:
   using Node = std::size_t;
-  Simulated(membership::Options options, std::uint64_t seed, std::size_t nodes, std::size_t zones = 3,
-            std::size_t seeds = 3);
-  // Before the start: each has a second path; to the weather its ends are "n0/2" and so on.
+  SimulatedFleet(membership::Options options, std::uint64_t seed, std::size_t nodes, std::size_t zones = 3,
+                 std::size_t seeds = 3);
+  // Before the start: each has a second path; to the fault_injector its ends are "n0/2" and so on.
   void give_second_paths();
 
   void start_all(Duration over);
@@ -53,7 +53,7 @@
   // Every living one holds every living one alive and no other one so.
   bool agree() const;
   bool all_know(Node of, membership::Status status) const;
-  standin::Weather& weather() { return weather_; }
+  standin::FaultInjector& fault_injector() { return fault_injector_; }
   TimePoint now() const { return now_; }
   Duration elapsed() const { return now_ - TimePoint{}; }
 
@@ -81,7 +81,7 @@
     TimePoint at;
     std::uint64_t order;
     Node node;
-    std::uint64_t life;                                    // a wake-up's
+    std::uint64_t boot_id;                                 // a wake-up's
     std::shared_ptr<const membership::Datagram> datagram;  // none: a wake-up
     std::size_t bytes = 0;
     bool operator>(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
@@ -92,7 +92,7 @@
 
   membership::Options options_;
   std::mt19937_64 random_;
-  standin::Weather weather_;
+  standin::FaultInjector fault_injector_;
   std::vector<Place> nodes_;
   std::map<membership::Address, Node> addresses_;
   std::map<std::string, Node> names_;
--- a/tools/standin/dependency.cpp
+++ b/tools/standin/dependency.cpp
@@ -16,7 +16,7 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::size_t kMostHead = 16384;
+constexpr std::size_t kMaxHead = 16384;
 constexpr auto kTrickle = std::chrono::milliseconds(50);
 constexpr auto kWaitForRoom = std::chrono::milliseconds(1);
 
@@ -67,7 +67,7 @@
   };
   std::string buffer;
   for (;;) {
-    const auto head = co_await asio::async_read_until(socket, asio::dynamic_buffer(buffer, kMostHead),
+    const auto head = co_await asio::async_read_until(socket, asio::dynamic_buffer(buffer, kMaxHead),
                                                       "\r\n\r\n", into(error));
     if (error) co_return;
     const auto path_at = buffer.find(' ') + 1;
@@ -76,7 +76,7 @@
     auto& seen = *state->seen;
     const auto plan = standin::plan(state->script, endpoint, state->elapsed(), state->random);
     seen.requests.push_back(state->elapsed());
-    seen.most_open = std::max(seen.most_open, ++seen.open);
+    seen.max_open = std::max(seen.max_open, ++seen.open);
     struct Leave {
       Seen& seen;
       ~Leave() { --seen.open; }
--- a/tools/standin/dependency.h
+++ b/tools/standin/dependency.h
@@ -23,7 +23,7 @@
   std::uint16_t port(std::size_t endpoint) const { return doors_[endpoint]->local_endpoint().port(); }
   struct Seen {
     std::vector<Duration> requests;  // when each came, from the start
-    std::size_t open = 0, most_open = 0;
+    std::size_t open = 0, max_open = 0;
   };
   const Seen& seen() const { return *seen_; }
 
--- a/tools/standin/deps_world.h
+++ b/tools/standin/dependency_simulation.h
@@ -13,7 +13,6 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-
 class World {
  public:
   struct Reply {
@@ -53,7 +52,7 @@
       while (!ends_.empty() && ends_.top().at <= now) {
         const auto end = ends_.top();
         ends_.pop();
-        // Told even where it was abandoned: what crosses on the way must do no harm.
+        // MemberMetadata even where it was abandoned: what crosses on the way must do no harm.
         open_.erase(end.report.id);
         gatherer.ended(end.report, now);
         settle();
@@ -127,7 +126,7 @@
       }
     }
     for (std::uint32_t d = 0; d < spec_->dependencies.size(); ++d)
-      if (gatherer.open_calls(d) > spec_->dependencies[d].most_open)
+      if (gatherer.open_calls(d) > spec_->dependencies[d].max_open)
         broken.insert("open calls over the limit");
   }
 
--- a/tools/standin/weather.cpp
+++ b/tools/standin/fault_injector.cpp
@@ -1,4 +1,4 @@
-#include "standin/weather.h"
+#include "standin/fault_injector.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 namespace granitegap::standin {
 namespace {
 
-using records::Value;
+using typed_config::Value;
 
 Shape shape_of(const std::string& name) {
   return name == "fixed"         ? Shape::fixed
@@ -23,16 +23,16 @@
   return names;
 }
 
-const records::Document& schema() {
+const typed_config::Document& schema() {
   static const auto document =
-      std::get<records::Document>(records::parse(kNetworkSchema, "network.schema.cue"));
+      std::get<typed_config::Document>(typed_config::parse(kNetworkSchema, "network.schema.cue"));
   return document;
 }
 
 }  // namespace
 
-std::variant<std::vector<Rule>, Errors> read_network(const records::Document& document) {
-  auto checked = records::validate(document, schema(), "#Network");
+std::variant<std::vector<Rule>, Errors> read_network(const typed_config::Document& document) {
+  auto checked = typed_config::validate(document, schema(), "#Network");
   if (auto* errors = std::get_if<Errors>(&checked)) return std::move(*errors);
   std::vector<Rule> rules;
   for (const auto& v : std::get<Value>(checked)["rules"].as_list()) {
@@ -62,12 +62,12 @@
   return rules;
 }
 
-Weather::RuleId Weather::add(Rule rule) {
+FaultInjector::RuleId FaultInjector::add(Rule rule) {
   rules_.emplace(next_, std::move(rule));
   return next_++;
 }
 
-bool Weather::holds(const Rule& r, const std::string& from, const std::string& to, Duration now) const {
+bool FaultInjector::holds(const Rule& r, const std::string& from, const std::string& to, Duration now) const {
   if (now < r.begins || (r.ends.count() > 0 && now >= r.ends)) return false;
   const auto in = [](const std::set<std::string>& names, const std::string& name) {
     return names.empty() || names.contains(name);
@@ -75,16 +75,17 @@
   return (in(r.from, from) && in(r.to, to)) || (r.both && in(r.from, to) && in(r.to, from));
 }
 
-Weather::Pair& Weather::pair(RuleId id, const std::string& from, const std::string& to) {
+FaultInjector::Pair& FaultInjector::pair(RuleId id, const std::string& from, const std::string& to) {
   return pairs_[id][from + "\n" + to];
 }
 
-Fate Weather::fate(const std::string& from, const std::string& to, std::size_t bytes, Duration now) {
+Delivery FaultInjector::fate(const std::string& from, const std::string& to, std::size_t bytes,
+                             Duration now) {
   ++seen_.datagrams;
   seen_.bytes += bytes;
   Duration takes{};
   bool lost = false, cut = false, twice = false, held = false;
-  Fate fate;
+  Delivery fate;
   for (const auto& [id, r] : rules_) {
     if (!holds(r, from, to, now)) continue;
     if (r.cut) cut = true;
--- a/tools/standin/weather.h
+++ b/tools/standin/fault_injector.h
@@ -12,8 +12,8 @@
 #include <vector>
 
 #include "granitegap/policy.h"
-#include "records/records.h"
 #include "standin/script.h"
+#include "typed_config/typed_config.h"
 
 namespace granitegap::standin {
 
@@ -28,22 +28,22 @@
   std::size_t rate = 0;
 };
 
-std::variant<std::vector<Rule>, Errors> read_network(const records::Document& document);
+std::variant<std::vector<Rule>, Errors> read_network(const typed_config::Document& document);
 
-struct Fate {
+struct Delivery {
   std::vector<Duration> arrives;  // after so long, once each; empty: lost
   bool corrupt = false;
 };
 
-class Weather {
+class FaultInjector {
  public:
-  explicit Weather(std::uint64_t seed) : random_(seed) {}
+  explicit FaultInjector(std::uint64_t seed) : random_(seed) {}
   using RuleId = std::uint32_t;
   RuleId add(Rule rule);
   void remove(RuleId id) { rules_.erase(id); }
   void clear() { rules_.clear(); }
   // `now` from the start of the play; never backward.
-  Fate fate(const std::string& from, const std::string& to, std::size_t bytes, Duration now);
+  Delivery fate(const std::string& from, const std::string& to, std::size_t bytes, Duration now);
   struct Seen {
     std::uint64_t datagrams = 0, bytes = 0, lost = 0, cut = 0, corrupted = 0, duplicated = 0, reordered = 0;
   };
--- a/tools/standin/main.cpp
+++ b/tools/standin/main.cpp
@@ -16,12 +16,12 @@
   app.add_option("--port", ports, "A port for each endpoint, in order; 0 takes any")->required();
   app.add_option("--seed", seed, "For latencies and faults");
   CLI11_PARSE(app, argc, argv);
-  const auto document = records::load(file);
-  if (const auto* error = std::get_if<records::Error>(&document)) {
+  const auto document = typed_config::load(file);
+  if (const auto* error = std::get_if<typed_config::Error>(&document)) {
     std::fprintf(stderr, "%s\n", error->text().c_str());
     return 2;
   }
-  auto script = standin::read_script(std::get<records::Document>(document));
+  auto script = standin::read_script(std::get<typed_config::Document>(document));
   if (const auto* errors = std::get_if<standin::Errors>(&script)) {
     for (const auto& e : *errors) std::fprintf(stderr, "%s\n", e.text().c_str());
     return 2;
@@ -37,7 +37,7 @@
     end.async_wait([&](auto, int) { io.stop(); });
     io.run();
     std::printf("%zu requests, %zu at once at the most\n", dependency.seen().requests.size(),
-                dependency.seen().most_open);
+                dependency.seen().max_open);
   } catch (const std::exception& e) {
     std::fprintf(stderr, "granitegap_standin: %s\n", e.what());
     return 1;
--- a/tools/standin/network.cpp
+++ b/tools/standin/network.cpp
@@ -12,7 +12,7 @@
 using boost::system::error_code;
 
 Network::Network(asio::io_context& io, std::uint64_t seed)
-    : io_(io), weather_(seed), damage_(seed ^ 0x5bd1e995u) {}
+    : io_(io), fault_injector_(seed), damage_(seed ^ 0x5bd1e995u) {}
 
 Duration Network::elapsed() const {
   return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - began_);
@@ -50,7 +50,7 @@
 
 void Network::pass(const std::string& from, Place& to, std::string bytes) {
   if (tap) tap(from, to.name, bytes);
-  const auto fate = weather_.fate(from, to.name, bytes.size(), elapsed());
+  const auto fate = fault_injector_.fate(from, to.name, bytes.size(), elapsed());
   if (fate.corrupt && !bytes.empty())
     for (int k = 0; k < 3; ++k) bytes[damage_() % bytes.size()] ^= char(1 + damage_() % 255);
   for (const auto after : fate.arrives) {
--- a/tools/standin/script.cpp
+++ b/tools/standin/script.cpp
@@ -8,7 +8,7 @@
 namespace granitegap::standin {
 namespace {
 
-using records::Value;
+using typed_config::Value;
 
 constexpr std::pair<std::string_view, FaultKind> kFaults[] = {
     {"error", FaultKind::error},     {"no_data", FaultKind::no_data},   {"busy", FaultKind::busy},
@@ -51,9 +51,9 @@
   return s;
 }
 
-const records::Document& schema() {
+const typed_config::Document& schema() {
   static const auto document =
-      std::get<records::Document>(records::parse(kScriptSchema, "script.schema.cue"));
+      std::get<typed_config::Document>(typed_config::parse(kScriptSchema, "script.schema.cue"));
   return document;
 }
 
@@ -93,14 +93,14 @@
   return plan;
 }
 
-std::variant<Script, Errors> read_script(const records::Document& document) {
-  auto checked = records::validate(document, schema(), "#Script");
+std::variant<Script, Errors> read_script(const typed_config::Document& document) {
+  auto checked = typed_config::validate(document, schema(), "#Script");
   if (auto* errors = std::get_if<Errors>(&checked)) return std::move(*errors);
   return script_of(std::get<Value>(checked));
 }
 
-std::variant<Scenario, Errors> read_scenario(const records::Document& document) {
-  auto checked = records::validate(document, schema(), "#Scenario");
+std::variant<Scenario, Errors> read_scenario(const typed_config::Document& document) {
+  auto checked = typed_config::validate(document, schema(), "#Scenario");
   if (auto* errors = std::get_if<Errors>(&checked)) return std::move(*errors);
   const auto& v = std::get<Value>(checked);
   Scenario s;
--- a/tools/standin/script.h
+++ b/tools/standin/script.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "granitegap/policy.h"
-#include "records/records.h"
+#include "typed_config/typed_config.h"
 
 namespace granitegap::standin {
 
@@ -62,8 +62,8 @@
   Script elevation, names;
 };
 
-using Errors = std::vector<records::Error>;
-std::variant<Script, Errors> read_script(const records::Document& document);
-std::variant<Scenario, Errors> read_scenario(const records::Document& document);
+using Errors = std::vector<typed_config::Error>;
+std::variant<Script, Errors> read_script(const typed_config::Document& document);
+std::variant<Scenario, Errors> read_scenario(const typed_config::Document& document);
 
 }  // namespace granitegap::standin
