--- a/bench/dependencies.cpp
+++ b/bench/dependencies.cpp
@@ -403,10 +403,10 @@
   std::error_code ignored;
   std::filesystem::remove_all(folder, ignored);
   for (const auto& [what, count] : kernel.runs())
-    if (what.first == "trail-report") played.double_runs += count - 1;
-  played.max_open = std::max(elevation.seen().max_open, names.seen().max_open);
+    if (what.cls == "trail-report") played.double_runs += count - 1;
+  played.max_open = std::max(elevation.counters().max_open, names.counters().max_open);
   for (const auto* d : {&elevation, &names})
-    played.calls.insert(played.calls.end(), d->seen().requests.begin(), d->seen().requests.end());
+    played.calls.insert(played.calls.end(), d->counters().arrivals.begin(), d->counters().arrivals.end());
   return played;
 }
 
--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -25,7 +25,7 @@
 namespace granitegap::bench {
 namespace {
 
-using fleet::Fleet;
+using fleet::ProcessFleet;
 using membership::LocalConnectivity;
 using membership::Status;
 using Json = nlohmann::ordered_json;
@@ -52,7 +52,7 @@
 struct Usage {
   double cpu_s = 0, rss_mb = 0;
 };
-Usage usage(const Fleet& f) {
+Usage usage(const ProcessFleet& f) {
   Usage u;
   for (const auto& name : f.running()) {
     const auto folder = "/proc/" + std::to_string(f.pid(name));
@@ -74,7 +74,7 @@
 // Ends and times of one pair's trouble, as seen by polls.
 class Watch {
  public:
-  Watch(Fleet& f, std::size_t threads) : f_(f), threads_(threads) {}
+  Watch(ProcessFleet& f, std::size_t threads) : f_(f), threads_(threads) {}
   std::map<std::string, membership_udp::Reply> look() {
     std::map<std::string, membership_udp::Reply> views;
     const auto names = f_.running();
@@ -92,17 +92,17 @@
   }
 
  private:
-  Fleet& f_;
+  ProcessFleet& f_;
   std::size_t threads_;
 };
 
 Json play(const Scenario& s, const std::string& program, bool plain, std::uint64_t seed, std::size_t size) {
-  fleet::Options options;
+  fleet::ProcessFleetOptions options;
   options.program = program;
   options.size = size;
   options.seed = seed;
-  options.plain = plain;
-  Fleet f(options);
+  options.plain_membership = plain;
+  ProcessFleet f(options);
   Watch watch(f, 3);
   f.start_all();
   const auto all_alive = [&] {
@@ -114,19 +114,19 @@
         return false;
     return true;
   };
-  const bool formed = f.until(all_alive, 60s);
+  const bool formed = f.wait_until(all_alive, 60s);
   std::this_thread::sleep_for(3s);
-  const auto before = f.seen();
+  const auto before = f.network_counters();
   const auto usage_before = usage(f);
   const auto began = Clock::now();
-  for (const auto& r : s.rules) f.rule(r);
+  for (const auto& r : s.rules) f.add_rule(r);
   std::mt19937_64 random(seed);
   std::vector<std::string> order;
   for (const auto& n : f.names()) order.push_back(n);
   std::shuffle(order.begin(), order.end(), random);
   const std::size_t count = std::min(s.count, size - 1);
-  Fleet::Names struck(order.begin(), order.begin() + std::ptrdiff_t(count));
-  Fleet::Names others;
+  ProcessFleet::Names struck(order.begin(), order.begin() + std::ptrdiff_t(count));
+  ProcessFleet::Names others;
   for (const auto& n : order)
     if (!struck.contains(n)) others.insert(n);
 
@@ -136,7 +136,7 @@
   double agree_ms = -1, rejoin_ms = -1, majority_ms = -1, knows_ms = -1, edge_ms = -1;
   bool done = false, mended = false;
   Clock::time_point deed{}, mend{};
-  Fleet::Cut cut = 0;
+  ProcessFleet::RuleId cut = 0;
   std::map<std::string, Clock::time_point> paused_until;
   // Whoever was paused is rightly doubted, and for a while after.
   std::map<std::string, Clock::time_point> woken;
@@ -151,12 +151,12 @@
       if (s.deed == Deed::kill)
         for (const auto& n : struck) f.kill(n);
       if (s.deed == Deed::cut_halves) {
-        struck = Fleet::Names(order.begin(), order.begin() + std::ptrdiff_t(size / 2));
-        others = Fleet::Names(order.begin() + std::ptrdiff_t(size / 2), order.end());
-        cut = f.cut(struck, others, true);
+        struck = ProcessFleet::Names(order.begin(), order.begin() + std::ptrdiff_t(size / 2));
+        others = ProcessFleet::Names(order.begin() + std::ptrdiff_t(size / 2), order.end());
+        cut = f.partition(struck, others, true);
       }
-      if (s.deed == Deed::cut_pair) cut = f.cut({order[0]}, {order[1]});
-      if (s.deed == Deed::cut_output) cut = f.cut(struck, {});
+      if (s.deed == Deed::cut_pair) cut = f.partition({order[0]}, {order[1]});
+      if (s.deed == Deed::cut_output) cut = f.partition(struck, {});
     }
     if (s.deed == Deed::pause) {
       for (auto it = paused_until.begin(); it != paused_until.end();) {
@@ -181,7 +181,7 @@
     if (done && s.deed != Deed::kill && !mended && s.deed_for.count() > 0 &&
         Clock::now() - deed >= s.deed_for) {
       mended = true;
-      f.mend(cut);
+      f.heal(cut);
       mend = Clock::now();
     }
     std::this_thread::sleep_for(100ms);  // the asking itself must not be what is measured
@@ -236,7 +236,7 @@
     if (mended && one_view && rejoin_ms < 0) rejoin_ms = ms(at - mend);
   }
   const auto seconds = ms(Clock::now() - began) / 1000;
-  const auto after = f.seen();
+  const auto after = f.network_counters();
   const auto usage_after = usage(f);
   std::vector<double> detect;
   for (const auto& [who, t] : first_doubt) detect.push_back(t);
--- a/bench/membership_sim.cpp
+++ b/bench/membership_sim.cpp
@@ -122,7 +122,7 @@
     }
   } else if (p.scenario == "halves") {
     standin::Rule r;
-    r.both = r.cut = true;
+    r.both = r.blocked = true;
     for (std::size_t n = 0; n < p.size; ++n) (n < p.size / 2 ? r.from : r.to).insert(f.name(n));
     const auto rule = f.fault_injector().add(r);
     f.run_for(20s);
--- a/bench/recovery.cpp
+++ b/bench/recovery.cpp
@@ -39,8 +39,8 @@
 namespace granitegap::bench {
 namespace {
 
-using fleet::Fleet;
 using fleet::LoadGenerator;
+using fleet::ProcessFleet;
 using Json = nlohmann::ordered_json;
 using namespace std::chrono_literals;
 
@@ -79,7 +79,7 @@
     for (std::size_t k = 0; k < 2; ++k) {
       services_.push_back(std::make_unique<standin::Dependency>(io_, script, seed + k,
                                                                 std::vector<std::uint16_t>{0, 0}, start_));
-      services_.back()->tell_when();
+      services_.back()->prefix_bodies_with_arrival();
     }
     thread_ = std::thread([this] { io_.run(); });
   }
@@ -138,12 +138,13 @@
   std::vector<std::vector<Duration>> calls() {
     return on_io([&] {
       std::vector<std::vector<Duration>> all;
-      for (const auto& s : services_) all.push_back(s->seen().requests);
+      for (const auto& s : services_) all.push_back(s->counters().arrivals);
       return all;
     });
   }
   std::size_t max_open() {
-    return on_io([&] { return std::max(services_[0]->seen().max_open, services_[1]->seen().max_open); });
+    return on_io(
+        [&] { return std::max(services_[0]->counters().max_open, services_[1]->counters().max_open); });
   }
   Duration elapsed() const { return std::chrono::duration_cast<Duration>(Clock::now() - start_); }
 
@@ -188,31 +189,31 @@
 }
 
 Json play(const Scenario& s, const std::string& program, bool guided, std::uint64_t seed, std::size_t size) {
-  fleet::Options o;
+  fleet::ProcessFleetOptions o;
   o.program = program;
   o.size = size;
   o.seed = seed;
   o.cores = 1;
   o.run_cost = s.cost;
-  o.cold_ms = seconds(s.warm_up) * 1000;
+  o.warm_up_ms = seconds(s.warm_up) * 1000;
   o.operator_file = "dependencies: []\ngathers: []\n";
   std::optional<Below> below;
   if (s.things > 0) {
     below.emplace(s, seed);
     o.operator_file = below->declared(guided);
   }
-  o.in_fleet = guided;
+  o.with_membership = guided;
   if (guided) o.operator_file += "recovery: {folder: \"@FOLDER\", snapshot_every: 1s}\n";
-  o.declared = guided || below;
-  Fleet f(o);
+  o.with_operator_file = guided || below;
+  ProcessFleet f(o);
   std::vector<std::string> names;
   for (const auto& n : f.names()) names.push_back(n);
-  for (const auto& n : names) f.set_pace(n, {s.cold_from, s.warm_up, s.crowd});
+  for (const auto& n : names) f.set_speed(n, {s.cold_from, s.warm_up, s.crowd});
   f.start_all();
   const auto all_up = [&] {
     return std::all_of(names.begin(), names.end(), [&](auto& n) { return f.port(n) != 0; });
   };
-  if (!f.until(all_up, 60s)) throw std::runtime_error("not all came up:\n" + f.state());
+  if (!f.wait_until(all_up, 60s)) throw std::runtime_error("not all came up:\n" + f.describe());
   // In full service, and no keyed request waits for an earlier life any more: guards against a worth before
   // that lacks them.
   const auto settled = [&] {
@@ -222,34 +223,36 @@
              r->recovery_report->keyed_wait_ms == 0;
     });
   };
-  if (guided && !f.until([&] { return f.agree() && settled(); }, 120s))
-    throw std::runtime_error("the fleet did not settle:\n" + f.state());
+  if (guided && !f.wait_until([&] { return f.converged() && settled(); }, 120s))
+    throw std::runtime_error("the fleet did not settle:\n" + f.describe());
   std::this_thread::sleep_for(1s);
 
   fleet::LoadOptions c;
   c.seed = seed;
-  c.rate = s.load * double(size) / seconds(s.cost);
+  c.requests_per_s = s.load * double(size) / seconds(s.cost);
   c.proxies = 16;
-  c.est_ms = int(std::lround(seconds(s.cost) * 1000));
-  c.habits = s.habits;
+  c.estimated_cost_ms = int(std::lround(seconds(s.cost) * 1000));
+  c.behavior_weights = s.habits;
   c.classes = {{"tile", 0.6, 1, 0.2, 1900ms, 4900ms, false},
                {"route-profile", 0.3, 2, 0, 1900ms, 4900ms, false},
                {"trail-report", 0.1, 5, 0.2, 1200ms, 3000ms, true}};
   if (below) {
-    c.classes[1].things = s.things;
-    c.check = [&](const fleet::LoadClass& cls, const std::string& asked, const std::string& body,
-                  Duration took) { return cls.things ? below->wrong(asked, body, took) : std::uint16_t(0); };
+    c.classes[1].distinct_keys = s.things;
+    c.validate = [&](const fleet::LoadClass& cls, const std::string& asked, const std::string& body,
+                     Duration took) {
+      return cls.distinct_keys ? below->wrong(asked, body, took) : std::uint16_t(0);
+    };
   }
   // Where each serves; looked up once a life, as a list would tell it.
   std::mutex mutex;
   std::vector<std::uint16_t> ports;
   for (const auto& n : names) ports.push_back(f.port(n));
-  LoadGenerator crowd(c, size, [&](std::size_t n) {
+  LoadGenerator load(c, size, [&](std::size_t n) {
     const std::lock_guard lock(mutex);
     return ports[n];
   });
   const auto wait_until = [&](Duration t) {
-    if (const auto left = t - crowd.elapsed(); left.count() > 0) std::this_thread::sleep_for(left);
+    if (const auto left = t - load.elapsed(); left.count() > 0) std::this_thread::sleep_for(left);
   };
   wait_until(s.before);
   std::mt19937_64 random(seed);
@@ -258,7 +261,7 @@
   std::shuffle(order.begin(), order.end(), random);
   const auto struck = std::size_t(std::lround(s.share * double(size)));
   std::set<std::size_t> who(order.begin(), order.begin() + std::ptrdiff_t(struck));
-  const auto hit = crowd.elapsed();
+  const auto hit = load.elapsed();
   const auto below_hit = below ? below->elapsed() : Duration();
   for (const auto n : who) {
     f.kill(names[n]);
@@ -267,7 +270,7 @@
   }
   std::this_thread::sleep_for(s.away);
   for (const auto n : who) {
-    if (s.wipe) f.wipe(names[n]);
+    if (s.wipe) f.wipe_state(names[n]);
     if (s.kernels_too) f.reboot_kernel(names[n]);
     f.start(names[n]);
   }
@@ -282,32 +285,32 @@
     }
     return all;
   };
-  if (!f.until(all_back, 60s)) throw std::runtime_error("not all came back:\n" + f.state());
-  const double up_s = seconds(crowd.elapsed() - hit);
+  if (!f.wait_until(all_back, 60s)) throw std::runtime_error("not all came back:\n" + f.describe());
+  const double up_s = seconds(load.elapsed() - hit);
   wait_until(hit + s.after);
-  const auto end = crowd.elapsed();
-  crowd.stop();
+  const auto end = load.elapsed();
+  load.stop();
 
-  const auto fates = crowd.fates({}, end);
+  const auto fates = load.records({}, end);
   std::vector<double> worth(std::size_t(seconds(end)) + 1);
   const auto from = std::size_t(2);  // the first two seconds are the crowd's own start
   const auto at = std::size_t(std::ceil(seconds(hit)));
   std::uint64_t refused = 0, retries = 0, unserved = 0, late = 0;
   double survivors_before = 0, survivors_after = 0;
   for (const auto& fate : fates) {
-    const auto& cls = c.classes[fate.cls];
-    const auto second = std::size_t(seconds(fate.wanted));
-    const double w = worth_of(fate, cls);
+    const auto& cls = c.classes[fate.class_index];
+    const auto second = std::size_t(seconds(fate.scheduled_at));
+    const double w = earned_weight(fate, cls);
     worth[second] += w;
     if (fate.served && !who.contains(fate.server)) {
-      if (second >= from && fate.wanted < hit) survivors_before += w / double(at - from);
-      if (fate.wanted >= hit && fate.wanted < hit + 10s) survivors_after += w / 10;
+      if (second >= from && fate.scheduled_at < hit) survivors_before += w / double(at - from);
+      if (fate.scheduled_at >= hit && fate.scheduled_at < hit + 10s) survivors_after += w / 10;
     }
-    if (fate.wanted < hit) continue;
-    refused += fate.refused;
-    retries += fate.tries > 0 ? fate.tries - 1 : 0;
+    if (fate.scheduled_at < hit) continue;
+    refused += fate.rejections;
+    retries += fate.attempts > 0 ? fate.attempts - 1 : 0;
     unserved += !fate.served;
-    late += fate.served && fate.took > cls.aim;
+    late += fate.served && fate.latency > cls.latency_objective;
   }
   double mean = 0;
   for (std::size_t k = from; k + 1 < at; ++k) mean += worth[k] / double(at - 1 - from);
@@ -318,20 +321,20 @@
   for (std::size_t k = std::size_t(seconds(hit)); k < last; ++k) lost += std::max(0.0, 1 - worth[k] / mean);
   int double_runs = 0;
   std::uint64_t stale = 0;
-  for (const auto& fate : fates) stale += fate.wrong;
+  for (const auto& fate : fates) stale += fate.validation_errors;
   double rss = 0, runs = 0, served = 0;
   for (const auto& fate : fates) served += fate.served;
   for (const auto& n : names) {
-    for (const auto& [what, count] : f.runs(n)) {
+    for (const auto& [what, count] : f.kernel_runs(n)) {
       runs += count;
-      if (what.first == "trail-report" && count > 1) double_runs += count - 1;
+      if (what.cls == "trail-report" && count > 1) double_runs += count - 1;
     }
     rss = std::max(rss, resident_mb(f.pid(n)));
   }
   // Who served in the last ten seconds: a server that is up and serves nothing is no part of the fleet.
   std::vector<int> last_served(size);
   for (const auto& fate : fates)
-    if (fate.served && fate.wanted >= end - 10s) ++last_served[fate.server];
+    if (fate.served && fate.scheduled_at >= end - 10s) ++last_served[fate.server];
   Json series = Json::array();
   for (std::size_t k = from; k < last; ++k) series.push_back(std::round(worth[k] / mean * 1000) / 1000);
   Json under = Json::object();
--- a/tests/dependency_client_test.cpp
+++ b/tests/dependency_client_test.cpp
@@ -27,7 +27,7 @@
                [this](deps::CallReport r) { reports.push_back(std::move(r)); }) {}
   static standin::Script script(FaultKind fault) {
     standin::Phase phase;
-    phase.shape = standin::Shape::fixed;
+    phase.distribution = standin::LatencyDistribution::fixed;
     phase.body = 100;
     if (fault != FaultKind::none) phase.faults = {{fault, 1, std::chrono::seconds(7)}};
     return {{phase}, {}};
@@ -106,14 +106,14 @@
 TEST_CASE("a connection closed while it was kept is replaced, and the call not lost") {
   Bench b(FaultKind::close);
   for (std::uint64_t id = 1; id <= 5; ++id) CHECK(b.one(id).fate == CallFate::ok);
-  CHECK(b.dependency.seen().requests.size() == 5);
+  CHECK(b.dependency.counters().arrivals.size() == 5);
 }
 
 TEST_CASE("nobody at the address is told as such, and so is a full house") {
   Bench b(FaultKind::hang, 1);
   b.quiet = std::chrono::seconds(10);
   b.caller.start(b.call(1));
-  b.wait([&] { return b.dependency.seen().open == 1; });
+  b.wait([&] { return b.dependency.counters().open == 1; });
   CHECK(b.one(2).fate == CallFate::unreachable);  // the one connection there may be is in use
   b.caller.abandon(deps::CallId{1});
   std::uint16_t nobody = 0;
@@ -133,17 +133,17 @@
   Bench b(FaultKind::hang);
   b.quiet = std::chrono::seconds(10);
   b.caller.start(b.call(1));
-  b.wait([&] { return b.dependency.seen().open == 1; });
+  b.wait([&] { return b.dependency.counters().open == 1; });
   b.caller.abandon(deps::CallId{1});
   CHECK(b.caller.open_calls() == 0);
   CHECK(b.caller.connections() == 0);
-  b.wait([&] { return b.dependency.seen().open == 0; });  // the other side sees it closed
-  CHECK(b.dependency.seen().open == 0);
+  b.wait([&] { return b.dependency.counters().open == 0; });  // the other side sees it closed
+  CHECK(b.dependency.counters().open == 0);
   b.caller.start(b.call(2));
   b.caller.abandon(deps::CallId{2});  // before it began
   b.caller.start(b.call(3));
   b.caller.close_all();
-  b.wait([&] { return b.dependency.seen().open == 0; });
+  b.wait([&] { return b.dependency.counters().open == 0; });
   b.io.poll();
   CHECK(b.reports.empty());
   b.caller.start(b.call(4));
@@ -182,7 +182,7 @@
 repeat: 4s)");
   std::mt19937_64 random(1);
   const auto after = [&](int endpoint, int ms) {
-    return standin::plan(script, endpoint, milliseconds(ms), random).after;
+    return standin::plan_response(script, endpoint, milliseconds(ms), random).after;
   };
   CHECK(after(0, 500) == milliseconds(10));
   CHECK(after(0, 1500) == milliseconds(10));
@@ -193,7 +193,7 @@
   CHECK(after(1, 5500) == milliseconds(20));
   int errors = 0;
   for (int i = 0; i < 4000; ++i)
-    errors += standin::plan(script, 1, milliseconds(1500), random).fault == FaultKind::error;
+    errors += standin::plan_response(script, 1, milliseconds(1500), random).fault == FaultKind::error;
   CHECK(errors > 900);
   CHECK(errors < 1100);
   CHECK(std::holds_alternative<standin::Errors>(
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -16,7 +16,7 @@
 #include <list>
 #include <thread>
 
-#include "standin/caller.h"
+#include "standin/client_codec.h"
 
 namespace granitegap {
 namespace {
@@ -122,8 +122,11 @@
 
 std::string request(std::uint32_t stream) {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
-  return standin::request_frame({}, stream, 1, "00000000000000a" + std::to_string(stream),
-                                std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
+  standin::RequestEnvelope envelope;
+  envelope.stream = stream;
+  envelope.request_id = "00000000000000a" + std::to_string(stream);
+  envelope.t0_ms = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
+  return standin::encode_request({}, envelope);
 }
 
 TEST_CASE("room is not made over a request that lies unread on the connection that rested longest") {
--- a/tests/membership_process_test.cpp
+++ b/tests/membership_process_test.cpp
@@ -11,7 +11,7 @@
 
 #include "fleet/process_fleet.h"
 #include "membership_udp/actor.h"
-#include "standin/caller.h"
+#include "standin/client.h"
 
 namespace granitegap::fleet {
 namespace {
@@ -22,21 +22,21 @@
 
 constexpr auto kLong = 60s;
 
-Options options(std::size_t size) {
-  Options o;
+ProcessFleetOptions options(std::size_t size) {
+  ProcessFleetOptions o;
   o.program = PROGRAM;
   o.size = size;
-  o.membership = "period: 200ms";
-  o.clock_library = CLOCK_LIBRARY;
+  o.membership_fields = "period: 200ms";
+  o.clock_shift_library = CLOCK_LIBRARY;
   return o;
 }
 
-struct Trial : Fleet {
-  explicit Trial(std::size_t size, Options o) : Fleet((o.size = size, o)) {}
-  explicit Trial(std::size_t size) : Fleet(options(size)) {}
+struct Trial : ProcessFleet {
+  explicit Trial(std::size_t size, ProcessFleetOptions o) : ProcessFleet((o.size = size, o)) {}
+  explicit Trial(std::size_t size) : ProcessFleet(options(size)) {}
   void form() {
     start_all();
-    ASSERT_TRUE(until([&] { return agree() && all_count(names().size()); }, kLong)) << state();
+    ASSERT_TRUE(wait_until([&] { return converged() && all_count(names().size()); }, kLong)) << describe();
   }
   // The agreed fleet has so many for everybody.
   bool all_count(std::size_t n) const {
@@ -52,7 +52,7 @@
     for (const auto& who : names())
       for (const auto& of : names())
         if (!these.contains(of)) {
-          EXPECT_EQ(times(who, "membership: " + of + " is held dead"), 0u) << who << " of " << of;
+          EXPECT_EQ(count_in_log(who, "membership: " + of + " is held dead"), 0u) << who << " of " << of;
         }
   }
 };
@@ -60,7 +60,7 @@
 TEST(Fleet, AgreesAndShowsItself) {
   Trial f(3);
   f.form();
-  EXPECT_TRUE(f.until(
+  EXPECT_TRUE(f.wait_until(
       [&] {
         const auto v = f.view("n1");
         for (const auto& l : v->lines)
@@ -80,26 +80,26 @@
 TEST(Fleet, TheMembersCommandAsksAndSaysSoWhereNobodyAnswers) {
   Trial f(2);
   f.form();
-  const auto run = [&](const std::string& words) { return f.run("members " + words); };
+  const auto run = [&](const std::string& words) { return f.run_command("members " + words); };
   const auto address = membership_udp::text_of(f.bound("n0"));
   const auto [good, object] = run(address + " --json");
   EXPECT_EQ(good, 0);
   EXPECT_EQ(nlohmann::json::parse(object)["members"].size(), 2u);
-  EXPECT_NE(run(address).second.find("n1"), std::string::npos);
+  EXPECT_NE(run(address).output.find("n1"), std::string::npos);
   f.kill("n0");
   const auto [silent, line] = run(address);
   EXPECT_EQ(silent, 1);
   EXPECT_EQ(line, "granitegap: no answer from " + address + " within 2 s\n");
-  EXPECT_EQ(run("nonsense").first, 2);
+  EXPECT_EQ(run("nonsense").exit_status, 2);
 }
 
 TEST(Fleet, AKilledOneIsFoundAndItsNextLifeSupersedesIt) {
   Trial f(5);
   f.form();
   f.kill("n2");
-  EXPECT_TRUE(f.until([&] { return f.all_hold("n2", Status::dead); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.all_see("n2", Status::dead); }, kLong));
   f.start("n2");
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
   f.only_these_died({"n2"});
 }
 
@@ -108,9 +108,9 @@
   f.form();
   f.kill("n2");
   f.start("n2");
-  EXPECT_TRUE(
-      f.until([&] { return f.agree() && f.times("n0", "membership: n2 has restarted") == 1; }, kLong));
-  for (const auto& name : f.names()) EXPECT_EQ(f.times(name, "lives under this name"), 0u);
+  EXPECT_TRUE(f.wait_until(
+      [&] { return f.converged() && f.count_in_log("n0", "membership: n2 has restarted") == 1; }, kLong));
+  for (const auto& name : f.names()) EXPECT_EQ(f.count_in_log(name, "lives under this name"), 0u);
 }
 
 TEST(Fleet, ARestartWithItsClockAnHourBackSupersedesTheOldLife) {
@@ -120,12 +120,12 @@
   f.kill("n2");
   f.shift_clock("n2", -1h);
   f.start("n2");
-  EXPECT_TRUE(
-      f.until([&] { return f.agree() && f.times("n0", "membership: n2 has restarted") == 1; }, kLong));
+  EXPECT_TRUE(f.wait_until(
+      [&] { return f.converged() && f.count_in_log("n0", "membership: n2 has restarted") == 1; }, kLong));
   // Its clock alone would have put it an hour behind its earlier life.
   EXPECT_GT(f.view("n2")->incarnation, before);
   EXPECT_LT(f.view("n2")->incarnation, before + 3'600'000);
-  for (const auto& name : f.names()) EXPECT_EQ(f.times(name, "lives under this name"), 0u);
+  for (const auto& name : f.names()) EXPECT_EQ(f.count_in_log(name, "lives under this name"), 0u);
   f.only_these_died({});
 }
 
@@ -138,21 +138,21 @@
   f.kill("n2");
   f.shift_clock("n2", 0ms);
   f.start("n2");
-  EXPECT_TRUE(
-      f.until([&] { return f.agree() && f.times("n0", "membership: n2 has restarted") == 1; }, kLong));
+  EXPECT_TRUE(f.wait_until(
+      [&] { return f.converged() && f.count_in_log("n0", "membership: n2 has restarted") == 1; }, kLong));
   EXPECT_GT(f.view("n2")->incarnation, before);
 }
 
 // Others suspect it and do not yet hold it dead: it wakes, and refutes.
 TEST(Fleet, APauseShorterThanTheTimeToSuspectIsForgiven) {
   auto o = options(6);
-  o.membership = "period: 200ms, suspicion: 20, suspicion_most: 20";  // far longer than any pause here
+  o.membership_fields = "period: 200ms, suspicion: 20, suspicion_most: 20";  // far longer than any pause here
   Trial f(6, o);
   f.form();
   f.pause("n3");
-  EXPECT_TRUE(f.until([&] { return f.all_hold("n3", Status::suspect); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.all_see("n3", Status::suspect); }, kLong));
   f.resume("n3");
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
   f.only_these_died({});
 }
 
@@ -162,21 +162,22 @@
   o.seeds = 0;
   Trial f(6, o);
   f.start_all();
-  EXPECT_TRUE(f.until([&] { return f.all_count(1); }, kLong));  // all are up, and alone
-  for (const auto& name : f.names()) f.redeclare(name, name < "n3" ? Fleet::Names{"n0"} : Fleet::Names{"n3"});
-  EXPECT_TRUE(f.until([&] { return f.all_count(3); }, kLong));
-  f.redeclare("n1", {"n0", "n4"});
-  EXPECT_TRUE(f.until([&] { return f.agree() && f.all_count(6); }, kLong));
-  EXPECT_EQ(f.times("n1", "reload: operator file taken over"), 2u);
+  EXPECT_TRUE(f.wait_until([&] { return f.all_count(1); }, kLong));  // all are up, and alone
+  for (const auto& name : f.names())
+    f.reload_operator_file(name, name < "n3" ? ProcessFleet::Names{"n0"} : ProcessFleet::Names{"n3"});
+  EXPECT_TRUE(f.wait_until([&] { return f.all_count(3); }, kLong));
+  f.reload_operator_file("n1", {"n0", "n4"});
+  EXPECT_TRUE(f.wait_until([&] { return f.converged() && f.all_count(6); }, kLong));
+  EXPECT_EQ(f.count_in_log("n1", "reload: operator file taken over"), 2u);
 }
 
 TEST(Fleet, APauseEndsWithoutBlame) {
   Trial f(6);
   f.form();
   f.pause("n3");
-  EXPECT_TRUE(f.until([&] { return f.all_hold("n3", Status::dead); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.all_see("n3", Status::dead); }, kLong));
   f.resume("n3");
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
   f.only_these_died({"n3"});
 }
 
@@ -184,7 +185,7 @@
   Trial f(6);
   f.form();
   for (const char* name : {"n0", "n1", "n2"}) f.pause(name);
-  EXPECT_TRUE(f.until(
+  EXPECT_TRUE(f.wait_until(
       [&] {
         for (const auto& name : f.running())
           if (f.view(name)->majority) return false;
@@ -192,14 +193,14 @@
       },
       kLong));
   for (const char* name : {"n0", "n1", "n2"}) f.resume(name);
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
   f.only_these_died({});
 }
 
 TEST(Fleet, AOneSidedCutIsShownByBothEnds) {
   Trial f(6);
   f.form();
-  const auto cut = f.cut({"n1"}, {"n2"});
+  const auto cut = f.partition({"n1"}, {"n2"});
   const auto shown = [&](const std::string& at) {
     const auto v = f.view(at);
     bool unheard = false, not_reaching = false;
@@ -209,68 +210,68 @@
     }
     return unheard && not_reaching;
   };
-  EXPECT_TRUE(f.until([&] { return shown("n1") && shown("n2") && shown("n5"); }, kLong));
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
-  f.mend(cut);
-  EXPECT_TRUE(f.until([&] { return !shown("n1") && !shown("n2"); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return shown("n1") && shown("n2") && shown("n5"); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  f.heal(cut);
+  EXPECT_TRUE(f.wait_until([&] { return !shown("n1") && !shown("n2"); }, kLong));
   f.only_these_died({});
 }
 
 TEST(Fleet, WhoIsHeardByNobodyKnowsItAndComesBackWithoutARestart) {
   Trial f(6);
   f.form();
-  const auto cut = f.cut({"n4"}, {});
-  EXPECT_TRUE(f.until([&] { return f.local_connectivity("n4") == LocalConnectivity::unheard; }, kLong));
+  const auto cut = f.partition({"n4"}, {});
+  EXPECT_TRUE(f.wait_until([&] { return f.local_connectivity("n4") == LocalConnectivity::unheard; }, kLong));
   EXPECT_FALSE(f.view("n4")->majority);
-  EXPECT_TRUE(f.until([&] { return f.holds("n0", "n4") == Status::dead; }, kLong));
-  f.mend(cut);
-  EXPECT_TRUE(
-      f.until([&] { return f.agree() && f.local_connectivity("n4") == LocalConnectivity::ok; }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.seen_status("n0", "n4") == Status::dead; }, kLong));
+  f.heal(cut);
+  EXPECT_TRUE(f.wait_until(
+      [&] { return f.converged() && f.local_connectivity("n4") == LocalConnectivity::ok; }, kLong));
   f.only_these_died({"n4"});
 }
 
 TEST(Fleet, WhoHearsNobodyKnowsIt) {
   Trial f(6);
   f.form();
-  const auto cut = f.cut({}, {"n4"});
-  EXPECT_TRUE(f.until([&] { return f.local_connectivity("n4") == LocalConnectivity::deaf; }, kLong));
-  f.mend(cut);
-  EXPECT_TRUE(
-      f.until([&] { return f.agree() && f.local_connectivity("n4") == LocalConnectivity::ok; }, kLong));
+  const auto cut = f.partition({}, {"n4"});
+  EXPECT_TRUE(f.wait_until([&] { return f.local_connectivity("n4") == LocalConnectivity::deaf; }, kLong));
+  f.heal(cut);
+  EXPECT_TRUE(f.wait_until(
+      [&] { return f.converged() && f.local_connectivity("n4") == LocalConnectivity::ok; }, kLong));
   f.only_these_died({"n4"});
 }
 
 TEST(Fleet, HalvesHealWithoutADeath) {
   Trial f(6);
   f.form();
-  const auto cut = f.cut({"n0", "n1", "n2"}, {"n3", "n4", "n5"}, true);
-  EXPECT_TRUE(f.until(
+  const auto cut = f.partition({"n0", "n1", "n2"}, {"n3", "n4", "n5"}, true);
+  EXPECT_TRUE(f.wait_until(
       [&] {
         for (const auto& name : f.names())
           if (f.view(name)->majority || !f.view(name)->uncertain) return false;
         return true;
       },
       kLong));
-  f.mend(cut);
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
+  f.heal(cut);
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
   f.only_these_died({});
 }
 
 TEST(Fleet, ThirdsRemoveNobodyAndHeal) {
   Trial f(6);
   f.form();
-  const std::vector<Fleet::Names> parts{{"n0", "n1"}, {"n2", "n3"}, {"n4", "n5"}};
+  const std::vector<ProcessFleet::Names> parts{{"n0", "n1"}, {"n2", "n3"}, {"n4", "n5"}};
   for (std::size_t a = 0; a < 3; ++a)
-    for (auto b = a + 1; b < 3; ++b) f.cut(parts[a], parts[b], true);
-  EXPECT_TRUE(f.until(
+    for (auto b = a + 1; b < 3; ++b) f.partition(parts[a], parts[b], true);
+  EXPECT_TRUE(f.wait_until(
       [&] {
         for (const auto& name : f.names())
           if (f.view(name)->majority || !f.view(name)->uncertain) return false;
         return true;
       },
       kLong));
-  f.mend_all();
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong)) << f.state();
+  f.heal_all();
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong)) << f.describe();
   f.only_these_died({});
 }
 
@@ -279,34 +280,35 @@
 TEST(Fleet, AZoneThatIsCutOffComesBack) {
   Trial f(9);
   f.form();
-  const Fleet::Names zone{"n0", "n3", "n6"}, others{"n1", "n2", "n4", "n5", "n7", "n8"};
-  const auto cut = f.cut(zone, others, true);
-  EXPECT_TRUE(f.until(
+  const ProcessFleet::Names zone{"n0", "n3", "n6"}, others{"n1", "n2", "n4", "n5", "n7", "n8"};
+  const auto cut = f.partition(zone, others, true);
+  EXPECT_TRUE(f.wait_until(
       [&] {
         for (const auto& name : zone)
-          if (f.holds("n1", name) != Status::dead || f.view(name)->majority) return false;
+          if (f.seen_status("n1", name) != Status::dead || f.view(name)->majority) return false;
         return f.view("n1")->majority;
       },
       kLong));
-  f.mend(cut);
-  EXPECT_TRUE(f.until([&] { return f.agree() && f.all_count(9); }, kLong)) << f.state();
+  f.heal(cut);
+  EXPECT_TRUE(f.wait_until([&] { return f.converged() && f.all_count(9); }, kLong)) << f.describe();
   f.only_these_died(zone);
 }
 
 TEST(Fleet, TheLargerPartGoesOnAndTheSmallerKeepsItsCertainView) {
   Trial f(7);
   f.form();
-  const auto cut = f.cut({"n5", "n6"}, {"n0", "n1", "n2", "n3", "n4"}, true);
-  EXPECT_TRUE(f.until(
+  const auto cut = f.partition({"n5", "n6"}, {"n0", "n1", "n2", "n3", "n4"}, true);
+  EXPECT_TRUE(f.wait_until(
       [&] {
         const auto small = f.view("n5"), large = f.view("n0");
-        return large->majority && f.holds("n0", "n5") == Status::dead && !small->majority && small->uncertain;
+        return large->majority && f.seen_status("n0", "n5") == Status::dead && !small->majority &&
+               small->uncertain;
       },
       kLong));
   const auto small = f.view("n5").value();
   for (const auto& l : small.lines) EXPECT_EQ(l.certain, Status::alive) << l.name;
-  f.mend(cut);
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
+  f.heal(cut);
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
 }
 
 TEST(Fleet, LossAndBurstsKillNobody) {
@@ -314,31 +316,31 @@
   f.form();
   standin::Rule loss;
   loss.loss = 0.3;
-  f.rule(loss);
+  f.add_rule(loss);
   standin::Rule bursts;
   bursts.burst_loss = 1;
   bursts.good_for = 3s;
   bursts.bad_for = 400ms;
-  f.rule(bursts);
+  f.add_rule(bursts);
   // So much has passed, whatever the machine's pace.
-  EXPECT_TRUE(f.until([&] { return f.seen().lost > 800; }, kLong));
-  f.mend_all();
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.network_counters().lost > 800; }, kLong));
+  f.heal_all();
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
   f.only_these_died({});
 }
 
 TEST(Fleet, TwoUnderOneNameBothSaySo) {
   Trial f(4);
   f.form();
-  const auto duplicate = f.start_twin("n1");
-  EXPECT_TRUE(f.until(
+  const auto duplicate = f.start_duplicate("n1");
+  EXPECT_TRUE(f.wait_until(
       [&] {
-        return f.times("n1", "another process lives under this name") == 1 &&
-               f.times(duplicate, "another process lives under this name") == 1;
+        return f.count_in_log("n1", "another process lives under this name") == 1 &&
+               f.count_in_log(duplicate, "another process lives under this name") == 1;
       },
       kLong));
   f.kill(duplicate);
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong)) << f.state();
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong)) << f.describe();
 }
 
 TEST(Fleet, ForeignAndBrokenDatagramsChangeNothing) {
@@ -354,34 +356,34 @@
     f.inject("n1", "n0", membership_udp::encode(valid, "another"));
     f.inject("n1", "n0", membership_udp::encode(valid, "trial"));  // of a life that never was
   }
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
   f.only_these_died({});
-  EXPECT_EQ(f.times("n0", "has restarted"), 0u);
+  EXPECT_EQ(f.count_in_log("n0", "has restarted"), 0u);
 }
 
 // Every datagram of the first path is lost, for all: the second one, IPv6 on loopback, carries the fleet.
 TEST(Fleet, ASecondPathCarriesTheFleet) {
   auto o = options(4);
-  o.second_paths = true;
+  o.secondary_paths = true;
   Trial f(4, o);
   f.form();
-  f.cut({}, {}, true);
+  f.partition({}, {}, true);
   const auto edges = [&] {  // each has found that its straight links fail
     for (const auto& name : f.names())
-      if (f.times(name, "nothing arrives straight") == 0) return false;
+      if (f.count_in_log(name, "nothing arrives straight") == 0) return false;
     return true;
   };
-  EXPECT_TRUE(f.until(edges, kLong));
+  EXPECT_TRUE(f.wait_until(edges, kLong));
   // Until the way round is known to all, one may be suspect for a moment: it is seen to hold, not at once.
   const auto carried = [&] {
     for (const auto& name : f.names())
       if (const auto v = f.view(name); !v || v->local_connectivity != LocalConnectivity::ok || !v->majority)
         return false;
-    return f.agree();
+    return f.converged();
   };
-  EXPECT_TRUE(f.until(carried, kLong)) << f.state();
-  f.mend_all();
-  EXPECT_TRUE(f.until([&] { return f.agree() && f.view("n0")->majority; }, kLong));
+  EXPECT_TRUE(f.wait_until(carried, kLong)) << f.describe();
+  f.heal_all();
+  EXPECT_TRUE(f.wait_until([&] { return f.converged() && f.view("n0")->majority; }, kLong));
   f.only_these_died({});
 }
 
@@ -393,9 +395,9 @@
   f.form();
   EXPECT_EQ(f.view("n0")->lines.front().address.front(), '[');
   f.kill("n2");
-  EXPECT_TRUE(f.until([&] { return f.all_hold("n2", Status::dead); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.all_see("n2", Status::dead); }, kLong));
   f.start("n2");
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
   f.only_these_died({"n2"});
 }
 
@@ -412,26 +414,27 @@
     std::vector<std::thread> callers;
     for (int k = 0; k < 48; ++k)
       callers.emplace_back([&, k] {
-        standin::Caller caller(f.port("n0"), 1 + k);
-        const auto a = caller.ask({"tile", "x", {}, {}, 400});
+        standin::Client caller(f.port("n0"), 1 + k);
+        const auto a = caller.call({"tile", "x", {}, {}, 400});
         const std::lock_guard lock(mutex);
-        if (a && a->code == 1 && a->backoff > 0ms) metadata.insert(a->backoff.count());
+        if (a && a->code == standin::ResponseCode::rejected && a->retry_after > 0ms)
+          metadata.insert(a->retry_after.count());
       });
     for (auto& c : callers) c.join();
     return metadata;
   };
   // The first runs teach it how long they are.
-  EXPECT_TRUE(f.until([&] { return advice().size() > 8; }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return advice().size() > 8; }, kLong));
   const auto together = advice();
   ASSERT_GT(together.size(), 4u);
   EXPECT_EQ(std::set(together.begin(), together.end()).size(), 1u);
   const auto base = *together.begin();
   f.kill("n3");
   f.kill("n4");
-  EXPECT_TRUE(f.until(
+  EXPECT_TRUE(f.wait_until(
       [&] {
         const auto v = f.view("n0");
-        return f.all_hold("n3", Status::dead) && f.all_hold("n4", Status::dead) && v && v->majority;
+        return f.all_see("n3", Status::dead) && f.all_see("n4", Status::dead) && v && v->majority;
       },
       kLong));
   const auto apart = advice();
@@ -443,22 +446,22 @@
 TEST(Fleet, AnOrderlyEndIsNoDeath) {
   Trial f(4);
   f.form();
-  f.end("n3");
-  EXPECT_TRUE(f.until([&] { return f.ended("n3"); }, kLong));
-  EXPECT_EQ(f.status("n3"), 0);
-  EXPECT_TRUE(f.until([&] { return f.all_hold("n3", Status::left); }, kLong));
-  EXPECT_TRUE(f.until([&] { return f.all_count(3); }, kLong));
+  f.terminate("n3");
+  EXPECT_TRUE(f.wait_until([&] { return f.has_exited("n3"); }, kLong));
+  EXPECT_EQ(f.exit_status("n3"), 0);
+  EXPECT_TRUE(f.wait_until([&] { return f.all_see("n3", Status::left); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.all_count(3); }, kLong));
   f.only_these_died({});
 }
 
 TEST(Fleet, AnOrderlyEndWhileCutOffEndsAllTheSame) {
   Trial f(4);
   f.form();
-  f.cut({"n3"}, {}, true);
-  f.end("n3");
-  EXPECT_TRUE(f.until([&] { return f.ended("n3"); }, kLong));
-  EXPECT_EQ(f.status("n3"), 0);
-  EXPECT_TRUE(f.until([&] { return f.all_hold("n3", Status::dead); }, kLong));
+  f.partition({"n3"}, {}, true);
+  f.terminate("n3");
+  EXPECT_TRUE(f.wait_until([&] { return f.has_exited("n3"); }, kLong));
+  EXPECT_EQ(f.exit_status("n3"), 0);
+  EXPECT_TRUE(f.wait_until([&] { return f.all_see("n3", Status::dead); }, kLong));
 }
 
 }  // namespace
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -54,7 +54,7 @@
     r.from = std::move(from);
     r.to = std::move(to);
     r.both = both;
-    r.cut = true;
+    r.blocked = true;
     return fault_injector().add(r);
   }
   standin::FaultInjector::RuleId loss(double share) {
@@ -542,7 +542,7 @@
   f.form();
   Rule r;
   r.delay = 3s;
-  r.shape = standin::Shape::even;
+  r.distribution = standin::LatencyDistribution::uniform;
   r.spread = 0.3;
   const auto id = f.fault_injector().add(r);
   f.run_for(30s);
--- a/tests/recovery_process_test.cpp
+++ b/tests/recovery_process_test.cpp
@@ -14,62 +14,62 @@
 
 #include "fleet/process_fleet.h"
 #include "snapshot/snapshot.h"
-#include "standin/caller.h"
+#include "standin/client.h"
 #include "standin/dependency.h"
 
 namespace granitegap::fleet {
 namespace {
 
 using namespace std::chrono_literals;
-using standin::Asked;
-using standin::Caller;
+using standin::Client;
+using standin::Request;
 
 constexpr auto kLong = 60s;
 
-Options options(const std::string& recovery) {
-  Options o;
+ProcessFleetOptions options(const std::string& recovery) {
+  ProcessFleetOptions o;
   o.program = PROGRAM;
-  o.clock_library = CLOCK_LIBRARY;
+  o.clock_shift_library = CLOCK_LIBRARY;
   o.size = 1;
-  o.membership = "period: 200ms";
+  o.membership_fields = "period: 200ms";
   o.operator_file = "dependencies: []\ngathers: []\n" + recovery + "\n";
-  o.repeat_window = 1s;
+  o.idempotency_window = 1s;
   return o;
 }
 constexpr char kWait[] = "recovery: {}";
 constexpr char kFolder[] = "recovery: {folder: \"@FOLDER\"}";
 
-struct Trial : Fleet {
-  explicit Trial(Options o) : Fleet(std::move(o)) {}
+struct Trial : ProcessFleet {
+  explicit Trial(ProcessFleetOptions o) : ProcessFleet(std::move(o)) {}
   void up(const std::string& name = "n0") {
     start(name);
     ready(name);
   }
   void ready(const std::string& name = "n0") {
-    ASSERT_TRUE(until([&] { return port(name) != 0 && answers(name); }, kLong)) << log(name);
+    ASSERT_TRUE(wait_until([&] { return port(name) != 0 && answers(name); }, kLong)) << log(name);
   }
   // Reads are served: the kernel is up.
   bool answers(const std::string& name) {
-    Caller c(port(name));
-    const auto a = c.ask({"tile", "x", {}, {}, 20});
-    return a && a->code == 0;
+    Client c(port(name));
+    const auto a = c.call({"tile", "x", {}, {}, 20});
+    return a && a->code == standin::ResponseCode::served;
   }
-  std::optional<standin::Answered> report(const std::string& token, const std::string& name = "n0") {
-    return Caller(port(name), 2).ask({"trail-report", "report " + token, token, {}, 20});
+  std::optional<standin::Response> report(const std::string& token, const std::string& name = "n0") {
+    return Client(port(name), 2).call({"trail-report", "report " + token, token, {}, 20});
   }
   // Again and again until it is not refused, as a caller that heeds backoff would.
-  std::optional<standin::Answered> insist(const std::string& token) {
-    std::optional<standin::Answered> last;
-    until(
+  std::optional<standin::Response> insist(const std::string& token) {
+    std::optional<standin::Response> last;
+    wait_until(
         [&] {
           last = report(token);
-          return last && last->code != 1;
+          return last && last->code != standin::ResponseCode::rejected;
         },
         kLong);
     return last;
   }
   int ran(const std::string& token, const std::string& name = "n0") {
-    const auto all = runs(name);
+    const auto all = kernel_runs(name);
     const auto it = all.find({"trail-report", "report " + token});
     return it == all.end() ? 0 : it->second;
   }
@@ -84,53 +84,53 @@
 TEST(RecoveryProcess, WithoutTheWaitAReportRunsTwice) {
   Trial f(options("recovery: {after_lost_memory: \"go_on\"}"));
   f.up();
-  EXPECT_EQ(f.report(kToken)->code, 0);
+  EXPECT_EQ(f.report(kToken)->code, standin::ResponseCode::served);
   f.kill("n0");
   f.up();
-  EXPECT_EQ(f.report(kToken)->code, 0);
+  EXPECT_EQ(f.report(kToken)->code, standin::ResponseCode::served);
   EXPECT_EQ(f.ran(kToken), 2);
 }
 
 TEST(RecoveryProcess, AfterACrashKeyedRequestsWaitAndReadsDoNot) {
   Trial f(options(kWait));
   f.up();
-  EXPECT_EQ(f.insist(kToken)->code, 0);
+  EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
   f.kill("n0");
   f.up();  // answers reads at once
   const auto refused = f.report(kToken);
   ASSERT_TRUE(refused);
-  EXPECT_EQ(refused->code, 1);
-  EXPECT_GT(refused->backoff, 0ms);
+  EXPECT_EQ(refused->code, standin::ResponseCode::rejected);
+  EXPECT_GT(refused->retry_after, 0ms);
   EXPECT_FALSE(refused->hint.empty());
   EXPECT_EQ(f.ran(kToken), 1);
-  EXPECT_EQ(f.insist(kOther)->code, 0);  // once the window is over
+  EXPECT_EQ(f.insist(kOther)->code, standin::ResponseCode::served);  // once the window is over
   EXPECT_EQ(f.ran(kToken), 1);
 }
 
 TEST(RecoveryProcess, AnOrderlyEndThatIsWrittenDownShortensTheWait) {
   Trial f(options(kFolder));
   f.up();
-  EXPECT_EQ(f.insist(kToken)->code, 0);
-  f.end("n0");
-  ASSERT_TRUE(f.until([&] { return f.ended("n0"); }, kLong));
-  EXPECT_TRUE(std::filesystem::exists(f.folder("n0") / "ended")) << f.log("n0");
+  EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
+  f.terminate("n0");
+  ASSERT_TRUE(f.wait_until([&] { return f.has_exited("n0"); }, kLong));
+  EXPECT_TRUE(std::filesystem::exists(f.state_folder("n0") / "ended")) << f.log("n0");
   f.up();
-  EXPECT_TRUE(f.until([&] { return f.says("the last life ended in order"); }, kLong));
-  EXPECT_FALSE(std::filesystem::exists(f.folder("n0") / "ended"));
-  EXPECT_EQ(f.insist(kOther)->code, 0);
+  EXPECT_TRUE(f.wait_until([&] { return f.says("the last life ended in order"); }, kLong));
+  EXPECT_FALSE(std::filesystem::exists(f.state_folder("n0") / "ended"));
+  EXPECT_EQ(f.insist(kOther)->code, standin::ResponseCode::served);
 }
 
 // Of three lives the middle one crashed: the first one's end must not be taken for its.
 TEST(RecoveryProcess, AnEndIsNotTakenForThatOfALaterLifeThatCrashed) {
   Trial f(options(kFolder));
   f.up();
-  f.end("n0");
-  ASSERT_TRUE(f.until([&] { return f.ended("n0"); }, kLong));
+  f.terminate("n0");
+  ASSERT_TRUE(f.wait_until([&] { return f.has_exited("n0"); }, kLong));
   f.up();
-  EXPECT_EQ(f.insist(kToken)->code, 0);
+  EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
   f.kill("n0");
   f.up();
-  EXPECT_EQ(f.report(kToken)->code, 1);
+  EXPECT_EQ(f.report(kToken)->code, standin::ResponseCode::rejected);
   EXPECT_EQ(f.ran(kToken), 1);
 }
 
@@ -138,36 +138,36 @@
 // be.
 TEST(RecoveryProcess, AFolderThatCanNotBeUsedHoldsKeyedRequestsAlone) {
   Trial f(options(kFolder));
-  std::filesystem::create_directories(f.folder("n0").parent_path());
-  std::ofstream(f.folder("n0")) << "in the way";
+  std::filesystem::create_directories(f.state_folder("n0").parent_path());
+  std::ofstream(f.state_folder("n0")) << "in the way";
   f.up();
-  EXPECT_TRUE(f.until([&] { return f.says("keyed requests are refused until"); }, kLong));
-  EXPECT_EQ(f.report(kToken)->code, 1);
+  EXPECT_TRUE(f.wait_until([&] { return f.says("keyed requests are refused until"); }, kLong));
+  EXPECT_EQ(f.report(kToken)->code, standin::ResponseCode::rejected);
   EXPECT_TRUE(f.answers("n0"));
-  std::filesystem::remove(f.folder("n0"));
-  EXPECT_EQ(f.insist(kToken)->code, 0);
+  std::filesystem::remove(f.state_folder("n0"));
+  EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
 }
 
 TEST(RecoveryProcess, ADamagedEndIsNotBelievedAndStartsAllTheSame) {
   Trial f(options(kFolder));
-  std::filesystem::create_directories(f.folder("n0"));
-  std::ofstream(f.folder("n0") / "ended") << "gge1 and then nothing that makes sense";
+  std::filesystem::create_directories(f.state_folder("n0"));
+  std::ofstream(f.state_folder("n0") / "ended") << "gge1 and then nothing that makes sense";
   f.up();
-  EXPECT_TRUE(
-      f.until([&] { return f.says("what the last life left is not believed: reading it: damaged"); }, kLong));
-  EXPECT_EQ(f.insist(kToken)->code, 0);
+  EXPECT_TRUE(f.wait_until(
+      [&] { return f.says("what the last life left is not believed: reading it: damaged"); }, kLong));
+  EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
 }
 
 // The clock goes back by a minute between two lives: the wait grows, and is told.
 TEST(RecoveryProcess, AClockSetBackLengthensTheWait) {
   Trial f(options(kFolder));
   f.up();
-  EXPECT_EQ(f.insist(kToken)->code, 0);
-  f.end("n0");
-  ASSERT_TRUE(f.until([&] { return f.ended("n0"); }, kLong));
+  EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
+  f.terminate("n0");
+  ASSERT_TRUE(f.wait_until([&] { return f.has_exited("n0"); }, kLong));
   f.shift_clock("n0", -60s);
   f.start("n0");
-  EXPECT_TRUE(f.until([&] { return f.says("the last life ended in order") && f.port("n0"); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.says("the last life ended in order") && f.port("n0"); }, kLong));
   const auto told = f.log("n0");
   const auto at = told.rfind("keyed requests wait ");
   ASSERT_NE(at, std::string::npos) << told;
@@ -178,7 +178,7 @@
 // the next life's own notices are read all the same.
 TEST(RecoveryProcess, AKernelThatTellsOfTheEarlierLifesRunsMakesNobodyDeaf) {
   Trial f(options("recovery: {after_lost_memory: \"go_on\"}"));
-  f.tell_old_ends("n0");
+  f.replay_stale_notices("n0");
   f.up();
   for (int k = 0; k < 30; ++k) EXPECT_TRUE(f.answers("n0"));
   f.kill("n0");
@@ -193,13 +193,13 @@
   Trial f(o);
   f.up("n0");
   f.up("n1");
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
-  EXPECT_EQ(f.insist(kToken)->code, 0);
-  const auto duplicate = f.start_twin("n0");
-  EXPECT_TRUE(f.until([&] { return f.says("another process lives under this name"); }, kLong));
-  EXPECT_EQ(f.report(kOther)->code, 1);
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
+  const auto duplicate = f.start_duplicate("n0");
+  EXPECT_TRUE(f.wait_until([&] { return f.says("another process lives under this name"); }, kLong));
+  EXPECT_EQ(f.report(kOther)->code, standin::ResponseCode::rejected);
   f.kill(duplicate);
-  EXPECT_EQ(f.insist(kOther)->code, 0);
+  EXPECT_EQ(f.insist(kOther)->code, standin::ResponseCode::served);
 }
 
 std::size_t members_in(const std::filesystem::path& folder) {
@@ -215,22 +215,22 @@
   o.seeds = 1;
   Trial f(o);
   f.start_all();
-  ASSERT_TRUE(f.until([&] { return f.agree(); }, kLong)) << f.state();
+  ASSERT_TRUE(f.wait_until([&] { return f.converged(); }, kLong)) << f.describe();
   for (const char* name : {"n2", "n3"})
-    ASSERT_TRUE(f.until([&] { return members_in(f.folder(name)) == 3; }, kLong));
+    ASSERT_TRUE(f.wait_until([&] { return members_in(f.state_folder(name)) == 3; }, kLong));
   f.kill("n0");
   f.kill("n2");
   f.kill("n3");
-  f.wipe("n3");
+  f.wipe_state("n3");
   f.start("n3");
   f.start("n2");
-  ASSERT_TRUE(f.until(
+  ASSERT_TRUE(f.wait_until(
       [&] {
-        return f.holds("n1", "n2") == membership::Status::alive &&
-               f.holds("n2", "n1") == membership::Status::alive;
+        return f.seen_status("n1", "n2") == membership::Status::alive &&
+               f.seen_status("n2", "n1") == membership::Status::alive;
       },
       kLong))
-      << f.state();
+      << f.describe();
   EXPECT_TRUE(f.says("recovery: a snapshot", "n2"));
   EXPECT_FALSE(f.says("recovery: a snapshot", "n3"));
 }
@@ -244,15 +244,15 @@
         "[]\n"
         "recovery: {folder: \"@FOLDER\"}\n";
     Trial f(o);
-    std::filesystem::create_directories(f.folder("n0"));
+    std::filesystem::create_directories(f.state_folder("n0"));
     snapshot::Snapshot s;
     s.at = snapshot::read_stamp();
     if (old) s.at.since_boot -= 1h, s.at.unix_us -= 3'600'000'000, s.at.boot = "another";
     s.what.by = "n0";
     s.what.endpoints = {{"e.example.org", "127.0.0.1", 9, 30s, 2, 80ms, 0s}};
-    ASSERT_FALSE(snapshot::write_snapshot(f.folder("n0"), snapshot::encode(s)));
+    ASSERT_FALSE(snapshot::write_snapshot(f.state_folder("n0"), snapshot::encode(s)));
     f.up();
-    EXPECT_TRUE(f.until([&] { return f.says("recovery: a snapshot"); }, kLong));
+    EXPECT_TRUE(f.wait_until([&] { return f.says("recovery: a snapshot"); }, kLong));
     EXPECT_TRUE(f.answers("n0"));
     EXPECT_EQ(f.says("learned of 1 endpoints"), !old) << f.log("n0");
   }
@@ -260,22 +260,23 @@
 
 TEST(RecoveryProcess, ADamagedSnapshotCostsOnlyWarmth) {
   Trial f(options("recovery: {folder: \"@FOLDER\", snapshot_every: 100ms}"));
-  std::filesystem::create_directories(f.folder("n0"));
-  std::ofstream(f.folder("n0") / "learned-a") << "ggl1 and then nothing that makes sense";
-  std::filesystem::create_directory(f.folder("n0") / "learned-b");  // can be neither read nor replaced
+  std::filesystem::create_directories(f.state_folder("n0"));
+  std::ofstream(f.state_folder("n0") / "learned-a") << "ggl1 and then nothing that makes sense";
+  std::filesystem::create_directory(f.state_folder("n0") / "learned-b");  // can be neither read nor replaced
   f.up();
-  EXPECT_TRUE(f.until([&] { return f.says("a snapshot is not believed: learned-a"); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.says("a snapshot is not believed: learned-a"); }, kLong));
   EXPECT_TRUE(f.answers("n0"));
-  EXPECT_EQ(f.insist(kToken)->code, 0);
+  EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
 }
 
 // The commands: what a snapshot holds, and whether it is whole.
 TEST(RecoveryProcess, TheSnapshotCommandShowsAndVerifies) {
   Trial f(options("recovery: {folder: \"@FOLDER\", snapshot_every: 100ms}"));
   f.up();
-  ASSERT_TRUE(f.until([&] { return std::filesystem::exists(f.folder("n0") / "learned-a"); }, kLong));
+  ASSERT_TRUE(
+      f.wait_until([&] { return std::filesystem::exists(f.state_folder("n0") / "learned-a"); }, kLong));
   f.kill("n0");
-  const auto file = f.folder("n0") / "learned-a";
+  const auto file = f.state_folder("n0") / "learned-a";
   const auto run = [&](const std::string& words) {
     return WEXITSTATUS(std::system(
         (std::string(PROGRAM) + " snapshot " + words + " " + file.string() + " > /dev/null 2>&1").c_str()));
@@ -294,13 +295,13 @@
   o.operator_file = "dependencies: []\ngathers: []\nrecovery: {folder: \"@FOLDER\"}\n";
   Trial f(o);
   f.up();
-  EXPECT_EQ(f.insist(kToken)->code, 0);
+  EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
   snapshot::DirectoryLock busy;
   f.kill("n0");
-  ASSERT_FALSE(busy.take(f.folder("n0")));
+  ASSERT_FALSE(busy.take(f.state_folder("n0")));
   f.up();
-  EXPECT_TRUE(f.until([&] { return f.says("another process holds it"); }, kLong));
-  EXPECT_EQ(f.report(kOther)->code, 1);
+  EXPECT_TRUE(f.wait_until([&] { return f.says("another process holds it"); }, kLong));
+  EXPECT_EQ(f.report(kOther)->code, standin::ResponseCode::rejected);
   EXPECT_EQ(f.ran(kOther), 0);
 }
 
@@ -309,25 +310,25 @@
 // leave is an orderly end all the same. Once the disk is back all goes on without a restart.
 TEST(RecoveryProcess, ADiskThatHangsHoldsKeyedRequestsAndNothingElse) {
   Trial f(options(kFolder));
-  const auto note = f.folder("n0") / "ended";
+  const auto note = f.state_folder("n0") / "ended";
   for (const bool comes_back : {false, true}) {
-    f.wipe("n0");
-    std::filesystem::create_directories(f.folder("n0"));
+    f.wipe_state("n0");
+    std::filesystem::create_directories(f.state_folder("n0"));
     ASSERT_EQ(::mkfifo(note.c_str(), 0600), 0);  // whoever opens it waits
     f.up();
-    ASSERT_TRUE(f.until([&] { return f.says("does not answer: keyed requests are refused"); }, kLong));
+    ASSERT_TRUE(f.wait_until([&] { return f.says("does not answer: keyed requests are refused"); }, kLong));
     const auto way = membership_udp::ask(f.bound("n0"), 2s, true);
     ASSERT_TRUE(way && way->recovery_report);
     EXPECT_GT(way->recovery_report->keyed_wait_ms, 1'000'000'000u);  // no end in sight
-    EXPECT_EQ(f.report(kToken)->code, 1);
+    EXPECT_EQ(f.report(kToken)->code, standin::ResponseCode::rejected);
     if (comes_back) {
       { std::ofstream(note) << "of no life"; }
-      EXPECT_EQ(f.insist(kToken)->code, 0);
+      EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
       EXPECT_EQ(f.ran(kToken), 1);
     }
-    f.end("n0");
-    EXPECT_TRUE(f.until([&] { return f.ended("n0"); }, kLong));
-    EXPECT_EQ(f.status("n0"), 0);
+    f.terminate("n0");
+    EXPECT_TRUE(f.wait_until([&] { return f.has_exited("n0"); }, kLong));
+    EXPECT_EQ(f.exit_status("n0"), 0);
   }
 }
 
@@ -346,8 +347,8 @@
 
 struct Ways : Trial {
   explicit Ways(std::size_t size, const std::string& fields = "") : Trial(made(size, fields)) {}
-  Ways(std::size_t size, Options o) : Trial((o.size = size, o)) {}
-  static Options made(std::size_t size, const std::string& fields) {
+  Ways(std::size_t size, ProcessFleetOptions o) : Trial((o.size = size, o)) {}
+  static ProcessFleetOptions made(std::size_t size, const std::string& fields) {
     auto o = options(std::string("recovery: {after_lost_memory: \"go_on\", calm_for: 300ms, ") +
                      (fields.find("growth") == fields.npos ? "first: 0.4, growth: 3, " : "") + fields + "}");
     o.size = size;
@@ -365,7 +366,7 @@
   // Nobody is asked any more. From how many it has learned is a matter of pace: on a starved machine a
   // newcomer may not have met more than one when it goes on.
   bool has_learned(const std::string& name) const {
-    return until(
+    return wait_until(
         [&] {
           const auto w = way(name);
           return w && w->phase != "blank" && w->phase != "learning";
@@ -374,7 +375,7 @@
   }
   // Asked by callers in the meantime, so that each has something to prove.
   bool all_in_service() {
-    return until(
+    return wait_until(
         [&] {
           bool all = true;
           for (const auto& name : running()) {
@@ -388,10 +389,10 @@
   }
   void form() {
     start_all();
-    ASSERT_TRUE(until([&] { return agree(); }, kLong)) << state();
-    ASSERT_TRUE(all_in_service()) << state();
+    ASSERT_TRUE(wait_until([&] { return converged(); }, kLong)) << describe();
+    ASSERT_TRUE(all_in_service()) << describe();
     // Each knows of all others that they may be asked.
-    ASSERT_TRUE(until(
+    ASSERT_TRUE(wait_until(
         [&] {
           for (const auto& name : running()) {
             const auto v = view(name);
@@ -402,7 +403,7 @@
           return true;
         },
         kLong))
-        << state();
+        << describe();
   }
 };
 
@@ -412,7 +413,7 @@
   f.form();
   f.kill("n2");
   f.start("n2");
-  ASSERT_TRUE(f.all_in_service()) << f.state();
+  ASSERT_TRUE(f.all_in_service()) << f.describe();
   const auto w = f.way("n2");
   ASSERT_TRUE(w);
   EXPECT_EQ(w->sources.size(), 3u) << f.log("n2");
@@ -421,7 +422,7 @@
   for (const auto ms : w->reached_ms) EXPECT_GE(ms, 0) << f.log("n2");
   EXPECT_LE(w->reached_ms[2], w->reached_ms[4]);  // half before all
   EXPECT_TRUE(f.says("recovery: full service after", "n2"));
-  EXPECT_TRUE(f.until(
+  EXPECT_TRUE(f.wait_until(
       [&] {
         const auto v = f.view("n0");
         for (const auto& l : v->lines)
@@ -435,13 +436,13 @@
   Ways f(1);
   f.up();
   const auto address = membership_udp::text_of(f.bound("n0"));
-  const auto run = [&](const std::string& words) { return f.run("recovery " + words); };
+  const auto run = [&](const std::string& words) { return f.run_command("recovery " + words); };
   const auto [good, text] = run(address + " --json");
   EXPECT_EQ(good, 0);
   for (const char* field : {"state", "since_ms", "kind", "offered", "left_ms", "learned_from", "full_ms"})
     EXPECT_NE(text.find(std::string("\"") + field + "\""), std::string::npos) << text;
-  EXPECT_EQ(run(address).first, 0);
-  EXPECT_EQ(run("nowhere").first, 2);
+  EXPECT_EQ(run(address).exit_status, 0);
+  EXPECT_EQ(run("nowhere").exit_status, 2);
 }
 
 // All at once: nobody to learn from, nobody is waited for, all come back; and again while they still ramp.
@@ -452,12 +453,12 @@
     for (const auto& name : f.names()) f.kill(name);
     for (const auto& name : f.names()) f.start(name);
     if (round == 0) {
-      ASSERT_TRUE(f.until([&] { return f.way("n0") && f.way("n0")->phase == "ramping"; }, kLong))
-          << f.state();
+      ASSERT_TRUE(f.wait_until([&] { return f.way("n0") && f.way("n0")->phase == "ramping"; }, kLong))
+          << f.describe();
     }
   }
-  ASSERT_TRUE(f.until([&] { return f.agree(); }, kLong)) << f.state();
-  ASSERT_TRUE(f.all_in_service()) << f.state();
+  ASSERT_TRUE(f.wait_until([&] { return f.converged(); }, kLong)) << f.describe();
+  ASSERT_TRUE(f.all_in_service()) << f.describe();
   for (const auto& name : f.names()) EXPECT_TRUE(f.way(name)->sources.empty()) << f.log(name);
 }
 
@@ -467,31 +468,32 @@
   f.form();
   for (const char* name : {"n2", "n3", "n4", "n5"}) f.kill(name);
   for (const char* name : {"n2", "n3", "n4", "n5"}) f.start(name);
-  EXPECT_TRUE(f.until([&] { return f.says("waits are bounded while others come back", "n0"); }, kLong));
-  ASSERT_TRUE(f.all_in_service()) << f.state();
-  EXPECT_TRUE(f.until([&] { return !f.way("n0")->bounded && !f.way("n1")->bounded; }, kLong)) << f.log("n0");
+  EXPECT_TRUE(f.wait_until([&] { return f.says("waits are bounded while others come back", "n0"); }, kLong));
+  ASSERT_TRUE(f.all_in_service()) << f.describe();
+  EXPECT_TRUE(f.wait_until([&] { return !f.way("n0")->bounded && !f.way("n1")->bounded; }, kLong))
+      << f.log("n0");
 }
 
 // Newcomers behind a cut learn from their own half alone.
 TEST(RecoveryProcess, BehindAPartitionOnlyTheOwnHalfIsAsked) {
   Ways f(6);
   f.form();
-  f.cut({"n0", "n1", "n2"}, {"n3", "n4", "n5"}, true);
-  ASSERT_TRUE(f.until(
+  f.partition({"n0", "n1", "n2"}, {"n3", "n4", "n5"}, true);
+  ASSERT_TRUE(f.wait_until(
       [&] {
         for (const char* mine : {"n0", "n1", "n2"})
           for (const char* theirs : {"n3", "n4", "n5"})
-            if (f.holds(mine, theirs) == membership::Status::alive) return false;
+            if (f.seen_status(mine, theirs) == membership::Status::alive) return false;
         return true;
       },
       kLong));
   f.kill("n2");
   f.start("n2");
-  ASSERT_TRUE(f.until([&] { return f.says("recovery: learned from", "n2") && f.way("n2"); }, kLong));
+  ASSERT_TRUE(f.wait_until([&] { return f.says("recovery: learned from", "n2") && f.way("n2"); }, kLong));
   const auto asked = f.way("n2").value();
   for (const auto& s : asked.sources) EXPECT_TRUE(s.name == "n0" || s.name == "n1") << s.name;
-  f.mend_all();
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
+  f.heal_all();
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
   EXPECT_TRUE(f.all_in_service());
 }
 
@@ -504,11 +506,11 @@
   f.form();
   for (const auto& name : f.names())
     for (int k = 0; k < 40; ++k)
-      standin::Caller(f.port(name)).ask({"route-profile", "r" + std::to_string(k), {}, {}, 5});
+      standin::Client(f.port(name)).call({"route-profile", "r" + std::to_string(k), {}, {}, 5});
   f.kill("n2");
   f.start("n2");
   EXPECT_TRUE(
-      f.until([&] { return f.says("endpoints from ", "n2") && f.says("other members", "n2"); }, kLong))
+      f.wait_until([&] { return f.says("endpoints from ", "n2") && f.says("other members", "n2"); }, kLong))
       << f.log("n2");
   EXPECT_TRUE(f.says("learned of 1 endpoints", "n2") || f.says("learned of 2 endpoints", "n2"))
       << f.log("n2");
@@ -520,7 +522,7 @@
   // `capacity`: answers in the making at once; 0: any number.
   explicit Service(std::uint32_t capacity = 0)
       : service_(io_, script(capacity), 1, {0}, standin::Dependency::Clock::now()) {
-    service_.tell_when();
+    service_.prefix_bodies_with_arrival();
     thread_ = std::thread([this] { io_.run(); });
   }
   ~Service() {
@@ -534,27 +536,27 @@
            "}]\ngathers: [{class: \"route-profile\", budget: 4s, parts: [{name: \"e\", from: "
            "\"e.example.org\", path: \"/e?r={body}\", fresh_for: 10m}]}]\n";
   }
-  std::size_t calls() { return seen().requests.size(); }
-  std::size_t max_open() { return seen().max_open; }
+  std::size_t calls() { return counters().arrivals.size(); }
+  std::size_t max_open() { return counters().max_open; }
 
  private:
   static standin::Script script(std::uint32_t capacity) {
     standin::Phase phase;
     phase.capacity = capacity;
-    phase.shape = standin::Shape::fixed;
+    phase.distribution = standin::LatencyDistribution::fixed;
     phase.latency = 20ms;
     return {{phase}, {}};
   }
-  standin::Dependency::Seen seen() {
-    std::promise<standin::Dependency::Seen> seen;
-    boost::asio::post(io_, [&] { seen.set_value(service_.seen()); });
-    return seen.get_future().get();
+  standin::Dependency::Counters counters() {
+    std::promise<standin::Dependency::Counters> result;
+    boost::asio::post(io_, [&] { result.set_value(service_.counters()); });
+    return result.get_future().get();
   }
   boost::asio::io_context io_;
   standin::Dependency service_;
   std::thread thread_;
 };
-Options over(const Service& service, const std::string& fields, std::size_t size) {
+ProcessFleetOptions over(const Service& service, const std::string& fields, std::size_t size) {
   auto o = Ways::made(size, "");
   const std::string none = "dependencies: []\ngathers: []\n";
   o.operator_file.replace(o.operator_file.find(none), none.size(), service.declared(fields));
@@ -564,8 +566,9 @@
   using Ways::Ways;
   // Served with its part.
   bool whole(const std::string& name, const std::string& route) {
-    const auto a = standin::Caller(port(name)).ask({"route-profile", route, {}, {}, 5});
-    return a && a->code == 0 && a->body.find(" /e?r=" + route + "\n") != std::string::npos;
+    const auto a = standin::Client(port(name)).call({"route-profile", route, {}, {}, 5});
+    return a && a->code == standin::ResponseCode::served &&
+           a->body.find(" /e?r=" + route + "\n") != std::string::npos;
   }
 };
 
@@ -584,7 +587,7 @@
       if (!f.whole(name, route)) return false;
     return service.calls() == before + 1;
   };
-  ASSERT_TRUE(f.until(one_call, kLong)) << f.state();
+  ASSERT_TRUE(f.wait_until(one_call, kLong)) << f.describe();
   const auto before = service.calls();
   std::vector<std::thread> asks;
   std::atomic<int> good = 0;
@@ -601,7 +604,7 @@
   f.pause("n1");  // it fills a quarter of them
   for (int k = 0; k < 12; ++k) EXPECT_TRUE(f.whole(k % 2 ? "n0" : "n2", "paused" + std::to_string(k)));
   f.resume("n1");
-  EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
 }
 
 // What was kept outlives its process, by its snapshot, and the fleet's by those that are asked.
@@ -618,14 +621,14 @@
       for (int k = 0; k < 10; ++k) ASSERT_TRUE(f.whole(name, "r" + std::to_string(k)));
     const auto before = service.calls();
     if (alone) {
-      f.end("n0");  // in order: the last snapshot is written
-      ASSERT_TRUE(f.until([&] { return f.ended("n0"); }, kLong));
+      f.terminate("n0");  // in order: the last snapshot is written
+      ASSERT_TRUE(f.wait_until([&] { return f.has_exited("n0"); }, kLong));
     } else {
       f.kill("n0");
     }
     f.start("n0");
-    ASSERT_TRUE(
-        f.until([&] { return f.says("kept answers from", "n0") && f.port("n0") && f.answers("n0"); }, kLong))
+    ASSERT_TRUE(f.wait_until(
+        [&] { return f.says("kept answers from", "n0") && f.port("n0") && f.answers("n0"); }, kLong))
         << f.log("n0");
     for (int k = 0; k < 10; ++k) EXPECT_TRUE(f.whole("n0", "r" + std::to_string(k)));
     EXPECT_EQ(service.calls(), before);
@@ -637,7 +640,7 @@
 TEST(RecoveryProcess, ADonorThatStandsStillIsLeftForTheNext) {
   Ways f(6, "learn_most: 5s");
   f.form();
-  const auto before = f.times("n0", "recovery: learned from");
+  const auto before = f.count_in_log("n0", "recovery: learned from");
   f.kill("n0");
   f.pause("n3");  // of n0's zone: asked first
   f.start("n0");
@@ -645,8 +648,8 @@
   const auto learned = f.way("n0").value();
   for (const auto& s : learned.sources) EXPECT_NE(s.name, "n3");
   f.resume("n3");
-  ASSERT_TRUE(f.until([&] { return f.agree(); }, kLong));
-  EXPECT_EQ(f.times("n0", "recovery: learned from"), before + 1);  // once a life
+  ASSERT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_EQ(f.count_in_log("n0", "recovery: learned from"), before + 1);  // once a life
 }
 
 // One that dies in the middle, its connection taken and the question with it.
@@ -656,26 +659,26 @@
   f.kill("n0");
   f.pause("n3");  // of n0's zone: asked first
   f.start("n0");
-  ASSERT_TRUE(f.until([&] { return f.way("n0") && f.way("n0")->phase != "blank"; }, kLong));
+  ASSERT_TRUE(f.wait_until([&] { return f.way("n0") && f.way("n0")->phase != "blank"; }, kLong));
   f.kill("n3");
   ASSERT_TRUE(f.has_learned("n0")) << f.log("n0");
   const auto learned = f.way("n0").value();
   for (const auto& s : learned.sources) EXPECT_NE(s.name, "n3");
-  ASSERT_TRUE(f.until([&] { return f.agree(); }, kLong));
+  ASSERT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
 }
 
 // Kernels that stay cold: what they do at that pace is proven, and that is full service.
 TEST(RecoveryProcess, AKernelThatStaysColdIsNoReasonToStayAway) {
   Ways f(2);
-  for (const auto& name : f.names()) f.set_pace(name, {0.1, 10min, 8});
+  for (const auto& name : f.names()) f.set_speed(name, {0.1, 10min, 8});
   f.form();
   for (const auto& name : f.names()) {
     f.kill(name);
     f.reboot_kernel(name);
   }
   for (const auto& name : f.names()) f.start(name);
-  ASSERT_TRUE(f.until([&] { return f.agree(); }, kLong));
-  EXPECT_TRUE(f.all_in_service()) << f.state();
+  ASSERT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_TRUE(f.all_in_service()) << f.describe();
 }
 
 // A service that can do just so much, when all come back at once and want it: everybody is answered, and few
@@ -692,20 +695,20 @@
   std::atomic<int> answered = 0;
   std::vector<std::thread> asks;
   for (const auto& name : f.names()) {
-    ASSERT_TRUE(f.until([&] { return f.port(name) != 0; }, kLong));
+    ASSERT_TRUE(f.wait_until([&] { return f.port(name) != 0; }, kLong));
     for (int t = 0; t < 8; ++t)
       asks.emplace_back([&, name, t] {
         for (int k = 0; k < 10; ++k) {
           const auto route = "r" + std::to_string(t) + "." + std::to_string(k) + name;
-          const auto a = standin::Caller(f.port(name)).ask({"route-profile", route, {}, {}, 5});
-          answered += a && a->code >= 0;
+          const auto a = standin::Client(f.port(name)).call({"route-profile", route, {}, {}, 5});
+          answered += a.has_value();
         }
       });
   }
   for (auto& a : asks) a.join();
   EXPECT_EQ(answered, 320);
   EXPECT_LE(service.max_open(), 8u);
-  ASSERT_TRUE(f.until([&] { return f.agree(); }, kLong));
+  ASSERT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
   EXPECT_TRUE(f.all_in_service());
 }
 
@@ -714,23 +717,23 @@
   Ways f(4, "pause_most: 1s");
   f.form();
   f.pause("n1");
-  ASSERT_TRUE(f.until([&] { return f.all_hold("n1", membership::Status::dead); }, kLong));
+  ASSERT_TRUE(f.wait_until([&] { return f.all_see("n1", membership::Status::dead); }, kLong));
   f.resume("n1");
-  EXPECT_TRUE(f.until([&] { return f.says("this process stood still for long", "n1"); }, kLong))
+  EXPECT_TRUE(f.wait_until([&] { return f.says("this process stood still for long", "n1"); }, kLong))
       << f.log("n1");
-  ASSERT_TRUE(f.until([&] { return f.agree(); }, kLong));
-  ASSERT_TRUE(f.all_in_service()) << f.state();
+  ASSERT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  ASSERT_TRUE(f.all_in_service()) << f.describe();
   EXPECT_EQ(f.way("n1")->recoveries, 1u);
 }
 
 // A machine that restarts under a process that goes on: its kernel is cold, and the way back begins again.
 TEST(RecoveryProcess, AKernelThatStartsAnewIsAWayBack) {
   Ways f(1);
-  f.set_pace("n0", {0.5, 300ms, 8});
+  f.set_speed("n0", {0.5, 300ms, 8});
   f.up();
   ASSERT_TRUE(f.all_in_service());
   f.reboot_kernel("n0");
-  EXPECT_TRUE(f.until([&] { return f.way("n0")->recoveries == 1; }, kLong)) << f.log("n0");
+  EXPECT_TRUE(f.wait_until([&] { return f.way("n0")->recoveries == 1; }, kLong)) << f.log("n0");
   EXPECT_TRUE(f.all_in_service());
 }
 
@@ -739,20 +742,20 @@
   for (const char* phase : {"learning", "ramping"}) {
     Ways f(2, "learn_most: 20s, first: 0.01, growth: 1.1");
     f.start("n0");
-    ASSERT_TRUE(f.until([&] { return f.port("n0") != 0 && f.answers("n0"); }, kLong));
+    ASSERT_TRUE(f.wait_until([&] { return f.port("n0") != 0 && f.answers("n0"); }, kLong));
     if (phase == std::string("ramping")) {
       f.start("n1");  // it knows nothing either: nobody is left to ask
     }
-    ASSERT_TRUE(f.until([&] { return f.way("n0")->phase == phase; }, kLong)) << f.log("n0");
-    standin::Caller caller(f.port("n0"));
+    ASSERT_TRUE(f.wait_until([&] { return f.way("n0")->phase == phase; }, kLong)) << f.log("n0");
+    standin::Client caller(f.port("n0"));
     std::thread asks([&] {
-      const auto a = caller.ask({"tile", "x", {}, {}, 5});
-      EXPECT_TRUE(a && a->code >= 0);
+      const auto a = caller.call({"tile", "x", {}, {}, 5});
+      EXPECT_TRUE(a.has_value());
     });
-    f.end("n0");
+    f.terminate("n0");
     asks.join();
-    EXPECT_TRUE(f.until([&] { return f.ended("n0"); }, kLong));
-    EXPECT_EQ(f.status("n0"), 0);
+    EXPECT_TRUE(f.wait_until([&] { return f.has_exited("n0"); }, kLong));
+    EXPECT_EQ(f.exit_status("n0"), 0);
     EXPECT_TRUE(f.says("left: all answered")) << f.log("n0");
   }
 }
--- a/tools/fleet/load_generator.cpp
+++ b/tools/fleet/load_generator.cpp
@@ -3,285 +3,335 @@
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
+#include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/io_context.hpp>
-#include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/post.hpp>
-#include <boost/asio/read.hpp>
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <boost/asio/use_awaitable.hpp>
-#include <boost/asio/write.hpp>
 #include <cmath>
 #include <cstdio>
+#include <cstdlib>
 #include <deque>
-#include <map>
+#include <mutex>
+#include <numeric>
+#include <optional>
 #include <random>
 
-#include "standin/caller.h"
+#include "standin/async_client.h"
 
 namespace granitegap::fleet {
 
 namespace asio = boost::asio;
-using asio::ip::tcp;
 using boost::system::error_code;
 using Clock = std::chrono::steady_clock;
+using std::chrono::duration_cast;
+using std::chrono::milliseconds;
 using namespace std::chrono_literals;
 
 namespace {
 
-constexpr std::size_t kMaxOpen = 32;  // on one connection
-constexpr auto kStickyPause = 150ms, kNobodyPause = 50ms;
-constexpr auto kRoundTrip =
-    20ms;  // a caller is no nearer than that: guards against a crowd that only burns this machine
-constexpr int kHeedingTries = 3;
+constexpr std::size_t kMaxInFlight = 32;  // on one connection
+constexpr auto kStickyPause = 150ms;      // of sticky clients between two attempts
+constexpr auto kNoServerPause = 50ms;     // while every server asked for a backoff
+constexpr auto kNoPortPause = 5ms;        // of an attempt while its server serves nowhere
+// Between two attempts of other clients: no client is nearer, and a retry loop must not just burn this
+// machine.
+constexpr auto kRoundTrip = 20ms;
+constexpr auto kBackoffAfterError = 500ms;  // where no response gave one
+constexpr milliseconds kMinBackoff = 20ms;
+constexpr int kMaxAttempts = 3;       // of clients that honor Retry-After
+constexpr int kServerDraws = 8;       // at the most, to find two candidates
+constexpr int kServerCandidates = 2;  // of which the one with the better hint is taken
+constexpr double kKeySkew = 4;        // low keys are drawn most often
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
+std::string hexadecimal(std::uint64_t value) {
+  char text[17];
+  std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(value));
+  return text;
+}
+
+asio::awaitable<void> pause(Clock::duration duration) {
+  asio::steady_timer timer(co_await asio::this_coro::executor, duration);
+  error_code ignored;
+  co_await timer.async_wait(into(ignored));
+}
+
+// A request on its way through its attempts.
+struct PendingRequest {
+  std::size_t number = 0;  // of its record
+  RequestRecord record;
+  std::string body;
+  std::size_t proxy = 0;
+  std::uint64_t sticky_key = 0;
+  Clock::time_point deadline;
+};
+
 }  // namespace
 
-double worth_of(const RequestRecord& f, const LoadClass& c) {
-  if (!f.served || f.took > c.deadline) return 0;
-  return f.took <= c.aim ? c.worth : c.worth * c.late_worth;
+double earned_weight(const RequestRecord& record, const LoadClass& cls) {
+  if (!record.served || record.latency > cls.deadline) return 0;
+  if (record.latency <= cls.latency_objective) return cls.priority_weight;
+  return cls.priority_weight * cls.late_weight;
 }
 
 struct LoadGenerator::Work {
-  // A connection of one proxy to one server; opened when it is needed, and anew where the server has moved.
-  struct Line {
-    explicit Line(asio::io_context& io) : socket(io) {}
-    tcp::socket socket;
-    std::uint16_t port = 0;
-    std::uint32_t stream = 0;
-    bool up = false;
-    std::string out;
-    bool writing = false;
-    std::map<std::uint32_t, std::function<void(std::optional<standin::Answered>)>> open;
-  };
-  struct Heard {  // by one proxy of one server
-    double hint = 1;
-    Clock::time_point away_until{};
+  // What one proxy has of one server.
+  struct ServerState {
+    std::shared_ptr<standin::AsyncClient> connection;
+    std::uint16_t port = 0;  // that it leads to
+    double hint = 1;         // the newest load hint; 0 after a failed attempt
+    Clock::time_point backoff_until{};
   };
   struct Proxy {
-    std::vector<std::shared_ptr<Line>> lines;
-    std::vector<Heard> heard;
+    std::vector<ServerState> servers;
   };
 
-  Work(const LoadOptions& o, std::size_t n, Port p)
-      : options(o), servers(n), port(std::move(p)), random(o.seed), arrivals(io), began(Clock::now()) {
-    proxies.resize(o.proxies);
-    for (auto& proxy : proxies) {
-      proxy.heard.resize(n);
-      for (std::size_t s = 0; s < n; ++s) proxy.lines.push_back(std::make_shared<Line>(io));
-    }
-    asio::co_spawn(io, arrive(), asio::detached);
+  Work(const LoadOptions& load_options, std::size_t server_count, Port server_port);
+  double uniform() { return std::uniform_real_distribution<double>(0, 1)(random); }
+  Duration elapsed() const { return duration_cast<Duration>(Clock::now() - began); }
+
+  asio::awaitable<void> generate_arrivals();
+  PendingRequest draw_request(Clock::time_point scheduled_at);
+  std::uint8_t draw_class();
+  RetryBehavior draw_behavior();
+  std::string body_of(const RequestRecord& record);
+  asio::awaitable<void> pursue(PendingRequest request);
+  asio::awaitable<void> attempt(PendingRequest& request, std::size_t server);
+  std::optional<std::size_t> choose_server(const PendingRequest& request, std::optional<std::size_t> last);
+  std::optional<std::size_t> choose_by_hint(const Proxy& proxy, std::optional<std::size_t> last);
+  asio::awaitable<std::shared_ptr<standin::AsyncClient>> connection_to(ServerState& server,
+                                                                       std::uint16_t current_port);
+  asio::awaitable<std::optional<standin::Response>> call(const PendingRequest& request, std::size_t server,
+                                                         Clock::time_point deadline);
+  void finish(PendingRequest& request);
+
+  const LoadOptions& options;
+  std::size_t servers;
+  Port port;
+  asio::io_context io;
+  std::mt19937_64 random;
+  asio::steady_timer next_arrival;
+  Clock::time_point began;
+  std::vector<Proxy> proxies;
+  std::uint64_t last_request_id = 0;
+  bool stopping = false;
+
+  std::mutex mutex;  // guards what follows
+  std::deque<RequestRecord> records;
+  std::size_t unfinished = 0;
+};
+
+LoadGenerator::Work::Work(const LoadOptions& load_options, std::size_t server_count, Port server_port)
+    : options(load_options),
+      servers(server_count),
+      port(std::move(server_port)),
+      random(load_options.seed),
+      next_arrival(io),
+      began(Clock::now()),
+      proxies(load_options.proxies) {
+  for (auto& proxy : proxies) {
+    proxy.servers.resize(servers);
+    for (auto& server : proxy.servers) server.connection = std::make_shared<standin::AsyncClient>(io);
   }
+  asio::co_spawn(io, generate_arrivals(), asio::detached);
+}
 
-  double roll() { return std::uniform_real_distribution<double>(0, 1)(random); }
-  Duration now() const { return std::chrono::duration_cast<Duration>(Clock::now() - began); }
-
-  // Arrivals are drawn ahead and don't wait for answers.
-  asio::awaitable<void> arrive() {
-    auto next = began;
-    while (!stopping) {
-      next += std::chrono::duration_cast<Clock::duration>(
-          std::chrono::duration<double>(-std::log(1 - roll()) / options.rate));
-      arrivals.expires_at(next);
-      error_code error;
-      co_await arrivals.async_wait(into(error));
-      if (stopping) co_return;
-      RequestRecord f;
-      f.wanted = std::chrono::duration_cast<Duration>(next - began);
-      double drawn = roll();
-      for (const auto& c : options.classes) {
-        if (drawn < c.share || &c == &options.classes.back()) break;
-        drawn -= c.share;
-        ++f.cls;
-      }
-      double all = 0;
-      for (const double w : options.habits) all += w;
-      double habit = roll() * all;
-      while (f.habit + 1u < kRetryBehaviors && habit >= options.habits[f.habit])
-        habit -= options.habits[f.habit++];
-      if (options.classes[f.cls].keyed) {
-        char token[33];
-        std::snprintf(token, sizeof token, "%016llx%016llx", static_cast<unsigned long long>(random()),
-                      static_cast<unsigned long long>(fates.size()));
-        f.token = token;
-      }
-      std::size_t number = 0;
-      {
-        const std::lock_guard lock(mutex);
-        number = fates.size();
-        fates.push_back(f);
-      }
-      ++open;
-      std::string body = "x";
-      if (!f.token.empty()) body = "of " + f.token;
-      if (const auto things = options.classes[f.cls].things)
-        body = "r" + std::to_string(std::uint64_t(double(things) * std::pow(roll(), 4)));
-      asio::co_spawn(io, pursue(number, f, std::size_t(random() % proxies.size()), random(), std::move(body)),
-                     asio::detached);
-    }
+// A Poisson process: arrivals are drawn ahead and never wait for responses.
+asio::awaitable<void> LoadGenerator::Work::generate_arrivals() {
+  auto next = began;
+  while (!stopping) {
+    const std::chrono::duration<double> gap(-std::log(1 - uniform()) / options.requests_per_s);
+    next += duration_cast<Clock::duration>(gap);
+    next_arrival.expires_at(next);
+    error_code ignored;
+    co_await next_arrival.async_wait(into(ignored));
+    if (stopping) co_return;
+    asio::co_spawn(io, pursue(draw_request(next)), asio::detached);
   }
+}
 
-  // One first try and all that its habit makes of it.
-  asio::awaitable<void> pursue(std::size_t number, RequestRecord f, std::size_t who, std::uint64_t key,
-                               std::string body) {
-    const auto& cls = options.classes[f.cls];
-    const auto due = began + std::chrono::duration_cast<Clock::duration>(f.wanted + cls.deadline);
-    std::size_t last = servers;
-    asio::steady_timer pause(io);
-    while (!f.served && Clock::now() < due) {
-      const auto server = choose(proxies[who], RetryBehavior(f.habit), key, last);
-      if (server == servers) {  // nobody may be asked now
-        pause.expires_after(kNobodyPause);
-        error_code ignored;
-        co_await pause.async_wait(into(ignored));
-        continue;
-      }
-      last = server;
-      ++f.tries;
-      const auto asked_at = Clock::now();
-      const auto answer =
-          co_await ask(who, server, cls, f.token, body, std::min(due, asked_at + options.patience));
-      auto& heard = proxies[who].heard[server];
-      if (answer && !answer->hint.empty()) heard.hint = std::atof(answer->hint.c_str());
-      if (answer && answer->code == 0) {
-        f.served = true;
-        f.server = std::uint16_t(server);
-        if (options.check)
-          f.wrong = options.check(cls, body, answer->body,
-                                  std::chrono::duration_cast<Duration>(Clock::now() - asked_at));
-        break;
-      }
-      if (answer && answer->code == 1) ++f.refused;
-      if (!answer) heard.hint = 0;
-      if (RetryBehavior(f.habit) == RetryBehavior::heeding) {
-        heard.away_until =
-            Clock::now() + std::max<std::chrono::milliseconds>(answer ? answer->backoff : 500ms, 20ms);
-        if (f.tries >= kHeedingTries) break;
-      }
-      pause.expires_after(RetryBehavior(f.habit) == RetryBehavior::sticky ? kStickyPause : kRoundTrip);
-      error_code ignored;
-      co_await pause.async_wait(into(ignored));
-    }
-    f.took = now() - f.wanted;
-    f.over = true;
+std::uint8_t LoadGenerator::Work::draw_class() {
+  double drawn = uniform();
+  std::uint8_t index = 0;
+  while (index + 1u < options.classes.size() && drawn >= options.classes[index].share)
+    drawn -= options.classes[index++].share;
+  return index;
+}
+
+RetryBehavior LoadGenerator::Work::draw_behavior() {
+  const auto& weights = options.behavior_weights;
+  double drawn = uniform() * std::accumulate(weights.begin(), weights.end(), 0.0);
+  std::size_t index = 0;
+  while (index + 1 < kRetryBehaviors && drawn >= weights[index]) drawn -= weights[index++];
+  return RetryBehavior(index);
+}
+
+std::string LoadGenerator::Work::body_of(const RequestRecord& record) {
+  const auto keys = options.classes[record.class_index].distinct_keys;
+  if (keys > 0) return "r" + std::to_string(std::uint64_t(double(keys) * std::pow(uniform(), kKeySkew)));
+  return record.idempotency_key.empty() ? "x" : "of " + record.idempotency_key;
+}
+
+PendingRequest LoadGenerator::Work::draw_request(Clock::time_point scheduled_at) {
+  PendingRequest request;
+  auto& record = request.record;
+  record.scheduled_at = duration_cast<Duration>(scheduled_at - began);
+  record.class_index = draw_class();
+  record.behavior = draw_behavior();
+  const auto& cls = options.classes[record.class_index];
+  {
     const std::lock_guard lock(mutex);
-    fates[number] = f;
-    --open;
+    request.number = records.size();
+    if (cls.idempotent) record.idempotency_key = hexadecimal(random()) + hexadecimal(request.number);
+    records.push_back(record);
+    ++unfinished;
   }
+  request.body = body_of(record);
+  request.sticky_key = random();
+  request.proxy = std::size_t(random() % proxies.size());
+  request.deadline = began + duration_cast<Clock::duration>(record.scheduled_at + cls.deadline);
+  return request;
+}
 
-  std::size_t choose(const Proxy& proxy, RetryBehavior habit, std::uint64_t key, std::size_t last) {
-    if (habit == RetryBehavior::sticky) return std::size_t(key % servers);
-    if (habit == RetryBehavior::tireless) {
-      const auto s = std::size_t(random() % servers);
-      return s == last ? (s + 1) % servers : s;
+// All attempts of one request.
+asio::awaitable<void> LoadGenerator::Work::pursue(PendingRequest request) {
+  auto& record = request.record;
+  std::optional<std::size_t> last_server;
+  while (Clock::now() < request.deadline) {
+    const auto server = choose_server(request, last_server);
+    if (!server) {
+      co_await pause(kNoServerPause);
+      continue;
     }
-    // Of two that may be asked, the one with the higher free value.
-    std::size_t best = servers;
-    for (int k = 0, found = 0; k < 8 && found < 2; ++k) {
-      const auto s = std::size_t(random() % servers);
-      if (s == last || proxy.heard[s].away_until > Clock::now()) continue;
-      ++found;
-      if (best == servers || proxy.heard[s].hint > proxy.heard[best].hint) best = s;
-    }
-    return best;
+    last_server = server;
+    co_await attempt(request, *server);
+    if (record.served) break;
+    if (record.behavior == RetryBehavior::honors_retry_after && record.attempts >= kMaxAttempts) break;
+    co_await pause(record.behavior == RetryBehavior::sticky ? kStickyPause : kRoundTrip);
   }
+  finish(request);
+}
 
-  asio::awaitable<std::optional<standin::Answered>> ask(std::size_t who, std::size_t server,
-                                                        const LoadClass& cls, const std::string& token,
-                                                        const std::string& body, Clock::time_point until) {
-    auto line = proxies[who].lines[server];
-    const auto there = port(server);
-    if (there == 0) {
-      asio::steady_timer wait(io, 5ms);
-      error_code ignored;
-      co_await wait.async_wait(into(ignored));
-      co_return std::nullopt;
+asio::awaitable<void> LoadGenerator::Work::attempt(PendingRequest& request, std::size_t server) {
+  auto& record = request.record;
+  const auto& cls = options.classes[record.class_index];
+  ++record.attempts;
+  const auto sent_at = Clock::now();
+  const auto deadline = std::min(request.deadline, sent_at + options.attempt_timeout);
+  const auto response = co_await call(request, server, deadline);
+  auto& state = proxies[request.proxy].servers[server];
+  if (!response) state.hint = 0;
+  if (response && !response->hint.empty()) state.hint = std::atof(response->hint.c_str());
+  if (response && response->code == standin::ResponseCode::served) {
+    record.served = true;
+    record.server = std::uint16_t(server);
+    if (options.validate) {
+      const auto latency = duration_cast<Duration>(Clock::now() - sent_at);
+      record.validation_errors = options.validate(cls, request.body, response->body, latency);
     }
-    if (!line->up || line->port != there || line->open.size() >= kMaxOpen) {
-      line = proxies[who].lines[server] = std::make_shared<Line>(io);
-      line->port = there;
-      error_code error;
-      co_await line->socket.async_connect({asio::ip::address_v4::loopback(), there}, into(error));
-      if (error) co_return std::nullopt;
-      line->socket.set_option(tcp::no_delay(true), error);
-      line->up = true;
-      asio::co_spawn(io, read(line), asio::detached);
-    }
-    asio::steady_timer done(io, until);
-    std::optional<standin::Answered> got;
-    const auto stream = ++line->stream;
-    line->open[stream] = [&](std::optional<standin::Answered> a) {
-      got = std::move(a);
-      done.cancel();
-    };
-    using namespace std::chrono;
-    const auto t0 = duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count();
-    standin::Asked asked;
-    asked.cls = cls.name;
-    asked.body = body;
-    asked.token = token;
-    asked.est_ms = options.est_ms;
-    char rid[17];
-    std::snprintf(rid, sizeof rid, "%016llx", static_cast<unsigned long long>(options.seed << 40 | ++rids));
-    line->out += standin::request_frame(asked, stream, int(who), rid, t0);
-    if (!std::exchange(line->writing, true)) asio::co_spawn(io, write(line), asio::detached);
-    error_code ignored;
-    co_await done.async_wait(into(ignored));
-    line->open.erase(stream);
-    // Another has taken its place: guards against connections that pile up until a server has none to give.
-    if (line->open.empty() && line != proxies[who].lines[server]) line->socket.close(ignored);
-    co_return got;
+    co_return;
   }
+  if (response && response->code == standin::ResponseCode::rejected) ++record.rejections;
+  if (record.behavior == RetryBehavior::honors_retry_after) {
+    milliseconds backoff = kBackoffAfterError;
+    if (response) backoff = response->retry_after;
+    state.backoff_until = Clock::now() + std::max(backoff, kMinBackoff);
+  }
+}
 
-  asio::awaitable<void> write(std::shared_ptr<Line> line) {
-    error_code error;
-    while (!line->out.empty() && !error) {
-      const auto bytes = std::exchange(line->out, {});
-      co_await asio::async_write(line->socket, asio::buffer(bytes), into(error));
+// Absent while every server asked for a backoff.
+std::optional<std::size_t> LoadGenerator::Work::choose_server(const PendingRequest& request,
+                                                              std::optional<std::size_t> last) {
+  switch (request.record.behavior) {
+    case RetryBehavior::sticky:
+      return std::size_t(request.sticky_key % servers);
+    case RetryBehavior::retries_immediately: {
+      const auto server = std::size_t(random() % servers);
+      return server == last ? (server + 1) % servers : server;
     }
-    line->writing = false;
+    case RetryBehavior::honors_retry_after:
+      return choose_by_hint(proxies[request.proxy], last);
   }
+  return std::nullopt;
+}
 
-  asio::awaitable<void> read(std::shared_ptr<Line> line) {
-    error_code error;
-    for (;;) {
-      std::string head(4, '\0');
-      co_await asio::async_read(line->socket, asio::buffer(head), into(error));
-      if (error) break;
-      std::size_t size = 0;
-      for (const char c : head) size = size << 8 | std::uint8_t(c);
-      std::string payload(size, '\0');
-      co_await asio::async_read(line->socket, asio::buffer(payload), into(error));
-      if (error) break;
-      std::uint32_t stream = 0;
-      const auto answer = standin::read_answer(payload, stream);
-      if (!answer) continue;  // goaway, or a check's
-      if (const auto it = line->open.find(stream); it != line->open.end()) it->second(*answer);
-    }
-    line->up = false;
-    for (auto& [stream, tell] : std::map(line->open)) tell(std::nullopt);
+// The better of two random choices; Mitzenmacher, The Power of Two Choices in Randomized Load Balancing
+// (2001).
+std::optional<std::size_t> LoadGenerator::Work::choose_by_hint(const Proxy& proxy,
+                                                               std::optional<std::size_t> last) {
+  std::optional<std::size_t> best;
+  int candidates = 0;
+  for (int draw = 0; draw < kServerDraws && candidates < kServerCandidates; ++draw) {
+    const auto server = std::size_t(random() % servers);
+    if (server == last || proxy.servers[server].backoff_until > Clock::now()) continue;
+    ++candidates;
+    if (!best || proxy.servers[server].hint > proxy.servers[*best].hint) best = server;
   }
+  return best;
+}
 
-  const LoadOptions& options;
-  std::size_t servers;
-  Port port;
-  asio::io_context io;
-  std::mt19937_64 random;
-  asio::steady_timer arrivals;
-  Clock::time_point began;
-  std::vector<Proxy> proxies;
-  std::uint64_t rids = 0;
-  bool stopping = false;
-  mutable std::mutex mutex;  // fates and open
-  std::deque<RequestRecord> fates;
-  std::size_t open = 0;
-};
+// A new connection where there is none, the server has moved, or the one there carries too much; null if it
+// can't be had. Another attempt may replace it before this one gets to use it.
+asio::awaitable<std::shared_ptr<standin::AsyncClient>> LoadGenerator::Work::connection_to(
+    ServerState& server, std::uint16_t current_port) {
+  const auto& current = *server.connection;
+  const bool usable = current.connected() && server.port == current_port;
+  if (usable && current.in_flight() < kMaxInFlight) co_return server.connection;
+  const auto connection = std::make_shared<standin::AsyncClient>(io);
+  server.connection = connection;
+  server.port = current_port;
+  const bool connected = co_await connection->connect(current_port);
+  if (!connected) co_return nullptr;
+  co_return connection;
+}
+
+asio::awaitable<std::optional<standin::Response>> LoadGenerator::Work::call(const PendingRequest& request,
+                                                                            std::size_t server,
+                                                                            Clock::time_point deadline) {
+  auto& state = proxies[request.proxy].servers[server];
+  const auto current_port = port(server);
+  if (current_port == 0) {
+    co_await pause(kNoPortPause);
+    co_return std::nullopt;
+  }
+  const auto connection = co_await connection_to(state, current_port);
+  if (!connection) co_return std::nullopt;
+  standin::Request sent;
+  sent.cls = options.classes[request.record.class_index].name;
+  sent.body = request.body;
+  sent.idempotency_key = request.record.idempotency_key;
+  sent.estimated_cost_ms = options.estimated_cost_ms;
+  standin::RequestEnvelope envelope;
+  envelope.proxy = int(request.proxy);
+  envelope.request_id = hexadecimal(options.seed << 40 | ++last_request_id);
+  envelope.t0_ms = duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
+  asio::steady_timer timeout(io, deadline);
+  std::optional<standin::Response> response;
+  const auto stream = connection->send(sent, envelope, [&](std::optional<standin::Response> received) {
+    response = std::move(received);
+    timeout.cancel();
+  });
+  error_code ignored;
+  co_await timeout.async_wait(into(ignored));
+  connection->forget(stream);
+  // Replaced meanwhile: else connections pile up until the server has no descriptor left.
+  if (connection->in_flight() == 0 && connection != state.connection) connection->close();
+  co_return response;
+}
+
+void LoadGenerator::Work::finish(PendingRequest& request) {
+  request.record.latency = elapsed() - request.record.scheduled_at;
+  request.record.finished = true;
+  const std::lock_guard lock(mutex);
+  records[request.number] = std::move(request.record);
+  --unfinished;
+}
 
 LoadGenerator::LoadGenerator(LoadOptions options, std::size_t servers, Port port)
-    : options_(std::move(options)) {
-  work_ = std::make_unique<Work>(options_, servers, std::move(port));
+    : options_(std::move(options)), work_(std::make_unique<Work>(options_, servers, std::move(port))) {
   thread_ = std::thread([this] {
     const auto guard = asio::make_work_guard(work_->io);
     work_->io.run();
@@ -296,28 +346,28 @@
 void LoadGenerator::stop() {
   asio::post(work_->io, [this] {
     work_->stopping = true;
-    work_->arrivals.cancel();
+    work_->next_arrival.cancel();
   });
   Duration longest{};
-  for (const auto& c : options_.classes) longest = std::max(longest, c.deadline);
-  const auto end = Clock::now() + longest + options_.patience + 1s;
+  for (const auto& cls : options_.classes) longest = std::max(longest, cls.deadline);
+  const auto end = Clock::now() + longest + options_.attempt_timeout + 1s;
   while (Clock::now() < end) {
     {
       const std::lock_guard lock(work_->mutex);
-      if (work_->open == 0) return;
+      if (work_->unfinished == 0) return;
     }
-    std::this_thread::sleep_for(10ms);
+    std::this_thread::sleep_for(10ms);  // between two looks at the condition
   }
 }
 
-Duration LoadGenerator::elapsed() const { return work_->now(); }
+Duration LoadGenerator::elapsed() const { return work_->elapsed(); }
 
-std::vector<RequestRecord> LoadGenerator::fates(Duration from, Duration to) const {
+std::vector<RequestRecord> LoadGenerator::records(Duration from, Duration to) const {
   const std::lock_guard lock(work_->mutex);
-  std::vector<RequestRecord> some;
-  for (const auto& f : work_->fates)
-    if (f.wanted >= from && f.wanted < to) some.push_back(f);
-  return some;
+  std::vector<RequestRecord> selected;
+  for (const auto& record : work_->records)
+    if (record.scheduled_at >= from && record.scheduled_at < to) selected.push_back(record);
+  return selected;
 }
 
 }  // namespace granitegap::fleet
--- a/tools/fleet/load_generator.h
+++ b/tools/fleet/load_generator.h
@@ -1,18 +1,16 @@
-// A crowd of client proxies before a fleet of real processes: open loop, by a seed, with habits of several
-// kinds. What was asked, when it was first wanted, and what became of it is kept for whoever measures.
+// An open-loop load generator: client proxies with several retry behaviors send requests to a fleet of
+// servers. All random choices are drawn from one seed. Arrivals follow a Poisson process and do not wait for
+// responses, and a latency counts from the scheduled arrival, so that a stalled server is not measured too
+// well (coordinated omission).
 //
-// Habits: `heeding` stays away for as long as it is told and goes where the free value is higher, three tries
-// at the most; `tireless` tries another at once, until its request is due; `sticky` sends a key always to the
-// same server and comes back to it after a pause.
-//
-// Threads: one of its own. A server that is gone is a lost connection; the crowd learns of nothing by other
-// ways.
+// Ownership: the generator owns its connections, its records and one thread; the callbacks run on that
+// thread. Errors: a lost connection or a server that is gone counts as a failed attempt; nothing is thrown
+// once it runs.
 #pragma once
 #include <array>
 #include <cstdint>
 #include <functional>
 #include <memory>
-#include <mutex>
 #include <string>
 #include <thread>
 #include <vector>
@@ -21,58 +19,70 @@
 
 namespace granitegap::fleet {
 
-enum class RetryBehavior : std::uint8_t { heeding, tireless, sticky };
+// What a client does after a failed attempt.
+enum class RetryBehavior : std::uint8_t {
+  // Waits for Retry-After, prefers the server with the better load hint, three attempts at most.
+  honors_retry_after,
+  // Tries another server at once, until the request's deadline.
+  retries_immediately,
+  // Always uses the same server for a key and tries it again after a pause.
+  sticky,
+};
 inline constexpr std::size_t kRetryBehaviors = 3;
 
+// A class of requests.
 struct LoadClass {
   std::string name;
-  double share = 1, worth = 1, late_worth = 0;
-  Duration aim{}, deadline{};
-  bool keyed = false;
-  // What it asks about: one of so many things, the first ones most often; 0: always the same.
-  std::uint64_t things = 0;
+  double share = 1;            // of all requests
+  double priority_weight = 1;  // of a request served within the latency objective
+  double late_weight = 0;      // factor on it for one served later, within the deadline
+  Duration latency_objective{}, deadline{};
+  bool idempotent = false;          // requests carry an idempotency key
+  std::uint64_t distinct_keys = 0;  // bodies, low numbers most often; 0: all bodies are the same
 };
 
 struct LoadOptions {
   std::uint64_t seed = 1;
-  double rate = 100;  // first tries a second, all together
+  double requests_per_s = 100;  // first attempts, all clients together
   std::size_t proxies = 12;
   std::vector<LoadClass> classes;
-  std::array<double, kRetryBehaviors> habits{1, 1, 1};  // weights
-  Duration patience = std::chrono::milliseconds(1200);  // of one try
-  int est_ms = 20;                                      // core time, as each request tells it
-  // Counts what is wrong with a served answer to `asked`, which was under way for `took`; on the crowd's
-  // thread.
-  std::function<std::uint16_t(const LoadClass&, const std::string& asked, const std::string& body,
-                              Duration took)>
-      check;
+  std::array<double, kRetryBehaviors> behavior_weights{1, 1, 1};
+  Duration attempt_timeout = std::chrono::milliseconds(1200);
+  int estimated_cost_ms = 20;  // core time that each request declares
+  // Counts what is wrong with a response body to the request body `sent`, whose attempt took
+  // `attempt_latency`.
+  std::function<std::uint16_t(const LoadClass&, const std::string& sent, const std::string& body,
+                              Duration attempt_latency)>
+      validate;
 };
 
-// One first try and what became of it.
+// One request over all its attempts.
 struct RequestRecord {
-  Duration wanted{};  // since the crowd's start
-  Duration took{};    // until its final answer
-  std::uint8_t cls = 0, habit = 0;
+  Duration scheduled_at{};  // since the generator's start
+  Duration latency{};       // from there to its final response
+  std::uint8_t class_index = 0;
+  RetryBehavior behavior = RetryBehavior::honors_retry_after;
   std::uint16_t server = 0;  // that served it
-  std::uint16_t tries = 0, refused = 0;
-  std::uint16_t wrong = 0;  // as the options' check counts
-  bool served = false, over = false;
-  std::string token;
+  std::uint16_t attempts = 0, rejections = 0;
+  std::uint16_t validation_errors = 0;  // see LoadOptions::validate
+  bool served = false, finished = false;
+  std::string idempotency_key;
 };
 
 class LoadGenerator {
  public:
-  // `port` tells where server n serves now; 0: nowhere. Called on the crowd's thread.
+  // Returns the port on which server n serves now; 0: none.
   using Port = std::function<std::uint16_t(std::size_t server)>;
+  // Starts at once.
   LoadGenerator(LoadOptions options, std::size_t servers, Port port);
   ~LoadGenerator();
   LoadGenerator(const LoadGenerator&) = delete;
   LoadGenerator& operator=(const LoadGenerator&) = delete;
-  // No more first tries; returns once every request is over, or its deadline past.
+  // Sends no new requests; returns once every request has finished, or its deadline has passed.
   void stop();
   Duration elapsed() const;
-  // Those wanted in [from, to), as they stand now.
-  std::vector<RequestRecord> fates(Duration from, Duration to) const;
+  // Copies of the records scheduled in [from, to), as they stand now.
+  std::vector<RequestRecord> records(Duration from, Duration to) const;
 
  private:
   struct Work;
@@ -81,7 +91,8 @@
   std::thread thread_;
 };
 
-// What a fate was worth: whole within the aim, late_worth of it up to the deadline.
-double worth_of(const RequestRecord& fate, const LoadClass& cls);
+// The priority weight that a request earned: all of it within the latency objective, its late share up to the
+// deadline, else none.
+double earned_weight(const RequestRecord& record, const LoadClass& cls);
 
 }  // namespace granitegap::fleet
--- a/tools/fleet/process_fleet.cpp
+++ b/tools/fleet/process_fleet.cpp
@@ -88,7 +88,7 @@
 
 // The network and the kernels live on one thread of their own; what others ask of them is run there.
 template <class F>
-auto Fleet::on_io(F f) const {
+auto ProcessFleet::on_io(F f) const {
   std::promise<decltype(f())> done;
   auto result = done.get_future();
   asio::post(io_, [&] {
@@ -102,7 +102,7 @@
   return result.get();
 }
 
-Fleet::Fleet(Options options)
+ProcessFleet::ProcessFleet(ProcessFleetOptions options)
     : options_(std::move(options)),
       work_(asio::make_work_guard(io_)),
       list_(io_, udp::endpoint(asio::ip::address_v4::loopback(), 0)),
@@ -117,7 +117,7 @@
   thread_ = std::thread([this] { io_.run(); });
 }
 
-Fleet::~Fleet() {
+ProcessFleet::~ProcessFleet() {
   for (auto& [name, p] : processes_)
     if (p.pid && !p.status) ::kill(p.pid, SIGKILL);
   for (auto& [name, p] : processes_)
@@ -129,14 +129,16 @@
   std::filesystem::remove_all(folder_, ignored);
 }
 
-Fleet::Process& Fleet::at(const std::string& name) {
+ProcessFleet::Process& ProcessFleet::at(const std::string& name) {
   const auto it = processes_.find(name);
   if (it == processes_.end()) throw std::runtime_error("no process " + name);
   return it->second;
 }
-const Fleet::Process& Fleet::at(const std::string& name) const { return const_cast<Fleet*>(this)->at(name); }
+const ProcessFleet::Process& ProcessFleet::at(const std::string& name) const {
+  return const_cast<ProcessFleet*>(this)->at(name);
+}
 
-void Fleet::prepare(const std::string& alias, const std::string& name, std::size_t number) {
+void ProcessFleet::prepare(const std::string& alias, const std::string& name, std::size_t number) {
   Process p;
   p.name = name;
   p.alias = alias;
@@ -145,7 +147,7 @@
   p.bound = held.local_endpoint();
   p.advertised = options_.ipv6 ? p.bound : network_->add(alias, p.bound);
   held.close();
-  if (options_.second_paths) {
+  if (options_.secondary_paths) {
     p.second = hold_port(io_, asio::ip::address_v6::loopback(), number).local_endpoint();
   }
   const auto cost = options_.run_cost;
@@ -156,14 +158,15 @@
   processes_[alias] = std::move(p);
 }
 
-void Fleet::declare(const Process& p, const std::vector<std::string>& from, const std::string& membership) {
+void ProcessFleet::declare(const Process& p, const std::vector<std::string>& from,
+                           const std::string& membership) {
   const auto digits = p.name.find_first_of("0123456789");
   const auto index = digits == std::string::npos ? 0 : std::stoul(p.name.substr(digits));
   std::string seeds;
   const auto second = p.second.port() ? "second: {bind: \"" + text_of(p.second) + "\"}\n\t" : std::string();
   for (const auto& s : from) seeds += "\"" + s + "\", ";
   const auto rest = "version: 1\n" + with(options_.operator_file, "@FOLDER", (p.folder / "state").string());
-  if (!options_.in_fleet) return write_file(p.folder / "operator.cue", rest);
+  if (!options_.with_membership) return write_file(p.folder / "operator.cue", rest);
   write_file(p.folder / "operator.cue", rest + "membership: {\n\tcluster: \"trial\"\n\tbind: \"" +
                                             text_of(p.bound) + "\"\n\tadvertise: \"" + text_of(p.advertised) +
                                             "\"\n\tseeds: [" + seeds + "]\n\tzone: \"z" +
@@ -171,36 +174,38 @@
                                             "\"\n\t" + second + membership + "\n}\n");
 }
 
-void Fleet::redeclare(const std::string& name, const Names& seeds, const std::string& membership) {
+void ProcessFleet::reload_operator_file(const std::string& name, const Names& seeds,
+                                        const std::string& membership) {
   auto& p = at(name);
   std::vector<std::string> addresses;
   for (const auto& s : seeds) addresses.push_back(text_of(at(s).advertised));
-  declare(p, addresses, membership.empty() ? options_.membership : membership);
+  declare(p, addresses, membership.empty() ? options_.membership_fields : membership);
   if (p.pid && !p.status) ::kill(p.pid, SIGHUP);
 }
 
-void Fleet::launch(Process& p) {
+void ProcessFleet::launch(Process& p) {
   const auto number = processes_.size();
   auto platform = with(kPlatform, "@NAME", p.name);
   platform = with(platform, "@KERNEL", std::to_string(p.kernel->port()));
-  platform = with(platform, "@LIST",
-                  std::to_string(options_.list_port ? options_.list_port : list_.local_endpoint().port()));
-  platform = with(platform, "@SOCKETS", std::to_string(options_.sockets));
-  platform = with(platform, "@COLD", std::to_string(options_.cold_ms));
-  platform = with(platform, "@BACKOFF", std::to_string(options_.max_backoff_ms));
+  platform = with(
+      platform, "@LIST",
+      std::to_string(options_.load_report_port ? options_.load_report_port : list_.local_endpoint().port()));
+  platform = with(platform, "@SOCKETS", std::to_string(options_.max_sockets));
+  platform = with(platform, "@COLD", std::to_string(options_.warm_up_ms));
+  platform = with(platform, "@BACKOFF", std::to_string(options_.max_retry_after_ms));
   platform = with(platform, "@CORES", std::to_string(options_.cores));
-  platform = with(platform, "@WINDOW", std::to_string(options_.repeat_window.count() / 1000) + ".0");
+  platform = with(platform, "@WINDOW", std::to_string(options_.idempotency_window.count() / 1000) + ".0");
   std::ostringstream seed;  // new with each start, as the platform's is
   seed << std::hex << (options_.seed * 1000003 + std::hash<std::string>()(p.alias) + std::uint64_t(number));
   platform = with(platform, "@SEED", seed.str());
   write_file(p.folder / "config.json", platform);
-  declare(p, seeds_, options_.membership);
+  declare(p, seeds_, options_.membership_fields);
   const auto config = "EDGE_CONFIG=" + (p.folder / "config.json").string();
   const auto declared = (p.folder / "operator.cue").string();
   const auto log = (p.folder / "log").string();
   std::vector<std::string> words{options_.program, "serve"};
-  if (options_.declared) words.insert(words.end(), {"--operator", declared});
-  if (options_.plain) words.push_back("--plain-membership");
+  if (options_.with_operator_file) words.insert(words.end(), {"--operator", declared});
+  if (options_.plain_membership) words.push_back("--plain-membership");
   std::vector<char*> argv;
   for (auto& w : words) argv.push_back(w.data());
   argv.push_back(nullptr);
@@ -209,23 +214,23 @@
   for (char** e = environ; *e; ++e)
     if (std::strncmp(*e, "EDGE_", 5) != 0) env.push_back(*e);
   env.push_back(config_text.data());
-  std::string preload = "LD_PRELOAD=" + options_.clock_library;
+  std::string preload = "LD_PRELOAD=" + options_.clock_shift_library;
   std::string shift = "CLOCK_SHIFT_MS=" + std::to_string(p.clock_shift.count());
   // A sanitizer's runtime wants to be the first library; that it is not is harmless here.
   std::string order = "ASAN_OPTIONS=verify_asan_link_order=0";
   if (p.clock_shift.count() != 0) {
-    if (options_.clock_library.empty()) throw std::runtime_error("no library to shift a clock with");
+    if (options_.clock_shift_library.empty()) throw std::runtime_error("no library to shift a clock with");
     for (auto* text : {&preload, &shift, &order}) env.push_back(text->data());
   }
   std::string fd = "EDGE_FD=3", shared = "TMPDIR=" + (folder_ / ("shared-" + p.name)).string();
   std::string door_of_operators = "EDGE_ADMIN_ADDR=127.0.0.1:0";
   int door = -1;
-  if (options_.operators_door) env.push_back(door_of_operators.data());
-  if (options_.shared_door) {
+  if (options_.admin_listener) env.push_back(door_of_operators.data());
+  if (options_.inherited_listener) {
     auto& kept = doors_.try_emplace(p.name, io_, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0))
                      .first->second;
     door = kept.native_handle();
-    if (options_.shared_folder) std::filesystem::create_directory(folder_ / ("shared-" + p.name));
+    if (options_.create_shared_folder) std::filesystem::create_directory(folder_ / ("shared-" + p.name));
     std::erase_if(env, [](const char* e) { return std::strncmp(e, "TMPDIR=", 7) == 0; });
     for (auto* text : {&fd, &shared}) env.push_back(text->data());
   }
@@ -250,18 +255,18 @@
   ++p.lives;
 }
 
-void Fleet::start(const std::string& name) {
+void ProcessFleet::start(const std::string& name) {
   auto& p = at(name);
   if (p.pid && !p.status) throw std::runtime_error(name + " runs already");
   launch(p);
 }
 
-void Fleet::start_all() {
+void ProcessFleet::start_all() {
   for (auto& [name, p] : processes_)
     if (!p.pid || p.status) launch(p);
 }
 
-bool Fleet::reap(Process& p, bool wait) {
+bool ProcessFleet::reap(Process& p, bool wait) {
   if (!p.pid || p.status) return true;
   int status = 0;
   const auto got = ::waitpid(p.pid, &status, wait ? 0 : WNOHANG);
@@ -270,35 +275,35 @@
   return true;
 }
 
-void Fleet::kill(const std::string& name) {
+void ProcessFleet::kill(const std::string& name) {
   auto& p = at(name);
   if (!p.pid || p.status) return;
   ::kill(p.pid, SIGKILL);
   reap(p, true);
 }
-void Fleet::wipe(const std::string& name) {
+void ProcessFleet::wipe_state(const std::string& name) {
   std::error_code ignored;
-  std::filesystem::remove_all(folder(name), ignored);
+  std::filesystem::remove_all(state_folder(name), ignored);
 }
-void Fleet::end(const std::string& name) {
+void ProcessFleet::terminate(const std::string& name) {
   if (auto& p = at(name); p.pid && !p.status) ::kill(p.pid, SIGTERM);
 }
-bool Fleet::ended(const std::string& name) { return reap(at(name), false); }
-std::optional<int> Fleet::status(const std::string& name) const { return at(name).status; }
-void Fleet::pause(const std::string& name) {
+bool ProcessFleet::has_exited(const std::string& name) { return reap(at(name), false); }
+std::optional<int> ProcessFleet::exit_status(const std::string& name) const { return at(name).status; }
+void ProcessFleet::pause(const std::string& name) {
   auto& p = at(name);
   ::kill(p.pid, SIGSTOP);
   int status = 0;
   ::waitpid(p.pid, &status, WUNTRACED);  // until it has stopped
   p.paused = true;
 }
-void Fleet::resume(const std::string& name) {
+void ProcessFleet::resume(const std::string& name) {
   auto& p = at(name);
   ::kill(p.pid, SIGCONT);
   p.paused = false;
 }
 
-std::string Fleet::start_twin(const std::string& name, bool boots) {
+std::string ProcessFleet::start_duplicate(const std::string& name, bool boots) {
   const auto alias = name + "'";
   on_io([&] {
     prepare(alias, name, processes_.size());
@@ -308,11 +313,11 @@
   return alias;
 }
 
-std::uint16_t Fleet::admin_port(const std::string& name) const {
+std::uint16_t ProcessFleet::admin_port(const std::string& name) const {
   return port_after(name, "operators' door at 127.0.0.1:");
 }
 
-std::string Fleet::admin(const std::string& name, const std::string& line) const {
+std::string ProcessFleet::admin_command(const std::string& name, const std::string& line) const {
   asio::io_context io;
   asio::ip::tcp::socket socket(io);
   boost::system::error_code error;
@@ -324,38 +329,38 @@
   return answer.substr(0, answer.find('\n'));
 }
 
-Fleet::Cut Fleet::rule(standin::Rule rule) {
+ProcessFleet::RuleId ProcessFleet::add_rule(standin::Rule rule) {
   return on_io([&] { return network_->fault_injector().add(std::move(rule)); });
 }
-Fleet::Cut Fleet::cut(Names from, Names to, bool both) {
+ProcessFleet::RuleId ProcessFleet::partition(Names from, Names to, bool both) {
   standin::Rule r;
   r.from = std::move(from);
   r.to = std::move(to);
   r.both = both;
-  r.cut = true;
-  return rule(std::move(r));
+  r.blocked = true;
+  return add_rule(std::move(r));
 }
-void Fleet::mend(Cut cut) {
-  on_io([&] { network_->fault_injector().remove(cut); });
+void ProcessFleet::heal(RuleId rule) {
+  on_io([&] { network_->fault_injector().remove(rule); });
 }
-void Fleet::mend_all() {
+void ProcessFleet::heal_all() {
   on_io([&] { network_->fault_injector().clear(); });
 }
-void Fleet::inject(const std::string& from, const std::string& to, std::string bytes) {
+void ProcessFleet::inject(const std::string& from, const std::string& to, std::string bytes) {
   on_io([&] { network_->inject(from, to, std::move(bytes)); });
 }
-standin::FaultInjector::Seen Fleet::seen() const {
-  return on_io([&] { return network_->fault_injector().seen(); });
+standin::FaultInjector::Counters ProcessFleet::network_counters() const {
+  return on_io([&] { return network_->fault_injector().counters(); });
 }
 
-std::optional<membership_udp::Reply> Fleet::view(const std::string& name,
-                                                 std::chrono::milliseconds within) const {
+std::optional<membership_udp::Reply> ProcessFleet::view(const std::string& name,
+                                                        std::chrono::milliseconds within) const {
   const auto& p = at(name);
   if (!p.pid || p.status || p.paused) return std::nullopt;
   return membership_udp::ask(membership_udp::address_of(p.bound), within);
 }
 
-std::optional<Status> Fleet::holds(const std::string& who, const std::string& of) const {
+std::optional<Status> ProcessFleet::seen_status(const std::string& who, const std::string& of) const {
   const auto v = view(who);
   if (!v) return std::nullopt;
   for (const auto& l : v->lines)
@@ -363,7 +368,7 @@
   return std::nullopt;
 }
 
-std::string Fleet::state() const {
+std::string ProcessFleet::describe() const {
   std::string all;
   for (const auto& [name, p] : processes_) {
     auto text = log(name);
@@ -381,19 +386,19 @@
   return all;
 }
 
-Fleet::Names Fleet::names() const {
+ProcessFleet::Names ProcessFleet::names() const {
   Names all;
   for (const auto& [name, p] : processes_) all.insert(name);
   return all;
 }
-Fleet::Names Fleet::running() const {
+ProcessFleet::Names ProcessFleet::running() const {
   Names all;
   for (const auto& [name, p] : processes_)
     if (p.pid && !p.status && !p.paused) all.insert(name);
   return all;
 }
 
-bool Fleet::agree() const {
+bool ProcessFleet::converged() const {
   Names living;  // a paused one lives too
   for (const auto& [name, p] : processes_)
     if (p.pid && !p.status) living.insert(p.name);
@@ -408,68 +413,68 @@
   return true;
 }
 
-bool Fleet::all_hold(const std::string& of, Status status) const {
+bool ProcessFleet::all_see(const std::string& of, Status status) const {
   for (const auto& name : running())
-    if (at(name).name != of && holds(name, of) != status) return false;
+    if (at(name).name != of && seen_status(name, of) != status) return false;
   return true;
 }
 
-bool Fleet::until(const std::function<bool()>& holds, std::chrono::milliseconds most) const {
+bool ProcessFleet::wait_until(const std::function<bool()>& condition, std::chrono::milliseconds most) const {
   const auto end = Clock::now() + most;
   for (;;) {
-    if (holds()) return true;
+    if (condition()) return true;
     if (Clock::now() >= end) return false;
     std::this_thread::sleep_for(20ms);  // between two looks at a condition
   }
 }
 
-std::string Fleet::log(const std::string& name) const {
+std::string ProcessFleet::log(const std::string& name) const {
   std::ifstream in(at(name).folder / "log", std::ios::binary);
   return {std::istreambuf_iterator<char>(in), {}};
 }
-std::size_t Fleet::times(const std::string& name, const std::string& line) const {
+std::size_t ProcessFleet::count_in_log(const std::string& name, const std::string& line) const {
   const auto text = log(name);
   std::size_t n = 0;
   for (std::size_t at = 0; (at = text.find(line, at)) != std::string::npos; ++at) ++n;
   return n;
 }
-std::pair<int, std::string> Fleet::run(const std::string& words) const {
+CommandResult ProcessFleet::run_command(const std::string& arguments) const {
   std::string out;
-  auto* pipe = ::popen((options_.program + " " + words + " 2>&1").c_str(), "r");
+  auto* pipe = ::popen((options_.program + " " + arguments + " 2>&1").c_str(), "r");
   if (!pipe) throw std::runtime_error("can't run " + options_.program);
   char buffer[512];
   while (const auto n = std::fread(buffer, 1, sizeof buffer, pipe)) out.append(buffer, n);
   return {WEXITSTATUS(::pclose(pipe)), out};
 }
-int Fleet::pid(const std::string& name) const { return at(name).pid; }
-std::map<std::pair<std::string, std::string>, int> Fleet::runs(const std::string& name) const {
+int ProcessFleet::pid(const std::string& name) const { return at(name).pid; }
+standin::Kernel::RunCounts ProcessFleet::kernel_runs(const std::string& name) const {
   return on_io([&] { return at(name).kernel->runs(); });
 }
-void Fleet::set_pace(const std::string& name, standin::Kernel::Pace pace) {
-  on_io([&] { at(name).kernel->set_pace(pace); });
+void ProcessFleet::set_speed(const std::string& name, standin::Kernel::Speed speed) {
+  on_io([&] { at(name).kernel->set_speed(speed); });
 }
-void Fleet::reboot_kernel(const std::string& name) {
+void ProcessFleet::reboot_kernel(const std::string& name) {
   on_io([&] { at(name).kernel->reboot(); });
 }
-void Fleet::tell_old_ends(const std::string& name) {
-  on_io([&] { at(name).kernel->tell_old_ends(); });
+void ProcessFleet::replay_stale_notices(const std::string& name) {
+  on_io([&] { at(name).kernel->replay_stale_notices(); });
 }
-membership::Address Fleet::bound(const std::string& name) const {
+membership::Address ProcessFleet::bound(const std::string& name) const {
   return membership_udp::address_of(at(name).bound);
 }
-membership::Address Fleet::advertised(const std::string& name) const {
+membership::Address ProcessFleet::advertised(const std::string& name) const {
   return membership_udp::address_of(at(name).advertised);
 }
 
 // The number after the words, as this life said it.
-std::uint16_t Fleet::port_after(const std::string& name, const std::string& words) const {
+std::uint16_t ProcessFleet::port_after(const std::string& name, const std::string& words) const {
   const auto text = log(name);
   std::size_t said = 0, found = std::string::npos;
   for (std::size_t i = 0; (i = text.find(words, i)) != std::string::npos; ++i) found = i, ++said;
   return said < at(name).lives ? 0 : std::uint16_t(std::stoul(text.substr(found + words.size())));
 }
 
-std::uint16_t Fleet::port(const std::string& name) const {
+std::uint16_t ProcessFleet::port(const std::string& name) const {
   return port_after(name, "listening on 127.0.0.1:");
 }
 
--- a/tools/fleet/simulated_fleet.cpp
+++ b/tools/fleet/simulated_fleet.cpp
@@ -126,11 +126,11 @@
     const auto to = addresses_.find(send.to);
     if (to == addresses_.end()) continue;
     const std::string path = send.second ? "/2" : "";
-    const auto fate = fault_injector_.fate(place.identity.name + path,
-                                           nodes_[to->second].identity.name + path, bytes, elapsed());
-    if (fate.corrupt || fate.arrives.empty()) continue;  // the checksum finds it
+    const auto fate = fault_injector_.decide(place.identity.name + path,
+                                             nodes_[to->second].identity.name + path, bytes, elapsed());
+    if (fate.corrupt || fate.delays.empty()) continue;  // the checksum finds it
     const auto shared = std::make_shared<const Datagram>(std::move(send.datagram));
-    for (const auto after : fate.arrives)
+    for (const auto after : fate.delays)
       queue_.push({now_ + kMinDelay + after, order_++, to->second, 0, shared, bytes});
   }
   const auto wake = std::max(place.member->next_wake(), now_ + 1us) + place.starved;
--- a/tools/standin/dependency.h
+++ b/tools/standin/dependency.h
@@ -1,5 +1,9 @@
-// A stand-in dependency on loopback sockets: HTTP/1.1 by a script. Its faults are its purpose; it is no
-// server for anything else.
+// A stand-in dependency on loopback sockets: an HTTP/1.1 server that answers by a script, faults included. It
+// serves nothing else.
+//
+// Ownership: the caller owns the io_context, which must outlive the dependency and run no accept after its
+// end; connections keep what they need alive. Threads: that of the io_context. Errors: the constructor throws
+// boost::system::system_error if a port can't be had.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -15,27 +19,29 @@
 class Dependency {
  public:
   using Clock = std::chrono::steady_clock;
-  // One door for each port; 0: any. `start`: when its script begins.
+  // What the dependency has received.
+  struct Counters {
+    std::vector<Duration> arrivals;      // of requests, since the script's start
+    std::size_t open = 0, max_open = 0;  // requests in flight
+  };
+
+  // Listens on each port, an endpoint of the script each; 0: any free port. `start`: when the script begins.
   Dependency(boost::asio::io_context& io, Script script, std::uint64_t seed,
              const std::vector<std::uint16_t>& ports, Clock::time_point start);
-  // Answers begin with a line: the milliseconds since the start, a space, the path that was asked.
-  void tell_when();
-  std::uint16_t port(std::size_t endpoint) const { return doors_[endpoint]->local_endpoint().port(); }
-  struct Seen {
-    std::vector<Duration> requests;  // when each came, from the start
-    std::size_t open = 0, max_open = 0;
-  };
-  const Seen& seen() const { return *seen_; }
+  // From now on, bodies begin with a line: milliseconds since the script's start, a space, the request's
+  // path.
+  void prefix_bodies_with_arrival();
+  std::uint16_t port(std::size_t endpoint) const { return listeners_[endpoint]->local_endpoint().port(); }
+  const Counters& counters() const;
 
  private:
   struct State;
+  class Connection;
   boost::asio::awaitable<void> accept(std::size_t endpoint);
-  static boost::asio::awaitable<void> serve(std::shared_ptr<State> state, boost::asio::ip::tcp::socket socket,
-                                            int endpoint);
+
   boost::asio::io_context& io_;
-  std::shared_ptr<State> state_;
-  std::shared_ptr<Seen> seen_;
-  std::vector<std::unique_ptr<boost::asio::ip::tcp::acceptor>> doors_;
+  std::shared_ptr<State> state_;  // shared with the connections
+  std::vector<std::unique_ptr<boost::asio::ip::tcp::acceptor>> listeners_;
 };
 
 }  // namespace granitegap::standin
--- a/tools/standin/fault_injector.cpp
+++ b/tools/standin/fault_injector.cpp
@@ -10,16 +10,11 @@
 
 using typed_config::Value;
 
-Shape shape_of(const std::string& name) {
-  return name == "fixed"         ? Shape::fixed
-         : name == "even"        ? Shape::even
-         : name == "exponential" ? Shape::exponential
-                                 : Shape::lognormal;
-}
+constexpr auto kDuplicateDelay = std::chrono::milliseconds(1);
 
-std::set<std::string> names_of(const Value& v) {
+std::set<std::string> names_of(const Value& list) {
   std::set<std::string> names;
-  for (const auto& name : v.as_list()) names.insert(name.as_text());
+  for (const auto& name : list.as_list()) names.insert(name.as_text());
   return names;
 }
 
@@ -29,111 +24,138 @@
   return document;
 }
 
+Rule rule_of(const Value& v) {
+  Rule rule;
+  rule.from = names_of(v["from"]);
+  rule.to = names_of(v["to"]);
+  rule.both = v["both"].as_bool();
+  rule.blocked = v["cut"].as_bool();
+  rule.begins = v["begins"].as_span();
+  rule.ends = v["ends"].as_span();
+  rule.loss = v["loss"].as_number();
+  rule.burst_loss = v["burst_loss"].as_number();
+  rule.good_for = v["good_for"].as_span();
+  rule.bad_for = v["bad_for"].as_span();
+  rule.delay = v["delay"].as_span();
+  rule.distribution = distribution_of(v["shape"].as_text());
+  rule.spread = v["spread"].as_number();
+  rule.reorder = v["reorder"].as_number();
+  rule.reorder_delay = v["hold"].as_span();
+  rule.duplicate = v["duplicate"].as_number();
+  rule.corrupt = v["corrupt"].as_number();
+  rule.max_bytes_per_s = v["rate"].as_size();
+  return rule;
+}
+
 }  // namespace
 
 std::variant<std::vector<Rule>, Errors> read_network(const typed_config::Document& document) {
   auto checked = typed_config::validate(document, schema(), "#Network");
   if (auto* errors = std::get_if<Errors>(&checked)) return std::move(*errors);
   std::vector<Rule> rules;
-  for (const auto& v : std::get<Value>(checked)["rules"].as_list()) {
-    Rule r;
-    r.from = names_of(v["from"]);
-    r.to = names_of(v["to"]);
-    r.both = v["both"].as_bool();
-    r.cut = v["cut"].as_bool();
-    r.begins = v["begins"].as_span();
-    r.ends = v["ends"].as_span();
-    r.loss = v["loss"].as_number();
-    r.burst_loss = v["burst_loss"].as_number();
-    r.good_for = v["good_for"].as_span();
-    r.bad_for = v["bad_for"].as_span();
-    r.delay = v["delay"].as_span();
-    r.shape = shape_of(v["shape"].as_text());
-    r.spread = v["spread"].as_number();
-    r.reorder = v["reorder"].as_number();
-    r.hold = v["hold"].as_span();
-    r.duplicate = v["duplicate"].as_number();
-    r.corrupt = v["corrupt"].as_number();
-    r.rate = v["rate"].as_size();
-    if (r.ends.count() > 0 && r.ends <= r.begins)
-      return Errors{{document.file, v.at, "rules.ends", "expected after begins, or 0s for ever"}};
-    rules.push_back(std::move(r));
+  for (const auto& value : std::get<Value>(checked)["rules"].as_list()) {
+    auto rule = rule_of(value);
+    if (rule.ends.count() > 0 && rule.ends <= rule.begins)
+      return Errors{{document.file, value.at, "rules.ends", "expected after begins, or 0s for ever"}};
+    rules.push_back(std::move(rule));
   }
   return rules;
 }
 
 FaultInjector::RuleId FaultInjector::add(Rule rule) {
-  rules_.emplace(next_, std::move(rule));
-  return next_++;
+  rules_.emplace(next_id_, std::move(rule));
+  return next_id_++;
 }
 
-bool FaultInjector::holds(const Rule& r, const std::string& from, const std::string& to, Duration now) const {
-  if (now < r.begins || (r.ends.count() > 0 && now >= r.ends)) return false;
+bool FaultInjector::applies(const Rule& rule, const std::string& from, const std::string& to,
+                            Duration now) const {
+  if (now < rule.begins) return false;
+  if (rule.ends.count() > 0 && now >= rule.ends) return false;
   const auto in = [](const std::set<std::string>& names, const std::string& name) {
     return names.empty() || names.contains(name);
   };
-  return (in(r.from, from) && in(r.to, to)) || (r.both && in(r.from, to) && in(r.to, from));
+  if (in(rule.from, from) && in(rule.to, to)) return true;
+  return rule.both && in(rule.from, to) && in(rule.to, from);
 }
 
-FaultInjector::Pair& FaultInjector::pair(RuleId id, const std::string& from, const std::string& to) {
+FaultInjector::PairState& FaultInjector::pair(RuleId id, const std::string& from, const std::string& to) {
   return pairs_[id][from + "\n" + to];
 }
 
-Delivery FaultInjector::fate(const std::string& from, const std::string& to, std::size_t bytes,
-                             Duration now) {
-  ++seen_.datagrams;
-  seen_.bytes += bytes;
-  Duration takes{};
-  bool lost = false, cut = false, twice = false, held = false;
-  Delivery fate;
-  for (const auto& [id, r] : rules_) {
-    if (!holds(r, from, to, now)) continue;
-    if (r.cut) cut = true;
-    if (r.loss > 0 && chance() < r.loss) lost = true;
-    if (r.burst_loss > 0) {
-      auto& p = pair(id, from, to);
-      while (now >= p.changes) {
-        const bool first = p.changes == Duration{};
-        if (!first) p.bad = !p.bad;
-        const auto mean = double((p.bad ? r.bad_for : r.good_for).count());
-        p.changes = std::max(p.changes, first ? now : p.changes) +
-                    Duration(std::int64_t(1 + std::exponential_distribution<double>(1 / mean)(random_)));
-      }
-      if (p.bad && chance() < r.burst_loss) lost = true;
-    }
-    if (r.rate > 0) {
-      auto& p = pair(id, from, to);
-      p.room = std::min(double(r.rate), p.room + double(r.rate) * double((now - p.filled).count()) / 1e6);
-      p.filled = now;
-      if (p.room < double(bytes))
-        lost = true;
-      else
-        p.room -= double(bytes);
-    }
-    if (r.delay.count() > 0) {
-      double us = double(r.delay.count());
-      if (r.shape == Shape::even) us *= 1 + r.spread * (2 * chance() - 1);
-      if (r.shape == Shape::exponential) us *= -std::log(1 - chance());
-      if (r.shape == Shape::lognormal) us *= std::exp(r.spread * std::normal_distribution<double>()(random_));
-      takes += Duration(std::int64_t(std::max(us, 0.0)));
-    }
-    if (r.reorder > 0 && chance() < r.reorder) {
-      takes += r.hold;
-      held = true;
-    }
-    if (r.duplicate > 0 && chance() < r.duplicate) twice = true;
-    if (r.corrupt > 0 && chance() < r.corrupt) fate.corrupt = true;
+// Gilbert, Capacity of a Burst-Noise Channel (1960): two states with exponential times, losses in the bad
+// one.
+bool FaultInjector::lost_in_burst(const Rule& rule, PairState& pair, Duration now) {
+  while (now >= pair.next_transition) {
+    const bool first = pair.next_transition == Duration{};
+    if (!first) pair.bad = !pair.bad;
+    const auto mean = double((pair.bad ? rule.bad_for : rule.good_for).count());
+    const auto from = std::max(pair.next_transition, first ? now : pair.next_transition);
+    pair.next_transition =
+        from + Duration(std::int64_t(1 + std::exponential_distribution<double>(1 / mean)(random_)));
+  }
+  return pair.bad && chance() < rule.burst_loss;
+}
+
+// A token bucket that holds one second's worth of bytes.
+bool FaultInjector::over_rate(const Rule& rule, PairState& pair, std::size_t bytes, Duration now) {
+  const double rate = double(rule.max_bytes_per_s);
+  const double since_s = double((now - pair.refilled_at).count()) / 1e6;
+  pair.tokens = std::min(rate, pair.tokens + rate * since_s);
+  pair.refilled_at = now;
+  if (pair.tokens < double(bytes)) return true;
+  pair.tokens -= double(bytes);
+  return false;
+}
+
+Duration FaultInjector::draw_delay(const Rule& rule) {
+  double us = double(rule.delay.count());
+  if (rule.distribution == LatencyDistribution::uniform) us *= 1 + rule.spread * (2 * chance() - 1);
+  if (rule.distribution == LatencyDistribution::exponential) us *= -std::log(1 - chance());
+  if (rule.distribution == LatencyDistribution::lognormal)
+    us *= std::exp(rule.spread * std::normal_distribution<double>()(random_));
+  return Duration(std::int64_t(std::max(us, 0.0)));
+}
+
+// The order of the draws decides what a seed gives; every rule draws on, also for a datagram that is lost
+// already.
+void FaultInjector::apply(RuleId id, const Rule& rule, const std::string& from, const std::string& to,
+                          std::size_t bytes, Duration now, Effects& effects) {
+  if (rule.blocked) effects.blocked = true;
+  if (rule.loss > 0 && chance() < rule.loss) effects.lost = true;
+  if (rule.burst_loss > 0 && lost_in_burst(rule, pair(id, from, to), now)) effects.lost = true;
+  if (rule.max_bytes_per_s > 0 && over_rate(rule, pair(id, from, to), bytes, now)) effects.lost = true;
+  if (rule.delay.count() > 0) effects.delay += draw_delay(rule);
+  if (rule.reorder > 0 && chance() < rule.reorder) {
+    effects.delay += rule.reorder_delay;
+    effects.reordered = true;
+  }
+  if (rule.duplicate > 0 && chance() < rule.duplicate) effects.duplicated = true;
+  if (rule.corrupt > 0 && chance() < rule.corrupt) effects.corrupted = true;
+}
+
+Delivery FaultInjector::decide(const std::string& from, const std::string& to, std::size_t bytes,
+                               Duration now) {
+  ++counters_.datagrams;
+  counters_.bytes += bytes;
+  Effects effects;
+  for (const auto& [id, rule] : rules_)
+    if (applies(rule, from, to, now)) apply(id, rule, from, to, bytes, now, effects);
+  if (effects.blocked) {
+    ++counters_.blocked;
+    return {};
   }
-  if (cut || lost) {
-    ++(cut ? seen_.cut : seen_.lost);
+  if (effects.lost) {
+    ++counters_.lost;
     return {};
   }
-  seen_.corrupted += fate.corrupt;
-  seen_.duplicated += twice;
-  seen_.reordered += held;
-  fate.arrives.push_back(takes);
-  if (twice) fate.arrives.push_back(takes + std::chrono::milliseconds(1));
-  return fate;
+  counters_.corrupted += effects.corrupted;
+  counters_.duplicated += effects.duplicated;
+  counters_.reordered += effects.reordered;
+  Delivery delivery;
+  delivery.corrupt = effects.corrupted;
+  delivery.delays.push_back(effects.delay);
+  if (effects.duplicated) delivery.delays.push_back(effects.delay + kDuplicateDelay);
+  return delivery;
 }
 
 }  // namespace granitegap::standin
--- a/tools/standin/kernel.cpp
+++ b/tools/standin/kernel.cpp
@@ -20,7 +20,9 @@
 using boost::system::error_code;
 
 constexpr auto kTick = std::chrono::milliseconds(1);
-constexpr double kUseGain = 0.02;  // of one tick in the mean use of the cores
+constexpr double kCoreUseGain = 0.02;  // of one tick in the moving mean
+constexpr std::int64_t kLongSinceBootMs = 60000;
+constexpr std::string_view kLineEnd = "\r\n";
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
@@ -28,156 +30,187 @@
 
 Kernel::Kernel(asio::io_context& io, int cores, Cost cost)
     : io_(io),
-      door_(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)),
-      link_(io),
+      listener_(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)),
+      connection_(io),
       tick_(io),
       cores_(cores),
       cost_(std::move(cost)) {
-  asio::co_spawn(io, accept(), asio::detached);
-  asio::co_spawn(io, work(), asio::detached);
+  asio::co_spawn(io, accept_connections(), asio::detached);
+  asio::co_spawn(io, advance_runs(), asio::detached);
 }
 
-asio::awaitable<void> Kernel::accept() {
+asio::awaitable<void> Kernel::accept_connections() {
   for (;;) {
     error_code error;
-    auto socket = co_await door_.async_accept(into(error));
+    auto socket = co_await listener_.async_accept(into(error));
     if (error) co_return;
-    link_ = std::move(socket);
-    out_.clear();
+    connection_ = std::move(socket);
+    output_.clear();
     writing_ = false;
-    linked_ = true;
-    co_await serve();
-    linked_ = false;
+    connected_ = true;
+    co_await serve_connection();
+    connected_ = false;
   }
 }
 
-void Kernel::say(std::string text) {
-  out_ += text;
+asio::awaitable<void> Kernel::write_output() {
+  error_code error;
+  while (!output_.empty() && !error) {
+    const auto bytes = std::exchange(output_, {});
+    co_await asio::async_write(connection_, asio::buffer(bytes), into(error));
+  }
+  writing_ = false;
+}
+
+void Kernel::send(const std::string& text) {
+  output_ += text;
   if (std::exchange(writing_, true)) return;
-  asio::co_spawn(
-      io_,
-      [this]() -> asio::awaitable<void> {
-        error_code error;
-        while (!out_.empty() && !error) {
-          const auto bytes = std::exchange(out_, {});
-          co_await asio::async_write(link_, asio::buffer(bytes), into(error));
-        }
-        writing_ = false;
-      },
-      asio::detached);
-}
-
-// The end of a run, with its number; kept for a link to come. Whoever began it may be gone by then: then it
-// is told to nobody, or before the next BOOTED under its old number.
-void Kernel::notice(const std::string& rid, const std::string& rest) {
-  if (old_.erase(rid)) return;
-  ++number_;
-  history_.emplace_back(number_, "REAP " + std::to_string(number_) + " " + rid + " " + rest);
-  if (linked_) say(history_.back().second);
-}
-
-double Kernel::speed(std::chrono::steady_clock::time_point now) const {
-  double part = 1;
-  if (booted_ && pace_.warm_up.count() > 0)
-    part = std::min(
-        1.0, std::chrono::duration<double>(now - *booted_) / std::chrono::duration<double>(pace_.warm_up));
-  const double warm = pace_.cold_from + (1 - pace_.cold_from) * part;
-  const double most = pace_.crowd * cores_;
-  return warm * (double(running_.size()) > most ? most / double(running_.size()) : 1);
+  asio::co_spawn(io_, write_output(), asio::detached);
+}
+
+// Notices of this start are numbered and kept for a reconnect. One of an earlier start goes to nobody.
+void Kernel::notify(const std::string& request_id, const std::string& result) {
+  if (stale_requests_.erase(request_id)) return;
+  ++last_number_;
+  notices_.push_back(
+      {last_number_, "REAP " + std::to_string(last_number_) + " " + request_id + " " + result});
+  if (connected_) send(notices_.back().text);
+}
+
+double Kernel::speed_at(Clock::time_point now) const {
+  using Seconds = std::chrono::duration<double>;
+  double warm_share = 1;
+  if (booted_at_ && speed_.warm_up.count() > 0)
+    warm_share = std::min(1.0, Seconds(now - *booted_at_) / Seconds(speed_.warm_up));
+  const double warmth = speed_.initial + (1 - speed_.initial) * warm_share;
+  const double runs = double(running_.size());
+  const double threshold = speed_.contention_threshold * cores_;
+  return runs > threshold ? warmth * (threshold / runs) : warmth;
+}
+
+std::int64_t Kernel::ms_since_boot() const {
+  if (!booted_at_) return kLongSinceBootMs;
+  return std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - *booted_at_).count();
 }
 
 void Kernel::reboot() {
-  booted_ = std::chrono::steady_clock::now();
+  booted_at_ = Clock::now();
   running_.clear();
-  paused_.clear();
-  history_.clear();
-  boost::system::error_code ignored;
-  link_.close(ignored);
-}
-
-void Kernel::open(std::uint64_t last) {
-  if (last == 0) {  // a new start of the program
-    for (const auto& [number, text] : history_)
-      if (tells_old_) say(text);
-    history_.clear();
-    number_ = 0;
-    for (const auto& [rid, run] : running_) old_.insert(rid);
-    for (const auto& [rid, run] : paused_) old_.insert(rid);
-  }
-  const auto ago =
-      booted_
-          ? std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - *booted_)
-                .count()
-          : 60000;
-  say(std::string("BOOTED ") + (booted_ ? "COLD " : "WARM ") + std::to_string(ago) + "\r\n");
-  for (const auto& [number, text] : history_)
-    if (number > last) say(text);
+  preempted_.clear();
+  notices_.clear();
+  error_code ignored;
+  connection_.close(ignored);
+}
+
+// What runs belongs to an earlier start of the server from now on.
+void Kernel::begin_new_start() {
+  if (replays_stale_notices_)
+    for (const auto& notice : notices_) send(notice.text);
+  notices_.clear();
+  last_number_ = 0;
+  for (const auto& [request_id, run] : running_) stale_requests_.insert(request_id);
+  for (const auto& [request_id, run] : preempted_) stale_requests_.insert(request_id);
 }
 
-asio::awaitable<void> Kernel::serve() {
+// `last_notice`: the newest that the server has got from this kernel; 0: the server has just started.
+void Kernel::open(std::uint64_t last_notice) {
+  if (last_notice == 0) begin_new_start();
+  const std::string state = booted_at_ ? "COLD " : "WARM ";
+  send("BOOTED " + state + std::to_string(ms_since_boot()) + "\r\n");
+  for (const auto& notice : notices_)
+    if (notice.number > last_notice) send(notice.text);
+}
+
+void Kernel::preempt(const std::string& request_id) {
+  auto node = running_.extract(request_id);
+  if (!node) return;
+  notify(request_id, "STOPPED 0 0\r\n\r\n");
+  preempted_.insert(std::move(node));
+}
+
+void Kernel::reschedule(const std::string& request_id) {
+  auto node = preempted_.extract(request_id);
+  if (node) running_.insert(std::move(node));
+}
+
+void Kernel::schedule(const Command& command, const std::string& body) {
+  const auto& request_id = command.argument;
+  if (running_.contains(request_id) || preempted_.contains(request_id)) return;
+  ++run_counts_[{command.cls, body}];
+  running_[request_id] = {double(cost_(command.cls, body).count()), Clock::now()};
+}
+
+Kernel::Command Kernel::parse(const std::string& line) {
+  Command command;
+  std::istringstream words(line);
+  words >> command.verb >> command.argument;
+  if (command.verb == "SCHED") words >> command.cls >> command.body_size;
+  return command;
+}
+
+// Commands without a body.
+void Kernel::handle(const Command& command) {
+  if (command.verb == "OPEN" && !boot_held_) open(std::strtoull(command.argument.c_str(), nullptr, 10));
+  if (command.verb == "SYSINFO")
+    send("INFO " + command.argument + " " + std::to_string(core_use_) + " " +
+         std::to_string(running_.size()) + " 0.1 1\r\n");
+  if (command.verb == "POST") send("POSTED " + command.argument + " OK\r\n");
+  if (command.verb == "PREEMPT") preempt(command.argument);
+  if (command.verb == "RESCHED") reschedule(command.argument);
+}
+
+asio::awaitable<void> Kernel::serve_connection() {
   std::string buffer;
   for (;;) {
     error_code error;
-    const auto end =
-        co_await asio::async_read_until(link_, asio::dynamic_buffer(buffer), "\r\n", into(error));
+    const auto line_size =
+        co_await asio::async_read_until(connection_, asio::dynamic_buffer(buffer), kLineEnd, into(error));
     if (error) co_return;
-    std::istringstream words(buffer.substr(0, end));
-    buffer.erase(0, end);
-    std::string verb, word, cls;
-    words >> verb >> word;
-    if (verb == "OPEN" && !held_) open(std::strtoull(word.c_str(), nullptr, 10));
-    if (verb == "SYSINFO")
-      say("INFO " + word + " " + std::to_string(use_) + " " + std::to_string(running_.size()) + " 0.1 1\r\n");
-    if (verb == "POST") say("POSTED " + word + " OK\r\n");
-    if (verb == "PREEMPT") {
-      if (auto node = running_.extract(word)) {
-        notice(word, "STOPPED 0 0\r\n\r\n");
-        paused_.insert(std::move(node));
-      }
-    }
-    if (verb == "RESCHED") {
-      if (auto node = paused_.extract(word)) running_.insert(std::move(node));
-    }
-    if (verb != "SCHED") continue;
-    std::size_t length = 0;
-    words >> cls >> length;
-    if (buffer.size() < length + 2) {
-      co_await asio::async_read(link_, asio::dynamic_buffer(buffer),
-                                asio::transfer_exactly(length + 2 - buffer.size()), into(error));
+    const auto command = parse(buffer.substr(0, line_size));
+    buffer.erase(0, line_size);
+    handle(command);
+    if (command.verb != "SCHED") continue;
+    const auto body_end = command.body_size + kLineEnd.size();
+    if (buffer.size() < body_end) {
+      co_await asio::async_read(connection_, asio::dynamic_buffer(buffer),
+                                asio::transfer_exactly(body_end - buffer.size()), into(error));
       if (error) co_return;
     }
-    const auto body = buffer.substr(0, length);
-    buffer.erase(0, length + 2);
-    // For a request that runs already nothing happens.
-    if (running_.count(word) || paused_.count(word)) continue;
-    ++runs_[{cls, body}];
-    running_[word] = {double(cost_(cls, body).count()), std::chrono::steady_clock::now()};
+    schedule(command, buffer.substr(0, command.body_size));
+    buffer.erase(0, body_end);
   }
 }
 
-asio::awaitable<void> Kernel::work() {
-  auto then = std::chrono::steady_clock::now();
+asio::awaitable<void> Kernel::advance_runs() {
+  auto then = Clock::now();
   for (;;) {
     tick_.expires_after(kTick);
     error_code error;
     co_await tick_.async_wait(into(error));
     if (error) co_return;
-    const auto now = std::chrono::steady_clock::now();
-    const double passed = double(std::chrono::duration_cast<Duration>(now - then).count());
+    const auto now = Clock::now();
+    advance(then, now);
     then = now;
-    const double busy = std::min<double>(cores_, double(running_.size()));
-    use_ += kUseGain * (busy / cores_ - use_);
-    const double share = running_.empty() ? 0 : passed * busy * speed(now) / double(running_.size());
-    for (auto it = running_.begin(); it != running_.end();) {
-      it->second.left_us -= share;
-      if (it->second.left_us > 0) {
-        ++it;
-        continue;
-      }
-      const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(now - it->second.since).count();
-      notice(it->first, "OK " + std::to_string(ms) + " 2\r\nok\r\n");
-      it = running_.erase(it);
+  }
+}
+
+// Shares the cores evenly among all runs, and ends those that have had their core time.
+void Kernel::advance(Clock::time_point from, Clock::time_point to) {
+  const double passed_us = double(std::chrono::duration_cast<Duration>(to - from).count());
+  const double busy_cores = std::min<double>(cores_, double(running_.size()));
+  core_use_ += kCoreUseGain * (busy_cores / cores_ - core_use_);
+  if (running_.empty()) return;
+  const double share_us = passed_us * busy_cores * speed_at(to) / double(running_.size());
+  for (auto it = running_.begin(); it != running_.end();) {
+    auto& run = it->second;
+    run.remaining_us -= share_us;
+    if (run.remaining_us > 0) {
+      ++it;
+      continue;
     }
+    const auto took = std::chrono::duration_cast<std::chrono::milliseconds>(to - run.began).count();
+    notify(it->first, "OK " + std::to_string(took) + " 2\r\nok\r\n");
+    it = running_.erase(it);
   }
 }
 
--- a/tools/standin/main.cpp
+++ b/tools/standin/main.cpp
@@ -36,8 +36,8 @@
     boost::asio::signal_set end(io, SIGINT, SIGTERM);
     end.async_wait([&](auto, int) { io.stop(); });
     io.run();
-    std::printf("%zu requests, %zu at once at the most\n", dependency.seen().requests.size(),
-                dependency.seen().max_open);
+    std::printf("%zu requests, %zu at once at the most\n", dependency.counters().arrivals.size(),
+                dependency.counters().max_open);
   } catch (const std::exception& e) {
     std::fprintf(stderr, "granitegap_standin: %s\n", e.what());
     return 1;
--- a/tools/standin/script.cpp
+++ b/tools/standin/script.cpp
@@ -15,40 +15,42 @@
     {"reset", FaultKind::reset},     {"hang", FaultKind::hang},         {"hang_body", FaultKind::hang_body},
     {"trickle", FaultKind::trickle}, {"too_long", FaultKind::too_long}, {"garbage", FaultKind::garbage},
     {"close", FaultKind::close}};
-constexpr std::pair<std::string_view, Shape> kShapes[] = {{"fixed", Shape::fixed},
-                                                          {"even", Shape::even},
-                                                          {"exponential", Shape::exponential},
-                                                          {"lognormal", Shape::lognormal}};
+constexpr std::pair<std::string_view, LatencyDistribution> kDistributions[] = {
+    {"fixed", LatencyDistribution::fixed},
+    {"even", LatencyDistribution::uniform},
+    {"exponential", LatencyDistribution::exponential},
+    {"lognormal", LatencyDistribution::lognormal}};
 
+// The schema admits only names that the table has.
 template <class Table>
 auto named(const Table& table, const std::string& name) {
   return std::find_if(std::begin(table), std::end(table), [&](auto& t) { return t.first == name; })->second;
 }
 
 Phase phase_of(const Value& v) {
-  Phase p;
-  p.from = v["from"].as_span();
-  if (const auto* endpoint = v.find("endpoint")) p.endpoint = int(endpoint->as_int());
-  p.shape = named(kShapes, v["shape"].as_text());
-  p.latency = v["latency"].as_span();
-  p.spread = v["spread"].as_number();
-  p.ramp = v["ramp"].as_span();
-  p.ramp_from = v["ramp_from"].as_number();
+  Phase phase;
+  phase.from = v["from"].as_span();
+  if (const auto* endpoint = v.find("endpoint")) phase.endpoint = int(endpoint->as_int());
+  phase.distribution = distribution_of(v["shape"].as_text());
+  phase.latency = v["latency"].as_span();
+  phase.spread = v["spread"].as_number();
+  phase.ramp = v["ramp"].as_span();
+  phase.ramp_from = v["ramp_from"].as_number();
   for (const auto& f : v["faults"].as_list()) {
     Fault fault{named(kFaults, f["kind"].as_text()), f["share"].as_number(), {}};
     if (const auto* after = f.find("retry_after")) fault.retry_after = after->as_span();
-    p.faults.push_back(fault);
+    phase.faults.push_back(fault);
   }
-  p.body = v["body"].as_size();
-  p.capacity = std::uint32_t(v["capacity"].as_int());
-  return p;
+  phase.body = v["body"].as_size();
+  phase.capacity = std::uint32_t(v["capacity"].as_int());
+  return phase;
 }
 
 Script script_of(const Value& v) {
-  Script s;
-  for (const auto& p : v["phases"].as_list()) s.phases.push_back(phase_of(p));
-  s.repeat = v["repeat"].as_span();
-  return s;
+  Script script;
+  for (const auto& phase : v["phases"].as_list()) script.phases.push_back(phase_of(phase));
+  script.repeat = v["repeat"].as_span();
+  return script;
 }
 
 const typed_config::Document& schema() {
@@ -57,39 +59,58 @@
   return document;
 }
 
-}  // namespace
+// The newest phase of this endpoint that has begun; null before the first.
+const Phase* phase_at(const Script& script, int endpoint, Duration elapsed) {
+  const Phase* newest = nullptr;
+  for (const auto& phase : script.phases) {
+    if (phase.endpoint >= 0 && phase.endpoint != endpoint) continue;
+    if (phase.from > elapsed) continue;
+    if (!newest || phase.from >= newest->from) newest = &phase;
+  }
+  return newest;
+}
 
-Plan plan(const Script& script, int endpoint, Duration elapsed, std::mt19937_64& random) {
-  if (script.repeat.count() > 0) elapsed %= script.repeat;
-  const Phase* now = nullptr;
-  for (const auto& p : script.phases)
-    if ((p.endpoint < 0 || p.endpoint == endpoint) && p.from <= elapsed && (!now || p.from >= now->from))
-      now = &p;
-  Plan plan;
-  if (!now) return plan;
-  double us = double(now->latency.count());
-  const auto uniform = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
-  if (now->shape == Shape::even) us *= 1 + now->spread * (2 * uniform() - 1);
-  if (now->shape == Shape::exponential) us *= -std::log2(1 - uniform());
-  if (now->shape == Shape::lognormal)
-    us *= std::exp(now->spread * std::normal_distribution<double>()(random));
-  if (now->ramp.count() > 0) {
+double uniform(std::mt19937_64& random) { return std::uniform_real_distribution<double>(0, 1)(random); }
+
+Duration draw_latency(const Phase& phase, Duration elapsed, std::mt19937_64& random) {
+  double us = double(phase.latency.count());
+  if (phase.distribution == LatencyDistribution::uniform) us *= 1 + phase.spread * (2 * uniform(random) - 1);
+  if (phase.distribution == LatencyDistribution::exponential) us *= -std::log2(1 - uniform(random));
+  if (phase.distribution == LatencyDistribution::lognormal)
+    us *= std::exp(phase.spread * std::normal_distribution<double>()(random));
+  if (phase.ramp.count() > 0) {
     const double part =
-        std::clamp(double((elapsed - now->from).count()) / double(now->ramp.count()), 0.0, 1.0);
-    us *= now->ramp_from + (1 - now->ramp_from) * part;
+        std::clamp(double((elapsed - phase.from).count()) / double(phase.ramp.count()), 0.0, 1.0);
+    us *= phase.ramp_from + (1 - phase.ramp_from) * part;
   }
-  plan.after = Duration(std::llround(std::max(us, 0.0)));
-  plan.body = now->body;
-  plan.capacity = now->capacity;
-  double drawn = uniform();
-  for (const auto& f : now->faults) {
-    if (drawn < f.share) {
-      plan.fault = f.kind;
-      plan.retry_after = f.retry_after;
-      break;
-    }
-    drawn -= f.share;
+  return Duration(std::llround(std::max(us, 0.0)));
+}
+
+// At most one fault hits a request: the shares of a phase add up.
+Fault draw_fault(const Phase& phase, std::mt19937_64& random) {
+  double drawn = uniform(random);
+  for (const auto& fault : phase.faults) {
+    if (drawn < fault.share) return fault;
+    drawn -= fault.share;
   }
+  return {};
+}
+
+}  // namespace
+
+LatencyDistribution distribution_of(const std::string& name) { return named(kDistributions, name); }
+
+ResponsePlan plan_response(const Script& script, int endpoint, Duration elapsed, std::mt19937_64& random) {
+  if (script.repeat.count() > 0) elapsed %= script.repeat;
+  ResponsePlan plan;
+  const auto* phase = phase_at(script, endpoint, elapsed);
+  if (!phase) return plan;
+  plan.after = draw_latency(*phase, elapsed, random);
+  plan.body = phase->body;
+  plan.capacity = phase->capacity;
+  const auto fault = draw_fault(*phase, random);
+  plan.fault = fault.kind;
+  plan.retry_after = fault.retry_after;
   return plan;
 }
 
@@ -103,23 +124,23 @@
   auto checked = typed_config::validate(document, schema(), "#Scenario");
   if (auto* errors = std::get_if<Errors>(&checked)) return std::move(*errors);
   const auto& v = std::get<Value>(checked);
-  Scenario s;
-  s.name = v["name"].as_text();
-  s.length = v["seconds"].as_span();
-  s.fault_from = v["fault_from"].as_span();
-  s.fault_to = v["fault_to"].as_span();
-  s.budget = v["budget"].as_span();
-  s.fresh_for = v["fresh_for"].as_span();
-  s.stale_for = v["stale_for"].as_span();
-  s.rate = v["rate"].as_number();
-  s.cores = int(v["cores"].as_int());
-  s.endpoints = int(v["endpoints"].as_int());
-  s.keys = std::uint64_t(v["keys"].as_int());
-  s.elevation = script_of(v["elevation"]);
-  s.names = script_of(v["names"]);
-  if (s.fault_from > s.fault_to || s.fault_to > s.length)
+  Scenario scenario;
+  scenario.name = v["name"].as_text();
+  scenario.length = v["seconds"].as_span();
+  scenario.fault_from = v["fault_from"].as_span();
+  scenario.fault_to = v["fault_to"].as_span();
+  scenario.budget = v["budget"].as_span();
+  scenario.fresh_for = v["fresh_for"].as_span();
+  scenario.stale_for = v["stale_for"].as_span();
+  scenario.rate = v["rate"].as_number();
+  scenario.cores = int(v["cores"].as_int());
+  scenario.endpoints = int(v["endpoints"].as_int());
+  scenario.keys = std::uint64_t(v["keys"].as_int());
+  scenario.elevation = script_of(v["elevation"]);
+  scenario.names = script_of(v["names"]);
+  if (scenario.fault_from > scenario.fault_to || scenario.fault_to > scenario.length)
     return Errors{{document.file, v.at, "fault_to", "expected fault_from <= fault_to <= seconds"}};
-  return s;
+  return scenario;
 }
 
 }  // namespace granitegap::standin
--- a/tools/standin/script.h
+++ b/tools/standin/script.h
@@ -1,4 +1,7 @@
-// A stand-in dependency's script: what it does with a request that comes at some moment. No socket, no clock.
+// The script of a stand-in dependency: its latency and faults over time, and a benchmark scenario of two of
+// them. It has neither socket nor clock.
+//
+// Errors: documents that break script.schema.cue are values with file and position.
 #pragma once
 #include <cstdint>
 #include <random>
@@ -11,6 +14,7 @@
 
 namespace granitegap::standin {
 
+// How a response goes wrong; script.schema.cue explains each.
 enum class FaultKind : std::uint8_t {
   none,
   error,
@@ -24,41 +28,60 @@
   garbage,
   close
 };
+
+// A fault that hits a share of the requests.
 struct Fault {
   FaultKind kind{};
   double share = 1;
-  Duration retry_after{};
+  Duration retry_after{};  // of `busy`; zero: none is sent
 };
-enum class Shape : std::uint8_t { fixed, even, exponential, lognormal };
+
+// The distribution of a latency around its median. The spread of a uniform one is its half-width as a share
+// of the median, of a lognormal one its sigma.
+enum class LatencyDistribution : std::uint8_t { fixed, uniform, exponential, lognormal };
+// The distribution with this name in a document ("even": uniform), which the schema has checked.
+LatencyDistribution distribution_of(const std::string& name);
+
+// What a dependency does from some moment until its next phase.
 struct Phase {
   Duration from{};
   int endpoint = -1;  // -1: all
-  Shape shape = Shape::lognormal;
-  Duration latency{}, ramp{};
-  double spread = 0, ramp_from = 1;
+  LatencyDistribution distribution = LatencyDistribution::lognormal;
+  Duration latency{};  // median
+  double spread = 0;
+  Duration ramp{};  // the latency falls from `ramp_from` times itself to once during this time
+  double ramp_from = 1;
   std::vector<Fault> faults;
-  std::size_t body = 200;
-  std::uint32_t capacity = 0;
+  std::size_t body = 200;      // bytes
+  std::uint32_t capacity = 0;  // requests served at once, others wait; 0: no limit
 };
+
 struct Script {
   std::vector<Phase> phases;
-  Duration repeat{};
+  Duration repeat{};  // the phases begin again after so long; zero: never
 };
-struct Plan {
+
+// What a dependency does with one request.
+struct ResponsePlan {
   FaultKind fault = FaultKind::none;
-  Duration after{};  // until the answer begins
+  Duration after{};  // until the response begins
   std::size_t body = 0;
   Duration retry_after{};
   std::uint32_t capacity = 0;
 };
-Plan plan(const Script& script, int endpoint, Duration elapsed, std::mt19937_64& random);
 
+// Draws what the script does with a request that arrives `elapsed` after its start.
+ResponsePlan plan_response(const Script& script, int endpoint, Duration elapsed, std::mt19937_64& random);
+
+// A benchmark of a tile server whose two dependencies fail; see bench/dependencies.cpp.
 struct Scenario {
   std::string name;
-  Duration length{}, fault_from{}, fault_to{}, budget{}, fresh_for{}, stale_for{};
-  double rate = 150;
+  Duration length{}, fault_from{}, fault_to{};
+  Duration budget{};                  // of gathering a request's parts
+  Duration fresh_for{}, stale_for{};  // of the parts in the server's cache
+  double rate = 150;                  // requests a second
   int cores = 4, endpoints = 2;
-  std::uint64_t keys = 1000000;
+  std::uint64_t keys = 1000000;  // distinct request bodies
   Script elevation, names;
 };
 
