--- a/bench/micro.cpp
+++ b/bench/micro.cpp
@@ -253,14 +253,14 @@
 }
 void snapshot_encode(benchmark::State& state) {
   snapshot::Snapshot s;
-  s.what = exported();
+  s.state = exported();
   std::size_t bytes = 0;
   for (auto _ : state) bytes = snapshot::encode(s).size();
   figures["snapshot_bytes"] = bytes;
 }
 void snapshot_decode(benchmark::State& state) {
   snapshot::Snapshot s;
-  s.what = exported();
+  s.state = exported();
   const auto bytes = snapshot::encode(s);
   for (auto _ : state) benchmark::DoNotOptimize(snapshot::decode_snapshot(bytes));
 }
@@ -279,8 +279,8 @@
   std::uint64_t n = 0, doubts = 0;
   for (auto _ : state) {
     const auto at = now + Duration(n * 5000);  // 200 a second
-    const auto token = hot_restart::token_of("trail-report", std::to_string(n++));
-    doubts += table->claim(token, at, std::chrono::seconds(10), at) != hot_restart::Verdict::mine;
+    const auto token = hot_restart::hash_key("trail-report", std::to_string(n++));
+    doubts += table->acquire(token, at, std::chrono::seconds(10), at) != hot_restart::LeaseDecision::acquired;
   }
   if (doubts > 0) state.SkipWithError("a claim was refused");
   std::filesystem::remove_all(folder);
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -1,7 +1,5 @@
 #include "admin/server.h"
 
-#include <sys/socket.h>
-
 #include <array>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/co_spawn.hpp>
@@ -9,6 +7,7 @@
 #include <boost/asio/steady_timer.hpp>
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/asio/write.hpp>
+#include <chrono>
 
 #include "net/accept.h"
 
@@ -19,32 +18,42 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr auto kWholeLine = std::chrono::seconds(2);  // a call that takes longer is no call
-constexpr auto kReadBack = std::chrono::seconds(1);   // for a caller to read its answer
+constexpr auto kCommandTimeout = std::chrono::seconds(2);  // for the whole line to arrive
+constexpr auto kReplyTimeout = std::chrono::seconds(1);    // for the caller to read the reply
+constexpr std::size_t kChunkBytes = 512;
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
 }  // namespace
 
-struct AdminServer::Connection {
-  explicit Connection(tcp::socket s) : socket(std::move(s)), limit(socket.get_executor()) {}
-  // At `span` from now the connection ends, whatever is under way.
-  static void end_after(const std::shared_ptr<Connection>& self, std::chrono::milliseconds span) {
-    self->limit.expires_after(span);
-    self->limit.async_wait([weak = std::weak_ptr(self)](error_code cancelled) {
-      const auto c = weak.lock();
-      error_code ignored;
-      if (c && !cancelled) c->socket.close(ignored);
+// A caller's socket and its deadline.
+class AdminServer::Connection {
+ public:
+  explicit Connection(tcp::socket s) : socket(std::move(s)), deadline_(socket.get_executor()) {}
+
+  // Closes the socket after `timeout`, whatever operation is under way; replaces an earlier deadline.
+  static void close_after(const std::shared_ptr<Connection>& connection, std::chrono::milliseconds timeout) {
+    connection->deadline_.expires_after(timeout);
+    connection->deadline_.async_wait([weak = std::weak_ptr(connection)](error_code cancelled) {
+      const auto alive = weak.lock();
+      if (alive && !cancelled) alive->close();
     });
   }
+
+  void close() {
+    error_code ignored;
+    socket.close(ignored);
+  }
+
   tcp::socket socket;
-  asio::steady_timer limit;
-  bool answered = false;
+
+ private:
+  asio::steady_timer deadline_;
 };
 
-AdminServer::AdminServer(const asio::any_io_executor& executor, const tcp::endpoint& at, Answer answer,
-                         Logger& log)
-    : acceptor_(executor), answer_(std::move(answer)), log_(log) {
+AdminServer::AdminServer(const asio::any_io_executor& executor, const tcp::endpoint& at,
+                         CommandHandler handler, Logger& log)
+    : acceptor_(executor), handler_(std::move(handler)), log_(log) {
   acceptor_.open(at.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   acceptor_.bind(at);
@@ -58,46 +67,49 @@
 }
 
 asio::awaitable<void> AdminServer::serve() {
-  co_await net::accept_each(acceptor_, closed_, [this](tcp::socket socket, const asio::ip::address&) {
-    // Guards against callers that say nothing and stay: the oldest of them makes room.
-    if (open_.size() >= kMaxConnections) {
-      error_code ignored;
-      open_.front()->socket.close(ignored);
-      open_.pop_front();
-    }
-    auto connection = std::make_shared<Connection>(std::move(socket));
-    open_.push_back(connection);
-    asio::co_spawn(acceptor_.get_executor(), talk(connection),
-                   [this, connection](const std::exception_ptr&) { open_.remove(connection); });
-  });
+  // A named variable: GCC 12 destroys a temporary in a co_await expression twice.
+  const net::Take take = [this](tcp::socket socket, const asio::ip::address&) { accept(std::move(socket)); };
+  co_await net::accept_each(acceptor_, closed_, take);
 }
 
-asio::awaitable<void> AdminServer::talk(std::shared_ptr<Connection> with) {
-  auto& socket = with->socket;
-  Connection::end_after(with, kWholeLine);
-  Reader reader;
-  std::optional<std::variant<Call, BadCall>> call;
-  std::array<char, 512> chunk;
+void AdminServer::accept(tcp::socket socket) {
+  if (connections_.size() >= kMaxConnections) {
+    connections_.front()->close();
+    connections_.pop_front();
+  }
+  auto connection = std::make_shared<Connection>(std::move(socket));
+  connections_.push_back(connection);
+  asio::co_spawn(acceptor_.get_executor(), serve_connection(connection),
+                 [this, connection](const std::exception_ptr&) { connections_.remove(connection); });
+}
+
+asio::awaitable<void> AdminServer::serve_connection(std::shared_ptr<Connection> connection) {
+  auto& socket = connection->socket;
+  Connection::close_after(connection, kCommandTimeout);
+  CommandReader reader;
+  std::optional<CommandResult> result;
+  std::array<char, kChunkBytes> chunk;
   error_code error;
-  while (!call) {
+  while (!result) {
     const auto size = co_await socket.async_read_some(asio::buffer(chunk), into(error));
-    if (error) co_return;  // gone in the middle of a line: no call
-    call = reader.add({chunk.data(), size});
+    if (error) co_return;  // the connection ended within the line: no command
+    result = reader.add({chunk.data(), size});
   }
-  Connection::end_after(with, kReadBack);
-  Reply reply;
-  if (const auto* bad = std::get_if<BadCall>(&*call)) {
-    reply = {false, bad->why};
-    log_.line("operators' door: bad call: " + bad->why, {{"event", "admin_bad_call"}, {"why", bad->why}});
-  } else {
-    reply = answer_(std::get<Call>(*call));
-  }
-  const auto line = encode(reply);
+  Connection::close_after(connection, kReplyTimeout);
+  const auto line = encode(reply_to(*result));
   co_await asio::async_write(socket, asio::buffer(line), into(error));
   if (error) co_return;
   socket.shutdown(tcp::socket::shutdown_send, error);
-  // Guards against a reset over bytes that came after the line, which would take the answer with it.
+  // Reads until the caller closes: closing over unread bytes would send a reset, which could discard the
+  // reply.
   while (!error) co_await socket.async_read_some(asio::buffer(chunk), into(error));
 }
 
+Reply AdminServer::reply_to(const CommandResult& result) {
+  if (const auto* command = std::get_if<Command>(&result)) return handler_(*command);
+  const std::string why = text_of(std::get<CommandError>(result));
+  log_.line("operators' door: bad call: " + why, {{"event", "admin_bad_call"}, {"why", why}});
+  return {false, why};
+}
+
 }  // namespace granitegap::admin
--- a/src/hot_restart/key_lease_table.cpp
+++ b/src/hot_restart/key_lease_table.cpp
@@ -9,92 +9,132 @@
 namespace granitegap::hot_restart {
 namespace {
 
-constexpr std::uint64_t kMagic = 0x67676170636c6d31;  // the last digit is the format's version
-constexpr Duration kClocksApart = std::chrono::seconds(2);
+constexpr std::uint64_t kMagic = 0x67676170636c6d31;  // "ggapclm1"; the last digit is the version
+constexpr Duration kMaxClockDifference = std::chrono::seconds(2);  // between the processes' readings
 
-std::int64_t us(UnixTime t) { return t.time_since_epoch().count(); }
+std::int64_t to_us(UnixTime time) { return time.time_since_epoch().count(); }
+
+// Checksums are never 0, which marks a free slot and a header that was never written.
+std::uint64_t checksum_of(const KeyLease& lease) {
+  return XXH3_64bits(&lease, offsetof(KeyLease, checksum)) | 1;
+}
+std::uint64_t checksum_of(const LeaseTableHeader& header) {
+  return XXH3_64bits(&header, offsetof(LeaseTableHeader, quarantine_until_us)) | 1;
+}
+
+bool is_free(const KeyLease& slot) { return slot.checksum == 0; }
+
+// A record torn by a kill, overwritten, or with times that no process's clock explains.
+bool is_damaged(const KeyLease& slot, UnixTime now, Duration max_lease) {
+  const auto latest_received = now + kMaxClockDifference;
+  return slot.checksum != checksum_of(slot) || slot.received_us > to_us(latest_received) ||
+         slot.expires_us > to_us(latest_received + max_lease);
+}
+
+// Expired for longer than any attempt received within its window can still be unread.
+bool is_reusable(const KeyLease& slot, UnixTime now, Duration max_lease) {
+  return slot.expires_us + max_lease.count() < to_us(now);
+}
+
+bool is_all_zero(const LeaseTableHeader& header) {
+  const auto bytes = std::as_bytes(std::span(&header, 1));
+  return std::all_of(bytes.begin(), bytes.end(), [](std::byte b) { return b == std::byte{0}; });
+}
 
 }  // namespace
 
-Token token_of(std::string_view cls, std::string_view token) {
-  auto text = std::to_string(cls.size()).append(1, ':').append(cls).append(token);
+KeyHash hash_key(std::string_view request_class, std::string_view idempotency_key) {
+  // With the length of the class in front, so that no two pairs give the same text.
+  std::string text = std::to_string(request_class.size());
+  text.append(1, ':').append(request_class).append(idempotency_key);
   const auto hash = XXH3_128bits(text.data(), text.size());
   return {hash.high64, hash.low64};
 }
 
-std::uint64_t KeyLeaseTable::check_of(const KeyLease& claim) {
-  return XXH3_64bits(&claim, offsetof(KeyLease, check)) | 1;  // never 0, which is a free place
+void KeyLeaseTable::quarantine(UnixTime now, Duration max_lease) {
+  header_.quarantine_until_us = std::max(header_.quarantine_until_us, to_us(now + max_lease));
 }
-std::uint64_t KeyLeaseTable::check_of(const Head& head) {
-  return XXH3_64bits(&head, offsetof(Head, doubt_until_us)) | 1;
+
+bool KeyLeaseTable::header_is_valid() const {
+  return header_.magic == kMagic && header_.slots == slots_.size() &&
+         header_.checksum == checksum_of(header_);
 }
 
-void KeyLeaseTable::put_in_doubt(UnixTime now, Duration longest) {
-  head_.doubt_until_us = std::max(head_.doubt_until_us, us(now + longest));
+void KeyLeaseTable::initialize() {
+  header_ = LeaseTableHeader{};
+  std::fill(slots_.begin(), slots_.end(), KeyLease{});
+  header_.magic = kMagic;
+  header_.slots = slots_.size();
+  header_.checksum = checksum_of(header_);
 }
 
-bool KeyLeaseTable::adopt(UnixTime now, Duration longest) {
-  if (head_.magic == kMagic && head_.places == places_.size() && head_.check == check_of(head_)) {
-    // Guards against a doubt without an end, as after a clock that was far ahead.
-    head_.doubt_until_us = std::min(head_.doubt_until_us, us(now + longest));
+bool KeyLeaseTable::adopt(UnixTime now, Duration max_lease) {
+  if (header_is_valid()) {
+    // Bounds a quarantine that a process with a clock far ahead has written.
+    header_.quarantine_until_us = std::min(header_.quarantine_until_us, to_us(now + max_lease));
     return true;
   }
-  const auto* bytes = reinterpret_cast<const unsigned char*>(&head_);
-  const bool blank = std::all_of(bytes, bytes + sizeof head_, [](unsigned char b) { return b == 0; });
-  head_ = Head{};
-  std::fill(places_.begin(), places_.end(), KeyLease{});
-  head_.magic = kMagic;
-  head_.places = places_.size();
-  head_.check = check_of(head_);
-  if (!blank) put_in_doubt(now, longest);
-  return blank;
+  const bool is_new = is_all_zero(header_);
+  initialize();
+  if (!is_new) quarantine(now, max_lease);
+  return is_new;
 }
 
-Verdict KeyLeaseTable::claim(const Token& token, UnixTime reached, Duration span, std::uint64_t boot_id,
-                             UnixTime now, Duration longest) {
-  KeyLease* free = nullptr;
-  KeyLease* found = nullptr;
-  for (std::size_t k = 0; k < std::min(kProbes, places_.size()); ++k) {
-    auto& place = places_[(token.low + k) % places_.size()];
-    if (place.check == 0) {
-      if (!free) free = &place;
-      continue;
-    }
-    // A record torn by a kill, or spoilt: whose it was nobody knows.
-    if (place.check != check_of(place) || place.reached_us > us(now + kClocksApart) ||
-        place.until_us > us(now + kClocksApart + longest)) {
-      put_in_doubt(now, longest);
-      place = KeyLease{};
-      if (!free) free = &place;
-      continue;
-    }
-    if (place.token == token) {
-      found = &place;
-      break;
+std::size_t KeyLeaseTable::probe_count() const { return std::min(kMaxProbes, slots_.size()); }
+
+KeyLease& KeyLeaseTable::probe(const KeyHash& key, std::size_t attempt) const {
+  return slots_[(key.low + attempt) % slots_.size()];
+}
+
+KeyLeaseTable::SlotSearch KeyLeaseTable::find_slots(const KeyHash& key, UnixTime now, Duration max_lease) {
+  SlotSearch search;
+  const auto offer_reuse = [&search](KeyLease& slot) {
+    if (!search.reusable) search.reusable = &slot;
+  };
+  for (std::size_t attempt = 0; attempt < probe_count(); ++attempt) {
+    auto& slot = probe(key, attempt);
+    if (is_free(slot)) {
+      offer_reuse(slot);
+    } else if (is_damaged(slot, now, max_lease)) {
+      quarantine(now, max_lease);
+      slot = KeyLease{};
+      offer_reuse(slot);
+    } else if (slot.key == key) {
+      search.holding = &slot;
+      return search;
+    } else if (is_reusable(slot, now, max_lease)) {
+      offer_reuse(slot);
     }
-    // For longer than any try that came in its window may still be on its way.
-    if (!free && place.until_us + longest.count() < us(now)) free = &place;
   }
-  if (us(now) < head_.doubt_until_us) return Verdict::doubt;
-  if (found && found->boot_id != boot_id && us(reached) <= found->until_us) return Verdict::theirs;
-  auto* to = found ? found : free;
-  if (!to) return Verdict::doubt;
-  KeyLease fresh{token, us(reached), us(reached + span), boot_id, 0};
-  fresh.check = check_of(fresh);
-  *to = fresh;
-  return Verdict::mine;
+  return search;
+}
+
+LeaseDecision KeyLeaseTable::acquire(const KeyHash& key, UnixTime received, Duration lease,
+                                     std::uint64_t boot_id, UnixTime now, Duration max_lease) {
+  const auto [holding, reusable] = find_slots(key, now, max_lease);
+  if (to_us(now) < header_.quarantine_until_us) return LeaseDecision::unknown;
+  if (holding && holding->boot_id != boot_id && to_us(received) <= holding->expires_us)
+    return LeaseDecision::held_by_other;
+  auto* slot = holding ? holding : reusable;
+  if (!slot) return LeaseDecision::unknown;
+  KeyLease record{key, to_us(received), to_us(received + lease), boot_id, 0};
+  record.checksum = checksum_of(record);
+  *slot = record;
+  return LeaseDecision::acquired;
 }
 
-void KeyLeaseTable::never_ran(const Token& token, std::uint64_t boot_id) {
-  for (std::size_t k = 0; k < std::min(kProbes, places_.size()); ++k) {
-    auto& place = places_[(token.low + k) % places_.size()];
-    if (place.check != 0 && place.token == token && place.boot_id == boot_id) place = KeyLease{};
+void KeyLeaseTable::release(const KeyHash& key, std::uint64_t boot_id) {
+  for (std::size_t attempt = 0; attempt < probe_count(); ++attempt) {
+    auto& slot = probe(key, attempt);
+    if (!is_free(slot) && slot.key == key && slot.boot_id == boot_id) slot = KeyLease{};
   }
 }
 
-std::size_t KeyLeaseTable::in_force(UnixTime now) const {
-  return std::size_t(std::count_if(places_.begin(), places_.end(),
-                                   [&](const auto& p) { return p.check != 0 && p.until_us >= us(now); }));
+std::size_t KeyLeaseTable::count_active(UnixTime now) const {
+  const auto is_active = [now](const KeyLease& slot) {
+    return !is_free(slot) && slot.expires_us >= to_us(now);
+  };
+  return std::size_t(std::count_if(slots_.begin(), slots_.end(), is_active));
 }
 
 }  // namespace granitegap::hot_restart
--- a/src/hot_restart/key_lease_table.h
+++ b/src/hot_restart/key_lease_table.h
@@ -1,12 +1,20 @@
-// The table in which two processes of one tile server, an old and a new one, claim keyed requests before they
-// run them, so that no token runs twice in its window whichever process its tries reach. Decisions over plain
-// memory: no file, no lock, no clock; whoever calls holds the lock of the memory.
+// Leases on idempotency keys, shared by the processes of one tile server during a hot restart.
 //
-// Doubt never runs: a damaged record, a full table, a stamp that no clock explains. Damage that is found puts
-// all in doubt for one longest window, as any token may have stood there.
+// The old and the new process accept from the same socket. Before either runs a request with an idempotency
+// key it acquires a lease on the key in this table, so that no key runs twice within its window, whichever
+// process its attempts reach. A lease is held by the process that ran the request, known by its boot ID.
+//
+// The rule on doubt: whenever the table can't tell, the decision is LeaseDecision::unknown and the request
+// must not run. A damaged record could have been any key's, so that damage quarantines the whole table for
+// the longest lease.
+//
+// This module works on plain memory: no file, no lock, no clock. The caller holds the lock that guards the
+// memory, and passes the time. The structs below are the file format as it lies in memory; see
+// shared_lease_table.h for the file.
 #pragma once
 #include <array>
 #include <chrono>
+#include <cstddef>
 #include <cstdint>
 #include <span>
 #include <string_view>
@@ -17,57 +25,81 @@
 
 using UnixTime = std::chrono::sys_time<Duration>;
 
-struct Token {  // a keyed request's, as 128 bits of hash over its class and its token
+// 128 bits of hash that stand for a request class and an idempotency key.
+struct KeyHash {
   std::uint64_t high = 0, low = 0;
-  bool operator==(const Token&) const = default;
+  bool operator==(const KeyHash&) const = default;
 };
-Token token_of(std::string_view cls, std::string_view token);
+[[nodiscard]] KeyHash hash_key(std::string_view request_class, std::string_view idempotency_key);
 
+// One record of the table. Times are in microseconds since the Unix epoch.
 struct KeyLease {
-  Token token;
-  std::int64_t reached_us = 0;  // Unix, of the try that ran
-  std::int64_t until_us = 0;    // Unix: its window and margin end
-  std::uint64_t boot_id = 0;    // of the process that ran it
-  std::uint64_t check = 0;      // over all before it; 0 in a place that is free
+  KeyHash key;
+  std::int64_t received_us = 0;  // when the attempt that ran reached the machine
+  std::int64_t expires_us = 0;   // the end of the key's window and margin
+  std::uint64_t boot_id = 0;     // of the holder
+  std::uint64_t checksum = 0;    // of all fields above; 0 in a free slot
 };
+static_assert(sizeof(KeyLease) == 48, "the file format");
 
-struct Head {
-  std::uint64_t magic = 0, places = 0;
-  std::int64_t doubt_until_us = 0;  // nothing keyed runs before
-  struct Life {
-    std::uint64_t id = 0;
-    std::uint64_t serves = 0;  // since the process that holds this row's lock can serve
+struct LeaseTableHeader {
+  std::uint64_t magic = 0;
+  std::uint64_t slots = 0;               // number of records that follow
+  std::int64_t quarantine_until_us = 0;  // no lease is granted before
+  struct ProcessSlot {
+    std::uint64_t boot_id = 0;
+    std::uint64_t serving = 0;  // 1 while the process that holds this slot's lock accepts connections
   };
-  static constexpr std::size_t kLives = 8;
-  std::array<Life, kLives> lives{};
-  std::uint64_t check = 0;  // over magic and places
+  static constexpr std::size_t kMaxProcesses = 8;
+  std::array<ProcessSlot, kMaxProcesses> processes{};
+  std::uint64_t checksum = 0;  // of magic and slots
 };
+static_assert(sizeof(LeaseTableHeader) == 160, "the file format");
 
-enum class Verdict : std::uint8_t { mine, theirs, doubt };
+enum class LeaseDecision : std::uint8_t {
+  acquired,       // recorded: the request may run
+  held_by_other,  // another process ran the key within its window
+  unknown,        // quarantined, no free slot, or no lock: the request must not run
+};
 
+// A view of a table in memory that the caller owns; it must outlive the view.
 class KeyLeaseTable {
  public:
-  KeyLeaseTable(Head& head, std::span<KeyLease> places) : head_(head), places_(places) {}
-  // Makes sense of memory that another process or an earlier life left; false where it had to be wiped, and
-  // all is in doubt until `now + longest`. Memory that is all zero is new and holds nothing.
-  bool adopt(UnixTime now, Duration longest);
+  KeyLeaseTable(LeaseTableHeader& header, std::span<KeyLease> slots) : header_(header), slots_(slots) {}
+
+  // Checks memory that another process left, and initializes it where it is all zero. False where the content
+  // was not valid: the table is empty then, and quarantined until `now + max_lease`.
+  [[nodiscard]] bool adopt(UnixTime now, Duration max_lease);
 
-  // mine: recorded, and it may run. The window counts from `reached`; `span` is the window and its margin.
-  // A claim of this same `life` is renewed: its own table of keys has let the try through. A try that reached
-  // the machine after the recorded claim's end runs anew, whatever the time is now.
-  Verdict claim(const Token& token, UnixTime reached, Duration span, std::uint64_t boot_id, UnixTime now,
-                Duration longest);
-  // The kernel never ran it: the claim of this life is given back.
-  void never_ran(const Token& token, std::uint64_t boot_id);
-  std::size_t in_force(UnixTime now) const;
+  // Decides whether the process `boot_id` may run the key. `received` is when the attempt reached the
+  // machine; the lease lasts for `lease` (the window and its margin) from then on. A lease that the same
+  // process holds is renewed, as its own idempotency table has admitted the attempt. An attempt received
+  // after the recorded lease expired runs anew, whatever `now` is. `max_lease` is the longest lease of any
+  // class.
+  [[nodiscard]] LeaseDecision acquire(const KeyHash& key, UnixTime received, Duration lease,
+                                      std::uint64_t boot_id, UnixTime now, Duration max_lease);
+  // Gives back a lease of this process, whose request did not run.
+  void release(const KeyHash& key, std::uint64_t boot_id);
+  // The number of leases that have not expired.
+  [[nodiscard]] std::size_t count_active(UnixTime now) const;
 
  private:
-  static constexpr std::size_t kProbes = 64;  // places looked at for one token
-  static std::uint64_t check_of(const KeyLease& claim);
-  static std::uint64_t check_of(const Head& head);
-  void put_in_doubt(UnixTime now, Duration longest);
-  Head& head_;
-  std::span<KeyLease> places_;
+  static constexpr std::size_t kMaxProbes = 64;  // slots examined for one key (linear probing)
+
+  // The slots for one key: the one that holds it, and the first that may be overwritten. Null: none.
+  struct SlotSearch {
+    KeyLease* holding = nullptr;
+    KeyLease* reusable = nullptr;
+  };
+  SlotSearch find_slots(const KeyHash& key, UnixTime now, Duration max_lease);
+  KeyLease& probe(const KeyHash& key, std::size_t attempt) const;
+  std::size_t probe_count() const;
+  bool header_is_valid() const;
+  void initialize();
+  void quarantine(UnixTime now, Duration max_lease);
+
+  LeaseTableHeader& header_;
+  std::span<KeyLease> slots_;
 };
 
 }  // namespace granitegap::hot_restart
--- a/src/hot_restart/shared_lease_table.cpp
+++ b/src/hot_restart/shared_lease_table.cpp
@@ -3,120 +3,188 @@
 #include <fcntl.h>
 #include <sys/mman.h>
 #include <sys/stat.h>
-#include <unistd.h>
 
 #include <atomic>
 #include <cerrno>
-#include <cstring>
 #include <utility>
 
 namespace granitegap::hot_restart {
 namespace {
 
-constexpr off_t kTableByte = 0, kFirstLifeByte = 1;  // of the locks, which need not lie in the file's bytes
+constexpr mode_t kOwnerOnly = 0600;
+constexpr off_t kTableLockByte = 0, kFirstProcessLockByte = 1;  // locks need not lie within the file
 
-// Locks of the open file, not of the process: they end with it, however it ends.
-bool set_lock(int fd, int command, short type, off_t at, struct flock* got = nullptr) {
+off_t process_lock_byte(std::size_t slot) { return kFirstProcessLockByte + off_t(slot); }
+
+struct flock byte_lock(short type, off_t at) {
   struct flock lock {};
   lock.l_type = type;
   lock.l_whence = SEEK_SET;
   lock.l_start = at;
   lock.l_len = 1;
-  const bool done = ::fcntl(fd, command, &lock) == 0;
-  if (got) *got = lock;
-  return done;
+  return lock;
+}
+
+bool try_lock(int fd, off_t at) {
+  auto lock = byte_lock(F_WRLCK, at);
+  return ::fcntl(fd, F_OFD_SETLK, &lock) == 0;
+}
+
+bool lock_or_wait(int fd, off_t at) {
+  auto lock = byte_lock(F_WRLCK, at);
+  return ::fcntl(fd, F_OFD_SETLKW, &lock) == 0;
 }
 
-std::string reason(const char* what) { return std::string(what) + ": " + std::strerror(errno); }
+void unlock(int fd, off_t at) {
+  auto lock = byte_lock(F_UNLCK, at);
+  ::fcntl(fd, F_OFD_SETLK, &lock);
+}
+
+enum class LockState : std::uint8_t { free, held, unknown };
+
+// Whether another open file, which means another process, holds the lock.
+LockState lock_state(int fd, off_t at) {
+  auto lock = byte_lock(F_WRLCK, at);
+  if (::fcntl(fd, F_OFD_GETLK, &lock) != 0) return LockState::unknown;
+  return lock.l_type == F_UNLCK ? LockState::free : LockState::held;
+}
+
+// Holds the table's lock for one operation. Never waits: guards against a process that was stopped while it
+// held the lock.
+class TableLock {
+ public:
+  explicit TableLock(int fd) : fd_(fd), held_(try_lock(fd, kTableLockByte)) {}
+  ~TableLock() {
+    if (held_) unlock(fd_, kTableLockByte);
+  }
+  TableLock(const TableLock&) = delete;
+  TableLock& operator=(const TableLock&) = delete;
+  [[nodiscard]] bool held() const { return held_; }
+
+ private:
+  int fd_;
+  bool held_;
+};
+
+LeaseTableError system_error(const std::string& path, int number) {
+  return {LeaseTableError::Kind::system_error, path, std::error_code(number, std::generic_category())};
+}
+
+// Allocates the file in full; an errno, or 0.
+int allocate(int fd, std::size_t bytes) {
+  struct stat status {};
+  const bool is_regular = ::fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
+  return is_regular ? ::posix_fallocate(fd, 0, off_t(bytes)) : EINVAL;
+}
 
 }  // namespace
 
-SharedLeaseTable::SharedLeaseTable(int fd, void* memory, std::uint64_t boot_id, Duration longest)
-    : fd_(fd), memory_(memory), boot_id_(boot_id), longest_(longest) {}
+std::string LeaseTableError::message() const {
+  switch (kind) {
+    case Kind::directory_not_set:
+      return "TMPDIR is not set";
+    case Kind::invalid_name:
+      return "the name is no file's: " + subject;
+    case Kind::system_error:
+      return subject + ": " + system_error.message();
+    case Kind::too_many_processes:
+      return subject + ": too many processes share it";
+  }
+  return "unknown error";
+}
+
+// ---- MappedMemory ----
+
+MappedMemory::MappedMemory(int fd, std::size_t bytes) : bytes_(bytes) {
+  void* address = ::mmap(nullptr, bytes, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+  if (address != MAP_FAILED) address_ = address;
+}
 
-SharedLeaseTable::SharedLeaseTable(SharedLeaseTable&& other) noexcept
-    : fd_(std::exchange(other.fd_, -1)),
-      memory_(std::exchange(other.memory_, nullptr)),
-      boot_id_(other.boot_id_),
-      longest_(other.longest_),
-      row_(other.row_),
-      wiped_(other.wiped_) {}
+MappedMemory::MappedMemory(MappedMemory&& other) noexcept
+    : address_(std::exchange(other.address_, nullptr)), bytes_(other.bytes_) {}
 
-SharedLeaseTable::~SharedLeaseTable() {
-  if (memory_) ::munmap(memory_, kBytes);
-  if (fd_ >= 0) ::close(fd_);
+MappedMemory& MappedMemory::operator=(MappedMemory&& other) noexcept {
+  std::swap(address_, other.address_);
+  std::swap(bytes_, other.bytes_);
+  return *this;
 }
 
-std::span<KeyLease> SharedLeaseTable::places() const {
-  return {reinterpret_cast<KeyLease*>(static_cast<char*>(memory_) + sizeof(Head)), kPlaces};
+MappedMemory::~MappedMemory() {
+  if (address_) ::munmap(address_, bytes_);
+}
+
+// ---- SharedLeaseTable ----
+
+SharedLeaseTable::SharedLeaseTable(posix::UniqueFd fd, MappedMemory memory, std::uint64_t boot_id,
+                                   Duration max_lease)
+    : fd_(std::move(fd)), memory_(std::move(memory)), boot_id_(boot_id), max_lease_(max_lease) {}
+
+LeaseTableHeader& SharedLeaseTable::header() const {
+  return *reinterpret_cast<LeaseTableHeader*>(memory_.data());
 }
 
-bool SharedLeaseTable::lock(short type) const { return set_lock(fd_, F_OFD_SETLK, type, kTableByte); }
+std::span<KeyLease> SharedLeaseTable::slots() const {
+  return {reinterpret_cast<KeyLease*>(memory_.data() + sizeof(LeaseTableHeader)), kSlots};
+}
 
-std::variant<SharedLeaseTable, LeaseTableError> SharedLeaseTable::open(const std::string& folder,
+std::variant<SharedLeaseTable, LeaseTableError> SharedLeaseTable::open(const std::string& directory,
                                                                        const std::string& name,
                                                                        std::uint64_t boot_id,
-                                                                       Duration longest, UnixTime now) {
-  if (folder.empty()) return LeaseTableError{"TMPDIR is not set"};
-  if (name.find('/') != std::string::npos) return LeaseTableError{"the name is no file's: " + name};
-  const auto path = folder + "/granitegap-" + name + ".claims";
-  const int fd = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW, 0600);
-  if (fd < 0) return LeaseTableError{reason(path.c_str())};
-  struct stat found {};
-  // All of it now: guards against a write into the mapping that finds no room, which would end the process.
-  const bool regular = ::fstat(fd, &found) == 0 && S_ISREG(found.st_mode);
-  const int full = regular ? ::posix_fallocate(fd, 0, off_t(kBytes)) : EINVAL;
-  if (full != 0) {
-    ::close(fd);
-    return LeaseTableError{path + ": " + std::strerror(full)};
-  }
-  void* memory = ::mmap(nullptr, kBytes, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
-  if (memory == MAP_FAILED) {
-    auto unusable = LeaseTableError{reason(path.c_str())};
-    ::close(fd);
-    return unusable;
-  }
-  SharedLeaseTable table(fd, memory, boot_id, longest);
-  // At the start it may wait: nothing is served yet, and whoever holds it does so for a claim.
-  if (!set_lock(fd, F_OFD_SETLKW, F_WRLCK, kTableByte)) return LeaseTableError{reason(path.c_str())};
-  table.wiped_ = !KeyLeaseTable(table.head(), table.places()).adopt(now, longest);
-  for (std::size_t k = 0; k < Head::kLives && table.row_ == Head::kLives; ++k) {
-    struct flock held {};
-    if (!set_lock(fd, F_OFD_GETLK, F_WRLCK, kFirstLifeByte + off_t(k), &held) || held.l_type != F_UNLCK)
-      continue;
-    table.head().lives[k] = {boot_id,
-                             0};  // before the lock: a row that is held never tells of who had it before
-    if (set_lock(fd, F_OFD_SETLK, F_WRLCK, kFirstLifeByte + off_t(k))) table.row_ = k;
+                                                                       Duration max_lease, UnixTime now) {
+  if (directory.empty()) return LeaseTableError{LeaseTableError::Kind::directory_not_set};
+  if (name.find('/') != std::string::npos) return LeaseTableError{LeaseTableError::Kind::invalid_name, name};
+  const auto path = directory + "/granitegap-" + name + ".claims";
+  posix::UniqueFd fd(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW, kOwnerOnly));
+  if (!fd.valid()) return system_error(path, errno);
+  if (const int failure = allocate(fd.get(), kFileBytes); failure != 0) return system_error(path, failure);
+  MappedMemory memory(fd.get(), kFileBytes);
+  if (!memory.valid()) return system_error(path, errno);
+  SharedLeaseTable shared(std::move(fd), std::move(memory), boot_id, max_lease);
+  // May wait: nothing is served yet, and other processes hold the lock for one operation only.
+  if (!lock_or_wait(shared.fd_.get(), kTableLockByte)) return system_error(path, errno);
+  shared.was_reset_ = !shared.table().adopt(now, max_lease);
+  const bool has_slot = shared.take_process_slot();
+  unlock(shared.fd_.get(), kTableLockByte);
+  if (!has_slot) return LeaseTableError{LeaseTableError::Kind::too_many_processes, path};
+  return shared;
+}
+
+bool SharedLeaseTable::take_process_slot() {
+  for (std::size_t slot = 0; slot < LeaseTableHeader::kMaxProcesses; ++slot) {
+    if (lock_state(fd_.get(), process_lock_byte(slot)) != LockState::free) continue;
+    // Written before the lock is taken, so that a held slot never shows the state of its previous process.
+    header().processes[slot] = {boot_id_, 0};
+    if (!try_lock(fd_.get(), process_lock_byte(slot))) continue;
+    process_slot_ = slot;
+    return true;
   }
-  table.lock(F_UNLCK);
-  if (table.row_ == Head::kLives) return LeaseTableError{path + ": too many processes share it"};
-  return table;
+  return false;
+}
+
+LeaseDecision SharedLeaseTable::acquire(const KeyHash& key, UnixTime received, Duration lease, UnixTime now) {
+  const TableLock lock(fd_.get());
+  if (!lock.held()) return LeaseDecision::unknown;
+  return table().acquire(key, received, lease, boot_id_, now, max_lease_);
 }
 
-Verdict SharedLeaseTable::claim(const Token& token, UnixTime reached, Duration span, UnixTime now) {
-  // Not waited for: guards against a process stopped with the lock in its hands.
-  if (!lock(F_WRLCK)) return Verdict::doubt;
-  const auto verdict = KeyLeaseTable(head(), places()).claim(token, reached, span, boot_id_, now, longest_);
-  lock(F_UNLCK);
-  return verdict;
+void SharedLeaseTable::release(const KeyHash& key) {
+  const TableLock lock(fd_.get());
+  if (lock.held()) table().release(key, boot_id_);
 }
 
-void SharedLeaseTable::never_ran(const Token& token) {
-  if (!lock(F_WRLCK)) return;  // it stays claimed until its window is over
-  KeyLeaseTable(head(), places()).never_ran(token, boot_id_);
-  lock(F_UNLCK);
+void SharedLeaseTable::set_serving(bool serving) {
+  std::atomic_ref(header().processes[process_slot_].serving).store(serving ? 1 : 0);
 }
 
-void SharedLeaseTable::serves() { std::atomic_ref(head().lives[row_].serves).store(1); }
+void SharedLeaseTable::mark_serving() { set_serving(true); }
 
-void SharedLeaseTable::leaves() { std::atomic_ref(head().lives[row_].serves).store(0); }
+void SharedLeaseTable::mark_draining() { set_serving(false); }
 
-bool SharedLeaseTable::another_serves() const {
-  for (std::size_t k = 0; k < Head::kLives; ++k) {
-    if (k == row_) continue;
-    struct flock held {};
-    if (!set_lock(fd_, F_OFD_GETLK, F_WRLCK, kFirstLifeByte + off_t(k), &held)) continue;
-    if (held.l_type != F_UNLCK && std::atomic_ref(head().lives[k].serves).load() != 0) return true;
+bool SharedLeaseTable::another_process_serves() const {
+  for (std::size_t slot = 0; slot < LeaseTableHeader::kMaxProcesses; ++slot) {
+    if (slot == process_slot_) continue;
+    if (lock_state(fd_.get(), process_lock_byte(slot)) != LockState::held) continue;
+    if (std::atomic_ref(header().processes[slot].serving).load() != 0) return true;
   }
   return false;
 }
--- a/src/hot_restart/shared_lease_table.h
+++ b/src/hot_restart/shared_lease_table.h
@@ -1,54 +1,101 @@
-// The file in $TMPDIR that processes of one tile server share while one takes over from the other: the claims
-// on keyed requests, and who of them serves. Mapped whole and reserved at the start, so that no later write
-// waits for room; one lock, held for a claim only and never waited for.
+// The lease table of key_lease_table.h in a file that the processes of one tile server map into memory during
+// a hot restart; it also tells which of them accept connections.
+//
+// File: $TMPDIR/granitegap-NAME.claims, a LeaseTableHeader and kSlots records in the machine's byte order. It
+// is allocated in full at the start, so that no later write can fail for lack of space. Byte-range locks of
+// the open file (fcntl F_OFD_SETLK) guard it; the system releases them however a process ends:
+//   byte 0        the table, held for a single operation
+//   byte 1 + k    process slot k of the header, held while its process lives
+//
+// Not thread-safe within a process. Errors: LeaseTableError from open(); afterwards whatever can't be decided
+// is LeaseDecision::unknown.
 #pragma once
+#include <cstddef>
 #include <cstdint>
-#include <optional>
+#include <span>
 #include <string>
+#include <system_error>
 #include <variant>
 
 #include "hot_restart/key_lease_table.h"
+#include "posix/unique_fd.h"
 
 namespace granitegap::hot_restart {
 
-struct LeaseTableError {  // why there is no table: then nothing keyed may run
-  std::string why;
+// Why the table can't be opened. Without it no request with an idempotency key may run.
+struct LeaseTableError {
+  enum class Kind : std::uint8_t {
+    directory_not_set,   // TMPDIR
+    invalid_name,        // the server's name can't be part of a file name
+    system_error,        // of the file at `subject`
+    too_many_processes,  // share the file at `subject`
+  };
+  Kind kind{};
+  std::string subject{};  // the name, or the file's path
+  std::error_code system_error{};
+  // One line of text.
+  [[nodiscard]] std::string message() const;
+};
+
+// A shared, writable mapping of a file; unmapped on destruction. Move-only.
+class MappedMemory {
+ public:
+  MappedMemory() = default;
+  // Maps the first `bytes` bytes of a file; not valid() on failure, with errno set.
+  MappedMemory(int fd, std::size_t bytes);
+  MappedMemory(MappedMemory&& other) noexcept;
+  MappedMemory& operator=(MappedMemory&& other) noexcept;
+  MappedMemory(const MappedMemory&) = delete;
+  MappedMemory& operator=(const MappedMemory&) = delete;
+  ~MappedMemory();
+  [[nodiscard]] bool valid() const { return address_ != nullptr; }
+  [[nodiscard]] std::byte* data() const { return static_cast<std::byte*>(address_); }
+
+ private:
+  void* address_ = nullptr;
+  std::size_t bytes_ = 0;
 };
 
 class SharedLeaseTable {
  public:
-  // `folder`: $TMPDIR. `longest`: the longest window and margin of a keyed class.
-  static std::variant<SharedLeaseTable, LeaseTableError> open(const std::string& folder,
-                                                              const std::string& name, std::uint64_t boot_id,
-                                                              Duration longest, UnixTime now);
-  SharedLeaseTable(SharedLeaseTable&& other) noexcept;
-  SharedLeaseTable& operator=(SharedLeaseTable&&) = delete;
-  ~SharedLeaseTable();
-
-  // As KeyLeaseTable::claim; doubt as well where another process holds the lock at this very moment.
-  Verdict claim(const Token& token, UnixTime reached, Duration span, UnixTime now);
-  void never_ran(const Token& token);
-  // This process can serve: others of this tile server may leave its door to it.
-  void serves();
-  // It takes the door no more, whatever it still answers.
-  void leaves();
-  // Another process that lives, and can serve, stands at the same door.
-  bool another_serves() const;
-  bool wiped() const { return wiped_; }  // what was found could not be believed
-  static constexpr std::size_t kPlaces = 16384;
-  static constexpr std::size_t kBytes = sizeof(Head) + kPlaces * sizeof(KeyLease);
+  // Opens or creates the table of the server `name` in `directory` ($TMPDIR) and takes a process slot in it.
+  // May wait for another process's operation. `max_lease`: the longest window and margin of any class.
+  [[nodiscard]] static std::variant<SharedLeaseTable, LeaseTableError> open(const std::string& directory,
+                                                                            const std::string& name,
+                                                                            std::uint64_t boot_id,
+                                                                            Duration max_lease, UnixTime now);
+
+  // As KeyLeaseTable::acquire() and release(); they never wait. While another process holds the table's lock,
+  // acquire() is LeaseDecision::unknown and release() does nothing: the lease expires by itself.
+  [[nodiscard]] LeaseDecision acquire(const KeyHash& key, UnixTime received, Duration lease, UnixTime now);
+  void release(const KeyHash& key);
+
+  // Tells the other processes that this one accepts connections, or does no longer.
+  void mark_serving();
+  void mark_draining();
+  // Whether another live process accepts connections at the same socket.
+  [[nodiscard]] bool another_process_serves() const;
+
+  // Whether open() found content that was not valid, and quarantined the table.
+  [[nodiscard]] bool was_reset() const { return was_reset_; }
+
+  static constexpr std::size_t kSlots = 16384;
+  static constexpr std::size_t kFileBytes = sizeof(LeaseTableHeader) + kSlots * sizeof(KeyLease);
 
  private:
-  SharedLeaseTable(int fd, void* memory, std::uint64_t boot_id, Duration longest);
-  Head& head() const { return *static_cast<Head*>(memory_); }
-  std::span<KeyLease> places() const;
-  bool lock(short type) const;
-  int fd_ = -1;
-  void* memory_ = nullptr;
-  std::uint64_t boot_id_ = 0;
-  Duration longest_{};
-  std::size_t row_ = Head::kLives;
-  bool wiped_ = false;
+  SharedLeaseTable(posix::UniqueFd fd, MappedMemory memory, std::uint64_t boot_id, Duration max_lease);
+  LeaseTableHeader& header() const;
+  std::span<KeyLease> slots() const;
+  KeyLeaseTable table() const { return {header(), slots()}; }
+  bool take_process_slot();
+  void set_serving(bool serving);
+
+  posix::UniqueFd fd_;
+  MappedMemory memory_;
+  std::uint64_t boot_id_;
+  Duration max_lease_;
+  std::size_t process_slot_ = LeaseTableHeader::kMaxProcesses;
+  bool was_reset_ = false;
 };
 
 }  // namespace granitegap::hot_restart
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -12,7 +12,8 @@
 #include "membership_udp/status_client.h"
 #include "net/inherited_socket.h"
 #include "server/server.h"
-#include "snapshot/show.h"
+#include "snapshot/snapshot_files.h"
+#include "snapshot/snapshot_json.h"
 
 namespace granitegap {
 namespace {
@@ -160,8 +161,8 @@
 // What a snapshot holds, or that it can't be believed.
 int snapshot_file(const std::string& path, bool show) {
   const auto read = snapshot::read_snapshot_file(path);
-  if (const auto* fault = std::get_if<snapshot::Fault>(&read)) {
-    std::fprintf(stderr, "granitegap: %s: %s\n", path.c_str(), fault->text().c_str());
+  if (const auto* error = std::get_if<snapshot::StorageError>(&read)) {
+    std::fprintf(stderr, "granitegap: %s: %s\n", path.c_str(), error->message().c_str());
     return 1;
   }
   std::puts(show ? snapshot::to_json(std::get<snapshot::Snapshot>(read)).c_str() : "whole");
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -90,7 +90,7 @@
   if (extras_.admin) try {
       admin_ = std::make_unique<admin::AdminServer>(
           context.get_executor(), address<asio::ip::tcp>(*extras_.admin),
-          [this](admin::Call call) { return answer(call); }, log_);
+          [this](admin::Command call) { return answer(call); }, log_);
     } catch (const std::exception& e) {
       throw UnusableAddress("the operators' door at " + text_of(*extras_.admin) + ": " + e.what());
     }
@@ -119,18 +119,18 @@
 }
 
 void Server::keep_learned(const operators::Declared::Recovery& recovery) {
-  snapshot::PersistenceActor::Hooks hooks;
-  hooks.found = [this](const recovery::PreviousIncarnation& found) {
+  snapshot::PersistenceActor::Callbacks callbacks;
+  callbacks.previous_incarnation_found = [this](const recovery::PreviousIncarnation& found) {
     module_.mailbox().post_control(edge::PreviousIncarnationFound{found});
   };
-  hooks.learned = [this](warm_state::WarmState what) {
+  callbacks.warm_state_loaded = [this](warm_state::WarmState what) {
     if (fleet_) fleet_->also_call(what.members);
     module_.mailbox().post_control(edge::WarmStateReceived{std::move(what)});
   };
-  hooks.collect = [this] { return collect(); };
+  callbacks.collect_warm_state = [this] { return collect(); };
   persistence_ =
       std::make_unique<snapshot::PersistenceActor>(context_.get_executor(), recovery.folder, config_.name,
-                                                   recovery.snapshot_every, std::move(hooks), log_);
+                                                   recovery.snapshot_every, std::move(callbacks), log_);
 }
 
 warm_state::WarmState Server::collect() const {
@@ -167,25 +167,25 @@
   for (std::size_t k = 0; k < w.reached_ms.size(); ++k)
     if (*reached[k]) w.reached_ms[k] = ms(**reached[k]);
   if (learning_)
-    for (const auto& name : learning_->from())
-      w.sources.push_back({name, std::uint64_t(ms(now - std::min(learning_->learned_at(), now)))});
+    for (const auto& name : learning_->donors())
+      w.sources.push_back({name, std::uint64_t(ms(now - std::min(learning_->transferred_at(), now)))});
   return w;
 }
 
 void Server::learn_from_others() {
   const auto& m = *extras_.declared->membership;
   const auto& member = fleet_->member();
-  state_transfer::Actor::Place place{m.cluster,
-                                     config_.name,
-                                     m.zone,
-                                     membership_udp::endpoint_of(m.bind).address(),
-                                     extras_.declared->recovery->donate_port,
-                                     config_.seed ^ std::uint64_t(member.self().boot_id)};
+  state_transfer::Actor::Options options{m.cluster,
+                                         config_.name,
+                                         m.zone,
+                                         membership_udp::endpoint_of(m.bind).address(),
+                                         extras_.declared->recovery->donate_port,
+                                         config_.seed ^ std::uint64_t(member.self().boot_id)};
   recovery::DonorSelectionOptions rules;
   rules.most = extras_.declared->recovery->max_learn;
-  state_transfer::Actor::Hooks hooks;
-  hooks.clock = [this] { return clocks_().steady; };
-  hooks.offer = [this] {
+  state_transfer::Actor::Callbacks callbacks;
+  callbacks.clock = [this] { return clocks_().steady; };
+  callbacks.make_response = [this] {
     const auto& me = fleet_->member();
     recovery::TransferResponse o;
     o.by = config_.name;
@@ -197,16 +197,16 @@
     if (o.in_service) o.what = collect();
     return o;
   };
-  hooks.may_ask = [this](const asio::ip::address& who) { return fleet_->may_ask(who); };
-  hooks.learned = [this](warm_state::WarmState what, std::size_t sources) {
+  callbacks.may_request = [this](const asio::ip::address& who) { return fleet_->may_ask(who); };
+  callbacks.finished = [this](warm_state::WarmState what, std::size_t sources) {
     if (sources > 0) {
       fleet_->also_call(what.members);
       module_.mailbox().post_control(edge::WarmStateReceived{std::move(what), sources});
     }
     module_.mailbox().post_control(edge::StateTransferFinished{sources});
   };
-  learning_ = std::make_unique<state_transfer::Actor>(context_.get_executor(), std::move(place), rules,
-                                                      std::move(hooks), log_);
+  learning_ = std::make_unique<state_transfer::Actor>(context_.get_executor(), std::move(options), rules,
+                                                      std::move(callbacks), log_);
 }
 
 // A life of its own at each start: the platform's seed is new then, and the clock tells most lives apart.
@@ -226,7 +226,7 @@
                                       s.recovery_status};
   };
   hooks.view = [this](std::shared_ptr<const membership::View> view) {
-    if (learning_) learning_->view(view);
+    if (learning_) learning_->update_view(view);
     module_.mailbox().post_control(edge::MembershipUpdate{std::move(view)});
   };
   fleet_ = std::make_unique<membership_udp::Actor>(context_.get_executor(), *extras_.declared->membership,
@@ -241,29 +241,30 @@
   auto opened = hot_restart::SharedLeaseTable::open(
       extras_.shared_folder, config_.name, config_.seed ^ std::uint64_t(now.unix.time_since_epoch().count()),
       edge.longest_span(), now.unix);
-  if (const auto* no = std::get_if<hot_restart::LeaseTableError>(&opened)) {
-    log_.line("no keyed request runs: the door is shared and its table can't be: " + no->why,
-              {{"event", "claims_unusable"}, {"why", no->why}});
+  if (const auto* error = std::get_if<hot_restart::LeaseTableError>(&opened)) {
+    log_.line("no keyed request runs: the door is shared and its table can't be: " + error->message(),
+              {{"event", "claims_unusable"}, {"why", error->message()}});
     edge.claim_keyed({[](const auto&, auto, auto) { return false; }, {}});
     return;
   }
   shared_.emplace(std::get<hot_restart::SharedLeaseTable>(std::move(opened)));
-  if (shared_->wiped())
+  if (shared_->was_reset())
     log_.line("keyed requests wait for one window: the table of claims was not to be believed",
               {{"event", "claims_wiped"}});
   const auto token = [this](const edge::Request& r) {
-    return hot_restart::token_of(config_.catalog.classes[std::size_t(r.cls)], r.token);
+    return hot_restart::hash_key(config_.catalog.classes[std::size_t(r.cls)], r.token);
   };
   edge.claim_keyed({[this, token](const edge::Request& r, Duration span, edge::UnixTime at) {
-                      return shared_->claim(token(r), r.reached, span, at) == hot_restart::Verdict::mine;
+                      return shared_->acquire(token(r), r.reached, span, at) ==
+                             hot_restart::LeaseDecision::acquired;
                     },
-                    [this, token](const edge::Request& r) { shared_->never_ran(token(r)); }});
+                    [this, token](const edge::Request& r) { shared_->release(token(r)); }});
 }
 
 // Of what this process knows now: no queue stands between a call and its answer.
-admin::Reply Server::answer(admin::Call call) {
+admin::Reply Server::answer(admin::Command call) {
   auto& boot_id = module_.edge().lifecycle();
-  if (call == admin::Call::health) {
+  if (call == admin::Command::health) {
     std::string text = lifecycle::text_of(boot_id.phase());
     if (boot_id.up() && !link_.up()) text += ", kernel link down";
     if (boot_id.up() && !boot_id.stopping() && module_.edge().held_unfit())
@@ -271,7 +272,7 @@
     return {boot_id.up() && !boot_id.stopping(), text};
   }
   const auto before = boot_id.phase();
-  const bool done = call == admin::Call::quiesce ? boot_id.quiesce() : boot_id.resume();
+  const bool done = call == admin::Command::quiesce ? boot_id.quiesce() : boot_id.resume();
   if (!done) return {false, "stopping: nothing leads back"};
   if (boot_id.phase() != before) {
     module_.mailbox().post_control(edge::LifecycleChanged{});
@@ -296,15 +297,15 @@
   if (cache_fill_server_) spawn(cache_fill_server_->serve());
   if (admin_) {
     spawn(admin_->serve());
-    const auto door = admin_->local();
+    const auto door = admin_->local_endpoint();
     log_.line("operators' door at " + door.address().to_string() + ":" + std::to_string(door.port()),
               {{"event", "operators_door"}, {"port", std::int64_t(door.port())}});
   }
   if (persistence_) spawn(persistence_->run());
   if (learning_) {
-    learning_->begin();
-    spawn(learning_->serve());
-    spawn(learning_->learn());
+    learning_->start_transfer();
+    spawn(learning_->run_server());
+    spawn(learning_->run_client());
   } else if (module_.edge().course()) {
     module_.mailbox().post_control(edge::StateTransferFinished{});  // there is nobody to ask
   }
@@ -338,7 +339,7 @@
 void Server::carry_out(edge::Command&& command) { link_.send(command); }
 void Server::carry_out(edge::LoadReport&& report) {
   const auto& boot_id = module_.edge().lifecycle();
-  if (shared_ && boot_id.up() && !boot_id.stopping()) shared_->serves();
+  if (shared_ && boot_id.up() && !boot_id.stopping()) shared_->mark_serving();
   load_reporter_.report(report);
 }
 void Server::carry_out(edge::CloseIdlePeers&& idle) { listener_.close_idle(idle.idle_for); }
@@ -354,7 +355,7 @@
 
 void Server::carry_out(edge::StateTransferWanted&&) {
   if (learning_)
-    learning_->begin();
+    learning_->start_transfer();
   else
     module_.mailbox().post_control(edge::StateTransferFinished{});
 }
@@ -366,8 +367,8 @@
 void Server::drain() {
   if (std::exchange(leaving_, true)) return;
   // First of all no successor to anybody any more: guards against two that leave the door to each other.
-  if (shared_) shared_->leaves();
-  const bool successor = shared_ && shared_->another_serves();
+  if (shared_) shared_->mark_draining();
+  const bool successor = shared_ && shared_->another_process_serves();
   module_.edge().lifecycle().stop(successor);
   const auto left = successor ? time_to_hand_over() : config_.stop;
   log_.line("notice to leave: " + std::to_string(left.count()) + " ms left" +
@@ -487,8 +488,8 @@
       module_.mailbox().post_control(edge::Closing{});
       continue;
     }
-    if (persistence_) persistence_->end();
-    if ((!fleet_ || fleet_->has_left()) && (!persistence_ || persistence_->over())) break;
+    if (persistence_) persistence_->shut_down();
+    if ((!fleet_ || fleet_->has_left()) && (!persistence_ || persistence_->finished())) break;
   }
   end_all();
 }
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -54,11 +54,11 @@
   // Where operators call; absent where no door was asked for.
   std::optional<boost::asio::ip::tcp::endpoint> admin_door() const {
     if (!admin_) return std::nullopt;
-    return admin_->local();
+    return admin_->local_endpoint();
   }
   edge::EdgeActor& module() { return module_; }
   // Once the context has ended: a disk still holds a thread, which nobody can wait for.
-  bool disk_hangs() const { return persistence_ && persistence_->at_work(); }
+  bool disk_hangs() const { return persistence_ && persistence_->disk_busy(); }
 
  private:
   void spawn(boost::asio::awaitable<void> actor);
@@ -78,7 +78,7 @@
   boost::asio::awaitable<void> hand_over(std::chrono::milliseconds within);
   std::chrono::milliseconds time_to_hand_over() const;
   void share_door();
-  admin::Reply answer(admin::Call call);
+  admin::Reply answer(admin::Command call);
   void join_fleet();
   void learn_from_others();
   warm_state::WarmState collect() const;
--- /dev/null
+++ b/src/snapshot/checksum_envelope.h
@@ -0,0 +1,28 @@
+// The envelope around every stored file and transferred snapshot: a magic number, a checksum, the body.
+//
+//   offset 0, 4 bytes: the magic number; its last character is the version of the format
+//   offset 4, 8 bytes: XXH3-64 of the body, little-endian
+//   offset 12:         the body
+//
+// Pure functions without I/O. Errors are returned as StorageError values.
+#pragma once
+#include <cstddef>
+#include <string>
+#include <string_view>
+
+#include "snapshot/storage_error.h"
+
+namespace granitegap::snapshot {
+
+inline constexpr std::size_t kMagicBytes = 4, kChecksumBytes = 8;
+inline constexpr std::size_t kEnvelopeBytes = kMagicBytes + kChecksumBytes;  // in front of the body
+
+// `magic`: kMagicBytes characters.
+[[nodiscard]] std::string wrap_with_checksum(std::string_view magic, std::string_view body);
+
+// The body, as a view into `bytes`; an error where they are longer than `max_bytes`, of another format or
+// version, or damaged.
+[[nodiscard]] StorageResult<std::string_view> unwrap_checked(std::string_view magic, std::string_view bytes,
+                                                             std::size_t max_bytes);
+
+}  // namespace granitegap::snapshot
--- a/src/snapshot/persistence_actor.cpp
+++ b/src/snapshot/persistence_actor.cpp
@@ -6,6 +6,7 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 #include <memory>
+#include <utility>
 
 namespace granitegap::snapshot {
 namespace {
@@ -13,160 +14,203 @@
 namespace asio = boost::asio;
 using namespace std::chrono_literals;
 
-constexpr auto kAgain = 200ms;  // until the directory is ours
-constexpr auto kSlow = 1s;      // after which a line says what does not happen meanwhile
+constexpr auto kLockRetryInterval = 200ms;
+constexpr auto kSlowDiskThreshold = 1s;  // an operation that takes longer is logged
+
+std::int64_t to_ms(Duration duration) { return duration.count() / 1000; }
 
 }  // namespace
 
-PersistenceActor::PersistenceActor(const asio::any_io_executor& executor, std::filesystem::path folder,
-                                   std::string name, Duration every, Hooks hooks, Logger& log)
+PersistenceActor::PersistenceActor(const asio::any_io_executor& executor, std::filesystem::path directory,
+                                   std::string name, Duration snapshot_interval, Callbacks callbacks,
+                                   Logger& log)
     : executor_(executor),
-      folder_(std::move(folder)),
+      directory_(std::move(directory)),
       name_(std::move(name)),
-      every_(every),
-      hooks_(std::move(hooks)),
+      snapshot_interval_(snapshot_interval),
+      callbacks_(std::move(callbacks)),
       log_(log),
-      again_(executor),
-      slow_(executor) {}
-
-PersistenceActor::~PersistenceActor() { disk_.join(); }
-
-PersistenceActor::Begun PersistenceActor::begin() {
-  Begun b;
-  b.fault = lock_.take(folder_);
-  if (b.fault) return b;
-  b.ended = read_ended(folder_);
-  b.newest = read_newest(folder_);
-  b.at = read_stamp();
-  // Damaged or not: whatever is there goes before anything may run that it does not know of.
-  if (!std::holds_alternative<Nothing>(b.ended)) b.fault = take_ended(folder_);
-  return b;
-}
-
-std::optional<Fault> PersistenceActor::write(const Snapshot& snapshot) {
-  return write_snapshot(folder_, encode(snapshot));
-}
-
-template <class F>
-auto PersistenceActor::on_disk(F work, const char* meanwhile) -> asio::awaitable<decltype(work())> {
-  slow_.expires_after(kSlow);
-  slow_.async_wait([this, meanwhile](const boost::system::error_code& error) {
-    if (!error)
-      log_.line("recovery: " + folder_.string() + " does not answer: " + meanwhile,
-                {{"event", "recovery_disk_slow"}});
+      wait_timer_(executor),
+      slow_disk_timer_(executor) {}
+
+PersistenceActor::~PersistenceActor() { disk_thread_.join(); }
+
+// ---- On the disk thread ----
+
+PersistenceActor::LoadResult PersistenceActor::lock_and_load() {
+  LoadResult loaded;
+  loaded.error = lock_.acquire(directory_);
+  if (loaded.error) return loaded;
+  loaded.shutdown_record = read_shutdown_record(directory_);
+  loaded.newest = read_newest_snapshot(directory_);
+  loaded.loaded_at = read_clock_stamp();
+  // The record is removed even if it is damaged: it must be gone before any request runs of which it does not
+  // know.
+  const auto* record = std::get_if<std::optional<ShutdownRecord>>(&loaded.shutdown_record);
+  const bool no_file = record && !*record;
+  if (!no_file) loaded.error = remove_shutdown_record(directory_);
+  return loaded;
+}
+
+std::optional<StorageError> PersistenceActor::write(const Snapshot& snapshot) {
+  return write_snapshot(directory_, encode(snapshot));
+}
+
+// ---- On the io thread ----
+
+template <class Task>
+auto PersistenceActor::run_on_disk_thread(Task task, const char* delayed)
+    -> asio::awaitable<decltype(task())> {
+  slow_disk_timer_.expires_after(kSlowDiskThreshold);
+  slow_disk_timer_.async_wait([this, delayed](const boost::system::error_code& error) {
+    if (error) return;
+    log_.line("recovery: " + directory_.string() + " does not answer: " + delayed,
+              {{"event", "recovery_disk_slow"}});
   });
-  ++at_work_;
-  // In a name of its own: GCC 12 destroys captures of a temporary in a co_await expression twice.
-  const auto task = [this, work]() -> asio::awaitable<decltype(work())> {
-    auto result = work();
-    --at_work_;
+  ++pending_disk_tasks_;
+  // A named variable: GCC 12 destroys the captures of a temporary in a co_await expression twice.
+  const auto counted_task = [this, task]() -> asio::awaitable<decltype(task())> {
+    auto result = task();
+    --pending_disk_tasks_;
     co_return result;
   };
-  auto result = co_await asio::co_spawn(disk_, task, asio::use_awaitable);
-  slow_.cancel();
+  auto result = co_await asio::co_spawn(disk_thread_, counted_task, asio::use_awaitable);
+  slow_disk_timer_.cancel();
   co_return result;
 }
 
+asio::awaitable<void> PersistenceActor::wait(Duration duration) {
+  boost::system::error_code ignored;  // cancelled by shut_down()
+  wait_timer_.expires_after(duration);
+  co_await wait_timer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+}
+
 asio::awaitable<void> PersistenceActor::run() {
-  boost::system::error_code woken;
-  while (!owned_ && !ending_) {
-    const auto work = [this] { return begin(); };
-    auto begun = co_await on_disk(work, "keyed requests are refused until it does, reads go on");
-    told(std::move(begun));
-    if (owned_) break;
-    again_.expires_after(kAgain);
-    co_await again_.async_wait(asio::redirect_error(asio::use_awaitable, woken));
+  co_await load_until_locked();
+  co_await write_snapshots();
+}
+
+asio::awaitable<void> PersistenceActor::load_until_locked() {
+  while (!directory_locked_ && !shutting_down_) {
+    const auto task = [this] { return lock_and_load(); };
+    auto loaded = co_await run_on_disk_thread(task, "keyed requests are refused until it does, reads go on");
+    handle_load(std::move(loaded));
+    if (directory_locked_) break;
+    co_await wait(kLockRetryInterval);
   }
-  // At a bounded rate, and never two at once.
-  while (!ending_) {
-    again_.expires_after(every_);
-    co_await again_.async_wait(asio::redirect_error(asio::use_awaitable, woken));
-    if (ending_) co_return;
-    // Stamped as it is collected: guards against ages that lack what a disk that hangs has taken.
-    const auto what = std::make_shared<Snapshot>(Snapshot{read_stamp(), hooks_.collect()});
-    const auto work = [this, what] { return write(*what); };
-    auto fault = co_await on_disk(work, "no snapshot can be written meanwhile");
-    told_write(fault);
+}
+
+asio::awaitable<void> PersistenceActor::write_snapshots() {
+  while (!shutting_down_) {
+    co_await wait(snapshot_interval_);
+    if (shutting_down_) co_return;
+    // The stamp is of the time of collection: stamped after a hanging disk, the ages would be too low.
+    const auto snapshot =
+        std::make_shared<const Snapshot>(Snapshot{read_clock_stamp(), callbacks_.collect_warm_state()});
+    const auto task = [this, snapshot] { return write(*snapshot); };
+    const auto error = co_await run_on_disk_thread(task, "no snapshot can be written meanwhile");
+    handle_write(error);
   }
 }
 
-void PersistenceActor::told(Begun b) {
-  recovery::PreviousIncarnation found;
-  if (b.fault) {
-    found.end_stays = true;
-    if (!std::exchange(told_fault_, true))
-      log_.line("recovery: keyed requests are refused until " + folder_.string() +
-                    " can be used: " + b.fault->text(),
-                {{"event", "recovery_folder"}, {"why", b.fault->text()}});
-    return hooks_.found(found);
+void PersistenceActor::handle_load(LoadResult loaded) {
+  if (loaded.error) return handle_unusable_directory(*loaded.error);
+  directory_locked_ = true;
+  auto previous = evaluate_shutdown_record(loaded);
+  auto snapshot = select_snapshot(std::move(loaded.newest));
+  if (snapshot)
+    previous.clock_behind =
+        std::max(previous.clock_behind, clock_behind(snapshot->taken_at, loaded.loaded_at));
+  callbacks_.previous_incarnation_found(previous);
+  if (snapshot) handle_snapshot(*std::move(snapshot), loaded.loaded_at);
+}
+
+void PersistenceActor::handle_unusable_directory(const StorageError& error) {
+  if (!std::exchange(unusable_logged_, true))
+    log_.line("recovery: keyed requests are refused until " + directory_.string() +
+                  " can be used: " + error.message(),
+              {{"event", "recovery_folder"}, {"why", error.message()}});
+  recovery::PreviousIncarnation previous;
+  previous.end_stays = true;
+  callbacks_.previous_incarnation_found(previous);
+}
+
+recovery::PreviousIncarnation PersistenceActor::evaluate_shutdown_record(const LoadResult& loaded) {
+  const std::string what = "what the last life left";
+  if (const auto* error = std::get_if<StorageError>(&loaded.shutdown_record)) {
+    log_rejected(what, error->message());
+    return {};
   }
-  owned_ = true;
-  told_ended(b, found);
-  const auto unbelieved = [&](const std::string& what, const std::string& why) {
-    log_.line("recovery: " + what + " is not believed: " + why,
-              {{"event", "recovery_unbelieved"}, {"why", why}});
-  };
-  for (const auto& bad : b.newest.faults) unbelieved("a snapshot", bad);
-  auto& newest = b.newest.snapshot;
-  if (newest && newest->what.by != name_) {
-    unbelieved("a snapshot", "it is of " + newest->what.by);
-    newest.reset();
+  const auto& record = std::get<std::optional<ShutdownRecord>>(loaded.shutdown_record);
+  if (!record) return {};
+  if (record->name != name_) {
+    log_rejected(what, "it is of " + record->name);
+    return {};
   }
-  if (newest) found.clock_behind = std::max(found.clock_behind, clock_behind(newest->at, b.at));
-  hooks_.found(found);
-  if (!newest) return;
-  const auto age = age_of(newest->at, b.at);
-  log_.line(
-      "recovery: a snapshot, " + (age ? std::to_string(age->count() / 1000) + " ms old" : "of no known age"),
-      {{"event", "recovery_snapshot"}, {"age_ms", age ? std::int64_t(age->count() / 1000) : -1}});
-  hooks_.learned(warm_state::aged(std::move(newest->what), age));
-}
-
-void PersistenceActor::told_ended(const Begun& b, recovery::PreviousIncarnation& found) {
-  const auto* ended = std::get_if<Ended>(&b.ended);
-  const auto* bad = std::get_if<Fault>(&b.ended);
-  if (bad || (ended && ended->name != name_)) {
-    const auto why = bad ? bad->text() : "it is of " + ended->name;
-    log_.line("recovery: what the last life left is not believed: " + why,
-              {{"event", "recovery_unbelieved"}, {"why", why}});
-    return;
+  const auto previous = previous_incarnation(*record, loaded.loaded_at);
+  if (previous.ended_in_order) {
+    const auto ago_ms = to_ms(*previous.ended_in_order);
+    log_.line("recovery: the last life ended in order " + std::to_string(ago_ms) + " ms ago",
+              {{"event", "recovery_ended"}, {"ago_ms", ago_ms}});
   }
-  if (!ended) return;
-  found = previous_incarnation(*ended, b.at);
-  if (found.ended_in_order)
-    log_.line("recovery: the last life ended in order " +
-                  std::to_string(found.ended_in_order->count() / 1000) + " ms ago",
-              {{"event", "recovery_ended"}, {"ago_ms", std::int64_t(found.ended_in_order->count() / 1000)}});
-}
-
-void PersistenceActor::told_write(const std::optional<Fault>& fault) {
-  if (!fault) {
-    told_unwritten_ = false;
-  } else if (!std::exchange(told_unwritten_, true)) {
-    log_.line("recovery: no snapshot can be written: " + fault->text(),
-              {{"event", "recovery_snapshot_unwritten"}, {"why", fault->text()}});
+  return previous;
+}
+
+std::optional<Snapshot> PersistenceActor::select_snapshot(NewestSnapshot newest) {
+  const std::string what = "a snapshot";
+  for (const auto& error : newest.errors)
+    log_rejected(what, error.path.filename().string() + ": " + error.message());
+  if (newest.snapshot && newest.snapshot->state.by != name_) {
+    log_rejected(what, "it is of " + newest.snapshot->state.by);
+    return std::nullopt;
   }
+  return std::move(newest.snapshot);
+}
+
+void PersistenceActor::handle_snapshot(Snapshot snapshot, const ClockStamp& now) {
+  const auto age = age_of(snapshot.taken_at, now);
+  const auto age_text = age ? std::to_string(to_ms(*age)) + " ms old" : std::string("of no known age");
+  log_.line("recovery: a snapshot, " + age_text,
+            {{"event", "recovery_snapshot"}, {"age_ms", age ? to_ms(*age) : std::int64_t{-1}}});
+  callbacks_.warm_state_loaded(warm_state::aged(std::move(snapshot.state), age));
 }
 
-void PersistenceActor::end() {
-  if (std::exchange(ending_, true)) return;
-  again_.cancel();
-  if (!owned_) {
-    done_ = true;
+void PersistenceActor::handle_write(const std::optional<StorageError>& error) {
+  if (!error) {
+    write_failure_logged_ = false;
     return;
   }
-  ++at_work_;
-  asio::post(disk_, [this, what = Snapshot{read_stamp(), hooks_.collect()}] {
-    write(what);
-    const auto fault = write_ended(folder_, {name_, read_stamp()});
-    --at_work_;
-    asio::post(executor_, [this, fault] {
-      done_ = true;
-      if (fault)
-        log_.line("recovery: the end could not be written down: " + fault->text(),
-                  {{"event", "recovery_end_unwritten"}, {"why", fault->text()}});
-    });
+  if (std::exchange(write_failure_logged_, true)) return;
+  log_.line("recovery: no snapshot can be written: " + error->message(),
+            {{"event", "recovery_snapshot_unwritten"}, {"why", error->message()}});
+}
+
+void PersistenceActor::shut_down() {
+  if (std::exchange(shutting_down_, true)) return;
+  wait_timer_.cancel();
+  if (!directory_locked_) {
+    last_write_done_ = true;
+    return;
+  }
+  ++pending_disk_tasks_;
+  asio::post(disk_thread_, [this, snapshot = Snapshot{read_clock_stamp(), callbacks_.collect_warm_state()}] {
+    (void)write(snapshot);  // without it the next start is only colder; the record below counts
+    const auto error = write_shutdown_record(directory_, {name_, read_clock_stamp()});
+    --pending_disk_tasks_;
+    asio::post(executor_, [this, error] { handle_last_write(error); });
   });
 }
 
+void PersistenceActor::handle_last_write(const std::optional<StorageError>& error) {
+  last_write_done_ = true;
+  if (!error) return;
+  log_.line("recovery: the end could not be written down: " + error->message(),
+            {{"event", "recovery_end_unwritten"}, {"why", error->message()}});
+}
+
+void PersistenceActor::log_rejected(const std::string& what, const std::string& why) {
+  log_.line("recovery: " + what + " is not believed: " + why,
+            {{"event", "recovery_unbelieved"}, {"why", why}});
+}
+
 }  // namespace granitegap::snapshot
--- a/src/snapshot/shutdown_record.cpp
+++ b/src/snapshot/shutdown_record.cpp
@@ -1,218 +1,117 @@
 #include "snapshot/shutdown_record.h"
 
-#include <fcntl.h>
-#include <sys/file.h>
 #include <sys/stat.h>
-#include <time.h>
-#include <unistd.h>
-#include <xxhash.h>
 
-#include <algorithm>
 #include <cerrno>
-#include <fstream>
-#include <system_error>
+#include <string_view>
+
+#include "snapshot/atomic_file.h"
+#include "snapshot/checksum_envelope.h"
+#include "snapshot/little_endian.h"
 
 namespace granitegap::snapshot {
 namespace {
 
-constexpr char kMagic[] = "gge1";  // its last character is the format's version
-constexpr char kName[] = "ended", kLock[] = "lock";
-constexpr std::size_t kMax = 512, kMaxText = 200;
+constexpr char kMagic[] = "gge1";
+constexpr char kFileName[] = "ended";
+constexpr std::size_t kMaxFileBytes = 512, kMaxTextBytes = 200;
 
-Fault fault(const char* step) { return {step, std::generic_category().message(errno)}; }
+// A text is its length as a 64-bit integer, then its bytes.
+void append_text(std::string& bytes, const std::string& text) {
+  const auto bounded = text.substr(0, kMaxTextBytes);
+  append_uint64(bytes, bounded.size());
+  bytes += bounded;
+}
 
-// A descriptor that is closed when it goes out of sight.
-class File {
+// Reads the body from front to back. After the first field that does not fit, every read gives an empty value
+// and complete() is false.
+class BodyReader {
  public:
-  File(const std::filesystem::path& path, int flags) : fd_(::open(path.c_str(), flags | O_CLOEXEC, 0600)) {}
-  ~File() {
-    if (fd_ >= 0) ::close(fd_);
-  }
-  File(const File&) = delete;
-  File& operator=(const File&) = delete;
-  explicit operator bool() const { return fd_ >= 0; }
-  int get() const { return fd_; }
-
- private:
-  int fd_;
-};
+  explicit BodyReader(std::string_view bytes) : bytes_(bytes) {}
 
-void put(std::string& to, std::uint64_t value) {
-  for (int i = 0; i < 8; ++i) to += char(value >> (8 * i));
-}
-void put(std::string& to, const std::string& text) {
-  const auto part = text.substr(0, kMaxText);
-  put(to, part.size());
-  to += part;
-}
-
-struct Cursor {
-  std::string_view bytes;
-  std::size_t at;
-  bool good = true;
-  std::uint64_t number() {
-    std::uint64_t value = 0;
-    if (bytes.size() - at < 8) return good = false, 0;
-    for (int i = 0; i < 8; ++i) value |= std::uint64_t(std::uint8_t(bytes[at++])) << (8 * i);
+  std::uint64_t read_uint64() {
+    if (!good_ || bytes_.size() - offset_ < kUint64Bytes) {
+      good_ = false;
+      return 0;
+    }
+    const auto value = uint64_at(bytes_, offset_);
+    offset_ += kUint64Bytes;
     return value;
   }
-  std::string text() {
-    const auto size = number();
-    if (!good || size > kMaxText || bytes.size() - at < size) return good = false, std::string();
-    at += size;
-    return std::string(bytes.substr(at - size, size));
-  }
-};
-
-std::optional<Fault> sync_folder(const std::filesystem::path& folder) {
-  const File dir(folder, O_RDONLY | O_DIRECTORY);
-  if (!dir) return fault("opening the directory");
-  if (::fsync(dir.get()) != 0) return fault("syncing the directory");
-  return std::nullopt;
-}
 
-}  // namespace
-
-bool same_boot(const Stamp& then, const Stamp& now) {
-  return !now.boot.empty() && then.boot == now.boot && now.since_boot >= then.since_boot;
-}
+  std::string read_text() {
+    const auto size = read_uint64();
+    if (!good_ || size > kMaxTextBytes || bytes_.size() - offset_ < size) {
+      good_ = false;
+      return {};
+    }
+    const auto text = bytes_.substr(offset_, size);
+    offset_ += size;
+    return std::string(text);
+  }
 
-std::string seal(std::string_view magic, std::string_view body) {
-  std::string bytes(magic);
-  put(bytes, XXH3_64bits(body.data(), body.size()));
-  return bytes.append(body);
-}
+  // Every field was there, and nothing is left.
+  bool complete() const { return good_ && offset_ == bytes_.size(); }
 
-std::variant<std::string_view, Fault> unseal(std::string_view magic, std::string_view bytes,
-                                             std::size_t most) {
-  const Fault bad{"reading it", "damaged"};
-  if (bytes.size() > most) return Fault{"reading it", "too large"};
-  if (bytes.size() < kSeal) return bad;
-  if (bytes.substr(0, 3) != magic.substr(0, 3)) return Fault{"reading it", "not a file of this program"};
-  if (bytes[3] != magic[3]) return Fault{"reading it", "of another version"};
-  Cursor sum{bytes, 4};
-  const auto body = bytes.substr(kSeal);
-  if (sum.number() != XXH3_64bits(body.data(), body.size())) return bad;
-  return body;
-}
+ private:
+  std::string_view bytes_;
+  std::size_t offset_ = 0;
+  bool good_ = true;
+};
 
-Stamp read_stamp() {
-  Stamp s;
-  timespec t{};
-  if (std::ifstream in("/proc/sys/kernel/random/boot_id");
-      in >> s.boot && ::clock_gettime(CLOCK_BOOTTIME, &t) == 0)
-    s.since_boot = Duration(t.tv_sec * 1'000'000LL + t.tv_nsec / 1000);
-  else
-    s.boot.clear();
-  if (::clock_gettime(CLOCK_REALTIME, &t) == 0) s.unix_us = t.tv_sec * 1'000'000LL + t.tv_nsec / 1000;
-  return s;
-}
+}  // namespace
 
-std::string encode(const Ended& e) {
+std::string encode(const ShutdownRecord& record) {
   std::string body;
-  put(body, e.name);
-  put(body, e.at.boot);
-  put(body, std::uint64_t(e.at.since_boot.count()));
-  put(body, std::uint64_t(e.at.unix_us));
-  return seal(kMagic, body);
-}
-
-std::variant<Ended, Fault> decode(const std::string& bytes) {
-  const auto body = unseal(kMagic, bytes, kMax);
-  if (const auto* fault = std::get_if<Fault>(&body)) return *fault;
-  Cursor c{std::get<std::string_view>(body), 0};
-  Ended e;
-  e.name = c.text();
-  e.at.boot = c.text();
-  e.at.since_boot = Duration(std::int64_t(c.number()));
-  e.at.unix_us = std::int64_t(c.number());
-  if (!c.good || c.at != c.bytes.size()) return Fault{"reading it", "damaged"};
-  return e;
-}
-
-Duration clock_behind(const Stamp& then, const Stamp& now) {
-  const auto passed = same_boot(then, now) ? (now.since_boot - then.since_boot).count() : 0;
-  return Duration(std::max<std::int64_t>(then.unix_us + passed - now.unix_us, 0));
-}
-
-recovery::PreviousIncarnation previous_incarnation(const Ended& ended, const Stamp& now) {
-  recovery::PreviousIncarnation found;
-  if (same_boot(ended.at, now)) found.ended_in_order = now.since_boot - ended.at.since_boot;
-  found.clock_behind = clock_behind(ended.at, now);
-  return found;
-}
-
-DirectoryLock::~DirectoryLock() {
-  if (fd_ >= 0) ::close(fd_);
-}
-
-std::optional<Fault> DirectoryLock::take(const std::filesystem::path& folder) {
-  if (held()) return std::nullopt;
-  if (::mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) return fault("making the directory");
-  const int fd = ::open((folder / kLock).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (fd < 0) return fault("opening the lock");
-  if (::flock(fd, LOCK_EX | LOCK_NB) != 0) {
-    const auto why = errno == EWOULDBLOCK ? Fault{"locking the directory", "another process holds it"}
-                                          : fault("locking the directory");
-    ::close(fd);
-    return why;
-  }
-  fd_ = fd;
-  return std::nullopt;
-}
-
-std::variant<std::string, Fault> read_file(const std::filesystem::path& path, std::size_t most) {
-  const File file(path, O_RDONLY);
-  if (!file) return fault("opening it");
-  std::string bytes(most, '\0');
-  std::size_t have = 0;
-  while (have < bytes.size()) {
-    const auto got = ::read(file.get(), bytes.data() + have, bytes.size() - have);
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) return fault("reading it");
-    if (got == 0) break;
-    have += std::size_t(got);
+  append_text(body, record.name);
+  append_text(body, record.shutdown_at.kernel_boot_id);
+  append_uint64(body, std::uint64_t(record.shutdown_at.since_boot.count()));
+  append_uint64(body, std::uint64_t(record.shutdown_at.unix_us));
+  return wrap_with_checksum(kMagic, body);
+}
+
+StorageResult<ShutdownRecord> decode_shutdown_record(const std::string& bytes) {
+  const auto body = unwrap_checked(kMagic, bytes, kMaxFileBytes);
+  if (const auto* error = std::get_if<StorageError>(&body)) return *error;
+  BodyReader reader(std::get<std::string_view>(body));
+  ShutdownRecord record;
+  record.name = reader.read_text();
+  record.shutdown_at.kernel_boot_id = reader.read_text();
+  record.shutdown_at.since_boot = Duration(std::int64_t(reader.read_uint64()));
+  record.shutdown_at.unix_us = std::int64_t(reader.read_uint64());
+  if (!reader.complete()) return format_error(StorageErrc::damaged);
+  return record;
+}
+
+recovery::PreviousIncarnation previous_incarnation(const ShutdownRecord& record, const ClockStamp& now) {
+  recovery::PreviousIncarnation previous;
+  if (same_boot(record.shutdown_at, now))
+    previous.ended_in_order = now.since_boot - record.shutdown_at.since_boot;
+  previous.clock_behind = clock_behind(record.shutdown_at, now);
+  return previous;
+}
+
+StorageResult<std::optional<ShutdownRecord>> read_shutdown_record(const std::filesystem::path& directory) {
+  const auto path = directory / kFileName;
+  struct stat status {};
+  if (::stat(path.c_str(), &status) != 0 && errno == ENOENT) return std::nullopt;
+  const auto bytes = read_file(path, kMaxFileBytes + 1);  // one more, so that a longer file is noticed
+  if (const auto* error = std::get_if<StorageError>(&bytes)) return *error;
+  auto record = decode_shutdown_record(std::get<std::string>(bytes));
+  if (auto* error = std::get_if<StorageError>(&record)) {
+    error->path = path;
+    return *error;
   }
-  bytes.resize(have);
-  return bytes;
-}
-
-std::optional<Fault> replace_file(const std::filesystem::path& folder, const std::string& name,
-                                  const std::string& bytes) {
-  const auto fresh = folder / (name + ".new");
-  {
-    const File file(fresh, O_WRONLY | O_CREAT | O_TRUNC);
-    if (!file) return fault("creating it");
-    std::size_t have = 0;
-    while (have < bytes.size()) {
-      const auto put = ::write(file.get(), bytes.data() + have, bytes.size() - have);
-      if (put < 0 && errno == EINTR) continue;
-      if (put < 0) return fault("writing it");
-      have += std::size_t(put);
-    }
-    if (::fsync(file.get()) != 0) return fault("syncing it");
-  }
-  if (::rename(fresh.c_str(), (folder / name).c_str()) != 0) return fault("renaming it");
-  return sync_folder(folder);
-}
-
-std::variant<Ended, Nothing, Fault> read_ended(const std::filesystem::path& folder) {
-  struct stat there {};
-  if (::stat((folder / kName).c_str(), &there) != 0 && errno == ENOENT) return Nothing{};
-  auto bytes = read_file(folder / kName, kMax + 1);
-  if (auto* bad = std::get_if<Fault>(&bytes)) return *bad;
-  auto decoded = decode(std::get<std::string>(bytes));
-  if (auto* bad = std::get_if<Fault>(&decoded)) return *bad;
-  return std::get<Ended>(std::move(decoded));
+  return std::get<ShutdownRecord>(std::move(record));
 }
 
-std::optional<Fault> write_ended(const std::filesystem::path& folder, const Ended& ended) {
-  return replace_file(folder, kName, encode(ended));
+std::optional<StorageError> write_shutdown_record(const std::filesystem::path& directory,
+                                                  const ShutdownRecord& record) {
+  return replace_file_atomically(directory, kFileName, encode(record));
 }
 
-std::optional<Fault> take_ended(const std::filesystem::path& folder) {
-  if (::unlink((folder / kName).c_str()) != 0 && errno != ENOENT) return fault("taking it away");
-  return sync_folder(folder);
+std::optional<StorageError> remove_shutdown_record(const std::filesystem::path& directory) {
+  return remove_file_durably(directory, kFileName);
 }
 
 }  // namespace granitegap::snapshot
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -1,155 +1,158 @@
 #include "snapshot/snapshot.h"
 
-#include <sys/stat.h>
-
-#include <algorithm>
-#include <cerrno>
 #include <cstring>
+#include <limits>
 
 #include "snapshot.pb.h"
+#include "snapshot/checksum_envelope.h"
 
 namespace granitegap::snapshot {
 namespace {
 
 constexpr char kMagic[] = "ggl1";
-constexpr const char* kNames[] = {"learned-a", "learned-b"};
-constexpr std::size_t kMaxText = 255;
+constexpr std::size_t kMaxTextBytes = 255;
 constexpr Duration kMaxSpan = std::chrono::hours(24 * 365);
+constexpr std::size_t kIpv4Bytes = 4, kIpv6Bytes = 16;
 
-bool plausible(std::int64_t us) { return us >= 0 && us <= kMaxSpan.count(); }
+bool is_plausible_span(std::int64_t span_us) { return span_us >= 0 && span_us <= kMaxSpan.count(); }
 
-}  // namespace
+bool is_port(std::uint32_t port) { return port != 0 && port <= std::numeric_limits<std::uint16_t>::max(); }
 
-std::string encode(const Snapshot& s) {
-  auto what = s.what;
-  warm_state::bound(what);
-  wire::Snapshot p;
-  p.set_by(what.by);
-  p.set_boot_id(what.boot_id);
-  p.set_boot(s.at.boot);
-  p.set_since_boot_us(s.at.since_boot.count());
-  p.set_unix_us(s.at.unix_us);
-  for (const auto& e : what.endpoints) {
-    auto* to = p.add_endpoints();
-    to->set_dependency(e.dependency);
-    to->set_host(e.host);
-    to->set_port(e.port);
-    to->set_out_for_us(e.out_for.count());
-    to->set_times_out(e.times_out);
-    to->set_latency_us(e.latency.count());
-    to->set_heard_ago_us(e.heard_ago.count());
-  }
-  for (const auto& m : what.members) {
-    auto* to = p.add_members();
-    to->set_ip(m.ip.data(), m.v6 ? 16 : 4);
-    to->set_port(m.port);
-  }
-  for (const auto& part : what.parts) {
-    auto* to = p.add_cached_responses();
-    to->set_dependency(part.dependency);
-    to->set_path(part.path);
-    to->set_body(*part.body);
-    to->set_age_us(part.age.count());
-  }
-  // Long names can still make too much of it: what is left out is only warmth.
-  while (p.ByteSizeLong() + kSeal > kMaxSnapshot && p.endpoints_size() > 0)
-    p.mutable_endpoints()->DeleteSubrange(p.endpoints_size() / 2,
-                                          p.endpoints_size() - p.endpoints_size() / 2);
-  return seal(kMagic, p.SerializeAsString());
+// ---- Encoding ----
+
+void add_endpoint(wire::Snapshot& message, const warm_state::Endpoint& endpoint) {
+  auto* to = message.add_endpoints();
+  to->set_dependency(endpoint.dependency);
+  to->set_host(endpoint.host);
+  to->set_port(endpoint.port);
+  to->set_out_for_us(endpoint.out_for.count());
+  to->set_times_out(endpoint.times_out);
+  to->set_latency_us(endpoint.latency.count());
+  to->set_heard_ago_us(endpoint.heard_ago.count());
 }
 
-std::variant<Snapshot, Fault> decode_snapshot(const std::string& bytes) {
-  const Fault bad{"reading it", "damaged"};
-  const auto body = unseal(kMagic, bytes, kMaxSnapshot);
-  if (const auto* fault = std::get_if<Fault>(&body)) return *fault;
-  const auto& sealed = std::get<std::string_view>(body);
-  wire::Snapshot p;
-  if (!p.ParseFromArray(sealed.data(), int(sealed.size()))) return bad;
-  // A sum that is right says who wrote it, not that it makes sense: held against the bounds all the same.
-  if (p.by().size() > kMaxText || p.boot().size() > kMaxText || p.since_boot_us() < 0 ||
-      std::size_t(p.endpoints_size()) > warm_state::kMaxEndpoints ||
-      std::size_t(p.members_size()) > warm_state::kMaxMembers ||
-      std::size_t(p.cached_responses_size()) > warm_state::kMaxParts)
-    return bad;
-  Snapshot s;
-  s.at = {p.boot(), Duration(p.since_boot_us()), p.unix_us()};
-  s.what.by = p.by();
-  s.what.boot_id = p.boot_id();
-  for (const auto& e : p.endpoints()) {
-    if (e.dependency().size() > kMaxText || e.host().size() > kMaxText || e.port() == 0 || e.port() > 65535 ||
-        !plausible(e.out_for_us()) || !plausible(e.latency_us()) || !plausible(e.heard_ago_us()))
-      return bad;
-    s.what.endpoints.push_back({e.dependency(), e.host(), std::uint16_t(e.port()), Duration(e.out_for_us()),
-                                e.times_out(), Duration(e.latency_us()), Duration(e.heard_ago_us())});
-  }
-  for (const auto& m : p.members()) {
-    if ((m.ip().size() != 4 && m.ip().size() != 16) || m.port() == 0 || m.port() > 65535) return bad;
-    membership::Address a;
-    std::memcpy(a.ip.data(), m.ip().data(), m.ip().size());
-    a.v6 = m.ip().size() == 16;
-    a.port = std::uint16_t(m.port());
-    s.what.members.push_back(a);
-  }
-  std::size_t together = 0;
-  for (const auto& from : p.cached_responses()) {
-    warm_state::CachedResponse part{from.dependency(), from.path(),
-                                    std::make_shared<const std::string>(from.body()),
-                                    Duration(from.age_us())};
-    together += warm_state::bytes_of(part);
-    if (part.dependency.size() > kMaxText || !warm_state::fits(part) || !plausible(from.age_us()) ||
-        together > warm_state::kMaxPartBytes)
-      return bad;
-    s.what.parts.push_back(std::move(part));
+void add_member(wire::Snapshot& message, const membership::Address& member) {
+  auto* to = message.add_members();
+  to->set_ip(member.ip.data(), member.v6 ? kIpv6Bytes : kIpv4Bytes);
+  to->set_port(member.port);
+}
+
+void add_cached_response(wire::Snapshot& message, const warm_state::CachedResponse& response) {
+  auto* to = message.add_cached_responses();
+  to->set_dependency(response.dependency);
+  to->set_path(response.path);
+  to->set_body(*response.body);
+  to->set_age_us(response.age.count());
+}
+
+// Long names can still exceed the size limit. Endpoints are dropped then, half of them at a time: a smaller
+// snapshot only costs warmth.
+void shrink_to_limit(wire::Snapshot& message) {
+  while (message.ByteSizeLong() + kEnvelopeBytes > kMaxSnapshotBytes && message.endpoints_size() > 0) {
+    const int kept = message.endpoints_size() / 2;
+    message.mutable_endpoints()->DeleteSubrange(kept, message.endpoints_size() - kept);
   }
-  return s;
 }
 
-std::optional<Duration> age_of(const Stamp& then, const Stamp& now) {
-  if (same_boot(then, now)) return now.since_boot - then.since_boot;
-  if (now.unix_us < then.unix_us) return std::nullopt;
-  return Duration(now.unix_us - then.unix_us);
+// ---- Decoding: a correct checksum proves who wrote the message, not that its values are within bounds ----
+
+bool has_valid_header(const wire::Snapshot& message) {
+  return message.by().size() <= kMaxTextBytes && message.boot().size() <= kMaxTextBytes &&
+         message.since_boot_us() >= 0 && std::size_t(message.endpoints_size()) <= warm_state::kMaxEndpoints &&
+         std::size_t(message.members_size()) <= warm_state::kMaxMembers &&
+         std::size_t(message.cached_responses_size()) <= warm_state::kMaxParts;
+}
+
+std::optional<warm_state::Endpoint> endpoint_of(const wire::Endpoint& from) {
+  if (from.dependency().size() > kMaxTextBytes || from.host().size() > kMaxTextBytes) return std::nullopt;
+  if (!is_port(from.port())) return std::nullopt;
+  if (!is_plausible_span(from.out_for_us()) || !is_plausible_span(from.latency_us()) ||
+      !is_plausible_span(from.heard_ago_us()))
+    return std::nullopt;
+  return warm_state::Endpoint{from.dependency(),
+                              from.host(),
+                              std::uint16_t(from.port()),
+                              Duration(from.out_for_us()),
+                              from.times_out(),
+                              Duration(from.latency_us()),
+                              Duration(from.heard_ago_us())};
 }
 
-std::variant<Snapshot, Fault> read_snapshot_file(const std::filesystem::path& file) {
-  auto bytes = read_file(file, kMaxSnapshot + 1);
-  if (auto* fault = std::get_if<Fault>(&bytes)) return *fault;
-  return decode_snapshot(std::get<std::string>(bytes));
+std::optional<membership::Address> member_of(const wire::Address& from) {
+  const auto ip_bytes = from.ip().size();
+  if ((ip_bytes != kIpv4Bytes && ip_bytes != kIpv6Bytes) || !is_port(from.port())) return std::nullopt;
+  membership::Address address;
+  std::memcpy(address.ip.data(), from.ip().data(), ip_bytes);
+  address.v6 = ip_bytes == kIpv6Bytes;
+  address.port = std::uint16_t(from.port());
+  return address;
 }
 
-Newest read_newest(const std::filesystem::path& folder) {
-  Newest newest;
-  for (const auto* name : kNames) {
-    auto bytes = read_file(folder / name, kMaxSnapshot + 1);
-    if (std::holds_alternative<Fault>(bytes)) {
-      std::error_code ignored;
-      if (std::filesystem::exists(folder / name, ignored))
-        newest.faults.push_back(std::string(name) + ": " + std::get<Fault>(bytes).text());
-      continue;
-    }
-    auto read = decode_snapshot(std::get<std::string>(bytes));
-    if (const auto* fault = std::get_if<Fault>(&read)) {
-      newest.faults.push_back(std::string(name) + ": " + fault->text());
-      continue;
-    }
-    auto& s = std::get<Snapshot>(read);
-    const auto later = [](const Stamp& a, const Stamp& b) {
-      return a.boot == b.boot ? a.since_boot > b.since_boot : a.unix_us > b.unix_us;
-    };
-    if (!newest.snapshot || later(s.at, newest.snapshot->at)) newest.snapshot = std::move(s);
+std::optional<warm_state::CachedResponse> cached_response_of(const wire::CachedResponse& from) {
+  warm_state::CachedResponse response{from.dependency(), from.path(),
+                                      std::make_shared<const std::string>(from.body()),
+                                      Duration(from.age_us())};
+  if (response.dependency.size() > kMaxTextBytes || !warm_state::fits(response) ||
+      !is_plausible_span(from.age_us()))
+    return std::nullopt;
+  return response;
+}
+
+// The state in a message; absent where any value is out of bounds.
+std::optional<warm_state::WarmState> state_of(const wire::Snapshot& message) {
+  warm_state::WarmState state;
+  state.by = message.by();
+  state.boot_id = message.boot_id();
+  for (const auto& from : message.endpoints()) {
+    auto endpoint = endpoint_of(from);
+    if (!endpoint) return std::nullopt;
+    state.endpoints.push_back(*std::move(endpoint));
+  }
+  for (const auto& from : message.members()) {
+    const auto member = member_of(from);
+    if (!member) return std::nullopt;
+    state.members.push_back(*member);
   }
-  return newest;
+  std::size_t total_bytes = 0;
+  for (const auto& from : message.cached_responses()) {
+    auto response = cached_response_of(from);
+    if (!response) return std::nullopt;
+    total_bytes += warm_state::bytes_of(*response);
+    if (total_bytes > warm_state::kMaxPartBytes) return std::nullopt;
+    state.parts.push_back(*std::move(response));
+  }
+  return state;
+}
+
+}  // namespace
+
+std::string encode(const Snapshot& snapshot) {
+  auto state = snapshot.state;
+  warm_state::bound(state);
+  wire::Snapshot message;
+  message.set_by(state.by);
+  message.set_boot_id(state.boot_id);
+  message.set_boot(snapshot.taken_at.kernel_boot_id);
+  message.set_since_boot_us(snapshot.taken_at.since_boot.count());
+  message.set_unix_us(snapshot.taken_at.unix_us);
+  for (const auto& endpoint : state.endpoints) add_endpoint(message, endpoint);
+  for (const auto& member : state.members) add_member(message, member);
+  for (const auto& response : state.parts) add_cached_response(message, response);
+  shrink_to_limit(message);
+  return wrap_with_checksum(kMagic, message.SerializeAsString());
 }
 
-std::optional<Fault> write_snapshot(const std::filesystem::path& folder, const std::string& bytes) {
-  struct stat a {
-  }, b{};
-  const bool has_a = ::stat((folder / kNames[0]).c_str(), &a) == 0;
-  const bool has_b = ::stat((folder / kNames[1]).c_str(), &b) == 0;
-  const auto before = [](const timespec& x, const timespec& y) {
-    return x.tv_sec != y.tv_sec ? x.tv_sec < y.tv_sec : x.tv_nsec < y.tv_nsec;
-  };
-  const bool second = has_a && (!has_b || before(b.st_mtim, a.st_mtim));
-  return replace_file(folder, kNames[second ? 1 : 0], bytes);
+StorageResult<Snapshot> decode_snapshot(const std::string& bytes) {
+  const auto unwrapped = unwrap_checked(kMagic, bytes, kMaxSnapshotBytes);
+  if (const auto* error = std::get_if<StorageError>(&unwrapped)) return *error;
+  const auto& body = std::get<std::string_view>(unwrapped);
+  wire::Snapshot message;
+  if (!message.ParseFromArray(body.data(), int(body.size()))) return format_error(StorageErrc::damaged);
+  if (!has_valid_header(message)) return format_error(StorageErrc::damaged);
+  auto state = state_of(message);
+  if (!state) return format_error(StorageErrc::damaged);
+  const ClockStamp taken_at{message.boot(), Duration(message.since_boot_us()), message.unix_us()};
+  return Snapshot{taken_at, *std::move(state)};
 }
 
 }  // namespace granitegap::snapshot
--- a/src/state_transfer/actor.cpp
+++ b/src/state_transfer/actor.cpp
@@ -18,18 +18,20 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 using namespace std::chrono_literals;
+using SteadyTime = std::chrono::steady_clock::time_point;
 
-constexpr std::size_t kMaxAtOnce = 4;
-constexpr double kPerSecond = 8, kBurst = 8;
-constexpr auto kDawdle = 1s;  // for a question, and again for the taking of its answer
+constexpr std::size_t kMaxConnections = 4;
+constexpr double kRequestsPerSecond = 8, kRequestBurst = 8;
+constexpr auto kConnectionTimeout = 2s;  // for the query and the sending of the response together
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
-// Closes a socket at its time, whatever it is doing; disarmed when it goes.
-class Deadline {
+SteadyTime to_steady(TimePoint time) { return SteadyTime(time.time_since_epoch()); }
+
+// Closes a socket at a point in time, whatever operation is under way; disarmed on destruction.
+class SocketDeadline {
  public:
-  Deadline(asio::ip::tcp::socket& socket, std::chrono::steady_clock::time_point at)
-      : timer_(socket.get_executor(), at) {
+  SocketDeadline(asio::ip::tcp::socket& socket, SteadyTime at) : timer_(socket.get_executor(), at) {
     timer_.async_wait([alive = std::weak_ptr<int>(alive_), &socket](const error_code& error) {
       error_code ignored;
       if (!error && !alive.expired()) socket.close(ignored);
@@ -37,149 +39,162 @@
   }
 
  private:
-  std::shared_ptr<int> alive_ = std::make_shared<int>();
+  std::shared_ptr<int> alive_ = std::make_shared<int>();  // the timer's handler may outlive this object
   asio::steady_timer timer_;
 };
 
+// One message with its length prefix; absent where the connection ends or the length is out of bounds.
+asio::awaitable<std::optional<std::string>> read_message(asio::ip::tcp::socket& socket,
+                                                         std::size_t max_bytes) {
+  error_code error;
+  std::string prefix(kLengthPrefixBytes, '\0');
+  co_await asio::async_read(socket, asio::buffer(prefix), into(error));
+  const auto length = error ? std::nullopt : parse_length_prefix(prefix, max_bytes);
+  if (!length) co_return std::nullopt;
+  std::string bytes(*length, '\0');
+  co_await asio::async_read(socket, asio::buffer(bytes), into(error));
+  if (error) co_return std::nullopt;
+  co_return bytes;
+}
+
+std::string joined(const std::vector<std::string>& names) {
+  std::string text;
+  for (const auto& name : names) text += (text.empty() ? "" : ", ") + name;
+  return text;
+}
+
 }  // namespace
 
-Actor::Actor(const asio::any_io_executor& executor, Place place, recovery::DonorSelectionOptions rules,
-             Hooks hooks, Logger& log)
+Actor::Actor(const asio::any_io_executor& executor, Options options, recovery::DonorSelectionOptions rules,
+             Callbacks callbacks, Logger& log)
     : executor_(executor),
-      place_(std::move(place)),
-      hooks_(std::move(hooks)),
+      options_(std::move(options)),
+      callbacks_(std::move(callbacks)),
       log_(log),
-      learning_(rules, place_.zone, place_.seed),
-      door_(executor, {place_.at, place_.port}),
-      wake_(executor),
-      room_(kBurst),
-      filled_(hooks_.clock()) {
+      donor_selection_(rules, options_.zone, options_.seed),
+      acceptor_(executor, {options_.bind_address, options_.port}),
+      wake_timer_(executor),
+      rate_tokens_(kRequestBurst),
+      tokens_refilled_at_(callbacks_.clock()) {
   log_.line("recovery: tells others what it has learned at port " + std::to_string(port()),
             {{"event", "learning"}, {"port", std::int64_t(port())}});
 }
 
-// ---- The door ----
+void Actor::close() {
+  closed_ = true;
+  error_code ignored;
+  acceptor_.close(ignored);
+  wake_timer_.cancel();
+}
+
+// ---- Server ----
 
-bool Actor::may_give() {
-  const auto now = hooks_.clock();
-  room_ = std::min(kBurst, room_ + kPerSecond * std::chrono::duration<double>(now - filled_).count());
-  filled_ = now;
-  if (room_ < 1 || at_once_ >= kMaxAtOnce) return false;
-  room_ -= 1;
+bool Actor::admit_request() {
+  const auto now = callbacks_.clock();
+  const std::chrono::duration<double> elapsed = now - tokens_refilled_at_;
+  rate_tokens_ = std::min(kRequestBurst, rate_tokens_ + kRequestsPerSecond * elapsed.count());
+  tokens_refilled_at_ = now;
+  if (rate_tokens_ < 1 || open_connections_ >= kMaxConnections) return false;
+  rate_tokens_ -= 1;
   return true;
 }
 
-asio::awaitable<void> Actor::serve() {
-  // In a name of its own: GCC 12 destroys a temporary in a co_await expression twice.
+asio::awaitable<void> Actor::run_server() {
+  // A named variable: GCC 12 destroys a temporary in a co_await expression twice.
   const net::Take take = [this](Tcp::socket socket, const asio::ip::address& from) {
-    if (hooks_.may_ask(from) && may_give())
-      asio::co_spawn(executor_, answer(std::move(socket)), asio::detached);
+    if (callbacks_.may_request(from) && admit_request())
+      asio::co_spawn(executor_, serve_connection(std::move(socket)), asio::detached);
   };
-  co_await net::accept_each(door_, closed_, take);
-}
-
-asio::awaitable<std::optional<std::string>> Actor::read(Tcp::socket& socket, std::size_t most) {
-  error_code error;
-  std::string head(4, '\0');
-  co_await asio::async_read(socket, asio::buffer(head), into(error));
-  const auto length = error ? std::nullopt : length_of(head, most);
-  if (!length) co_return std::nullopt;
-  std::string bytes(*length, '\0');
-  co_await asio::async_read(socket, asio::buffer(bytes), into(error));
-  if (error) co_return std::nullopt;
-  co_return bytes;
+  co_await net::accept_each(acceptor_, closed_, take);
 }
 
-asio::awaitable<void> Actor::answer(Tcp::socket socket) {
-  const net::Counted counted(at_once_);
-  {
-    const Deadline dawdles(socket, std::chrono::steady_clock::now() + 2 * kDawdle);
-    const auto bytes = co_await read(socket, kMaxQuestion);
-    if (bytes) {
-      const auto decoded = decode_question(*bytes);
-      if (const auto* asked = std::get_if<Asked>(&decoded); asked && asked->cluster == place_.cluster) {
-        auto offer = hooks_.offer();
-        offer.nonce = asked->nonce;
-        const auto out = framed(encode(offer));
-        error_code error;
-        co_await asio::async_write(socket, asio::buffer(out), into(error));
-      }
-    }
-  }
+asio::awaitable<void> Actor::serve_connection(Tcp::socket socket) {
+  const net::Counted counted(open_connections_);
+  const SocketDeadline deadline(socket, std::chrono::steady_clock::now() + kConnectionTimeout);
+  const auto bytes = co_await read_message(socket, kMaxQueryBytes);
+  if (!bytes) co_return;
+  const auto decoded = decode_query(*bytes);
+  const auto* query = std::get_if<TransferQuery>(&decoded);
+  if (!query || query->cluster != options_.cluster) co_return;
+  auto response = callbacks_.make_response();
+  response.nonce = query->nonce;
+  const auto out = add_length_prefix(encode(response));
+  error_code ignored;  // the client turns to another donor
+  co_await asio::async_write(socket, asio::buffer(out), into(ignored));
 }
 
-// ---- The one who asks ----
+// ---- Client ----
 
-void Actor::begin() {
-  learning_.begin(hooks_.clock());
-  if (view_) learning_.view(*view_, hooks_.clock());
-  pending_ = true;
-  wake_.cancel();
+void Actor::start_transfer() {
+  donor_selection_.begin(callbacks_.clock());
+  if (view_) donor_selection_.view(*view_, callbacks_.clock());
+  transfer_pending_ = true;
+  wake_timer_.cancel();
 }
 
-void Actor::view(std::shared_ptr<const membership::View> newest) {
+void Actor::update_view(std::shared_ptr<const membership::View> newest) {
   view_ = std::move(newest);
-  if (!pending_) return;
-  learning_.view(*view_, hooks_.clock());
-  wake_.cancel();
-}
-
-void Actor::close() {
-  closed_ = true;
-  error_code ignored;
-  door_.close(ignored);
-  wake_.cancel();
+  if (!transfer_pending_) return;
+  donor_selection_.view(*view_, callbacks_.clock());
+  wake_timer_.cancel();
 }
 
-asio::awaitable<void> Actor::learn() {
+asio::awaitable<void> Actor::run_client() {
   while (!closed_) {
-    const auto now = hooks_.clock();
-    if (pending_) {
-      for (auto& question : learning_.ask(now))
-        asio::co_spawn(executor_, ask(std::move(question)), asio::detached);
-      if (learning_.over(now)) {
-        pending_ = false;
-        from_ = learning_.from();
-        learned_at_ = now;
-        std::string names;
-        for (const auto& n : learning_.from()) names += (names.empty() ? "" : ", ") + n;
-        log_.line("recovery: learned from " + (names.empty() ? std::string("nobody") : names),
-                  {{"event", "learned_from"}, {"names", names}});
-        hooks_.learned(learning_.result(), learning_.sources());
-      }
-    }
-    const auto next = pending_ ? learning_.next(now) : std::nullopt;
-    wake_.expires_at(next ? std::chrono::steady_clock::time_point(next->time_since_epoch())
-                          : std::chrono::steady_clock::time_point::max());
-    error_code woken;
-    co_await wake_.async_wait(into(woken));
+    const auto now = callbacks_.clock();
+    if (transfer_pending_) advance_transfer(now);
+    const auto next = transfer_pending_ ? donor_selection_.next(now) : std::nullopt;
+    wake_timer_.expires_at(next ? to_steady(*next) : SteadyTime::max());
+    error_code ignored;  // cancelled where there is something to do earlier
+    co_await wake_timer_.async_wait(into(ignored));
   }
 }
 
-asio::awaitable<void> Actor::ask(recovery::TransferRequest question) {
+void Actor::advance_transfer(TimePoint now) {
+  for (auto& request : donor_selection_.ask(now))
+    asio::co_spawn(executor_, request_from(std::move(request)), asio::detached);
+  if (donor_selection_.over(now)) finish_transfer(now);
+}
+
+void Actor::finish_transfer(TimePoint now) {
+  transfer_pending_ = false;
+  donors_ = donor_selection_.from();
+  transferred_at_ = now;
+  const auto names = joined(donors_);
+  log_.line("recovery: learned from " + (names.empty() ? std::string("nobody") : names),
+            {{"event", "learned_from"}, {"names", names}});
+  callbacks_.finished(donor_selection_.result(), donor_selection_.sources());
+}
+
+asio::awaitable<void> Actor::request_from(recovery::TransferRequest request) {
   Tcp::socket socket(executor_);
-  bool heard = false;
+  std::optional<recovery::TransferResponse> response;
   {
-    const Deadline over(socket, std::chrono::steady_clock::time_point(question.until.time_since_epoch()));
-    const auto udp = membership_udp::endpoint_of(question.at);
-    error_code error;
-    co_await socket.async_connect({udp.address(), udp.port()}, into(error));
-    if (!error) {
-      const auto out = framed(encode(Asked{place_.cluster, place_.name, question.nonce}));
-      co_await asio::async_write(socket, asio::buffer(out), into(error));
-    }
-    if (!error) {
-      if (const auto bytes = co_await read(socket, kMaxOffer)) {
-        const auto decoded = decode_offer(*bytes);
-        if (const auto* offer = std::get_if<recovery::TransferResponse>(&decoded)) {
-          heard = true;
-          learning_.answered(*offer, hooks_.clock());
-        }
-      }
-    }
+    const SocketDeadline deadline(socket, to_steady(request.until));
+    response = co_await exchange(socket, request);
   }
-  if (!heard) learning_.failed(question.nonce, hooks_.clock());
-  wake_.cancel();
+  if (response)
+    donor_selection_.answered(*response, callbacks_.clock());
+  else
+    donor_selection_.failed(request.nonce, callbacks_.clock());
+  wake_timer_.cancel();
+}
+
+asio::awaitable<std::optional<recovery::TransferResponse>> Actor::exchange(
+    Tcp::socket& socket, const recovery::TransferRequest& request) {
+  const auto udp = membership_udp::endpoint_of(request.at);
+  error_code error;
+  co_await socket.async_connect({udp.address(), udp.port()}, into(error));
+  if (error) co_return std::nullopt;
+  const auto out = add_length_prefix(encode(TransferQuery{options_.cluster, options_.name, request.nonce}));
+  co_await asio::async_write(socket, asio::buffer(out), into(error));
+  if (error) co_return std::nullopt;
+  const auto bytes = co_await read_message(socket, kMaxResponseBytes);
+  if (!bytes) co_return std::nullopt;
+  auto decoded = decode_response(*bytes);
+  auto* response = std::get_if<recovery::TransferResponse>(&decoded);
+  if (!response) co_return std::nullopt;
+  co_return std::move(*response);
 }
 
 }  // namespace granitegap::state_transfer
--- a/src/state_transfer/codec.cpp
+++ b/src/state_transfer/codec.cpp
@@ -2,95 +2,105 @@
 
 #include <algorithm>
 #include <chrono>
+#include <limits>
 
+#include "snapshot/checksum_envelope.h"
 #include "state_transfer.pb.h"
 
 namespace granitegap::state_transfer {
 namespace {
 
-constexpr char kQuestion[] = "ggq1", kOffer[] = "ggo1";
-constexpr std::size_t kMaxText = 64;
+constexpr char kQueryMagic[] = "ggq1", kResponseMagic[] = "ggo1";
+constexpr std::size_t kMaxNameBytes = 64;
 
-using snapshot::Fault;
+using snapshot::StorageErrc;
+using snapshot::StorageError;
+using snapshot::StorageResult;
 
+// The protobuf message in an envelope.
 template <class Message>
-std::variant<Message, Fault> parsed(const char* magic, std::string_view bytes, std::size_t most) {
-  const auto body = snapshot::unseal(magic, bytes, most);
-  if (const auto* fault = std::get_if<Fault>(&body)) return *fault;
-  const auto& sealed = std::get<std::string_view>(body);
-  Message m;
-  if (!m.ParseFromArray(sealed.data(), int(sealed.size()))) return Fault{"reading it", "damaged"};
-  return m;
+StorageResult<Message> parse_message(const char* magic, std::string_view bytes, std::size_t max_bytes) {
+  const auto unwrapped = snapshot::unwrap_checked(magic, bytes, max_bytes);
+  if (const auto* error = std::get_if<StorageError>(&unwrapped)) return *error;
+  const auto& body = std::get<std::string_view>(unwrapped);
+  Message message;
+  if (!message.ParseFromArray(body.data(), int(body.size())))
+    return snapshot::format_error(StorageErrc::damaged);
+  return message;
+}
+
+// Whole milliseconds, as far as the field can hold them.
+std::uint32_t to_uint32_ms(Duration duration) {
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
+  return std::uint32_t(std::clamp<std::int64_t>(ms, 0, std::numeric_limits<std::uint32_t>::max()));
 }
 
 }  // namespace
 
-std::string encode(const Asked& a) {
-  wire::TransferRequest p;
-  p.set_cluster(a.cluster);
-  p.set_name(a.name);
-  p.set_nonce(a.nonce);
-  return snapshot::seal(kQuestion, p.SerializeAsString());
+std::string encode(const TransferQuery& query) {
+  wire::TransferRequest message;
+  message.set_cluster(query.cluster);
+  message.set_name(query.name);
+  message.set_nonce(query.nonce);
+  return snapshot::wrap_with_checksum(kQueryMagic, message.SerializeAsString());
 }
 
-std::variant<Asked, Fault> decode_question(std::string_view bytes) {
-  const auto read = parsed<wire::TransferRequest>(kQuestion, bytes, kMaxQuestion);
-  if (const auto* fault = std::get_if<Fault>(&read)) return *fault;
-  const auto& p = std::get<wire::TransferRequest>(read);
-  if (p.cluster().size() > kMaxText || p.name().size() > kMaxText)
-    return Fault{"reading it", "a name is too long"};
-  return Asked{p.cluster(), p.name(), p.nonce()};
+StorageResult<TransferQuery> decode_query(std::string_view bytes) {
+  const auto parsed = parse_message<wire::TransferRequest>(kQueryMagic, bytes, kMaxQueryBytes);
+  if (const auto* error = std::get_if<StorageError>(&parsed)) return *error;
+  const auto& message = std::get<wire::TransferRequest>(parsed);
+  if (message.cluster().size() > kMaxNameBytes || message.name().size() > kMaxNameBytes)
+    return snapshot::format_error(StorageErrc::name_too_long);
+  return TransferQuery{message.cluster(), message.name(), message.nonce()};
 }
 
-std::string encode(const recovery::TransferResponse& o) {
-  using namespace std::chrono;
-  wire::TransferResponse p;
-  p.set_nonce(o.nonce);
-  p.set_by(o.by);
-  p.set_boot_id(std::uint64_t(o.boot_id));
-  p.set_in_service(o.in_service);
-  p.set_sure(o.sure);
-  p.set_view_age_ms(std::uint32_t(
-      std::clamp<std::int64_t>(duration_cast<milliseconds>(o.view_age).count(), 0, 0xffffffff)));
-  // Its stamp is nobody's: what it holds is as of now, and its pieces carry their ages.
-  if (o.in_service) {
-    snapshot::Snapshot inner;
-    inner.what = o.what;
-    p.set_warm_state(snapshot::encode(inner));
+std::string encode(const recovery::TransferResponse& response) {
+  wire::TransferResponse message;
+  message.set_nonce(response.nonce);
+  message.set_by(response.by);
+  message.set_boot_id(std::uint64_t(response.boot_id));
+  message.set_in_service(response.in_service);
+  message.set_sure(response.sure);
+  message.set_view_age_ms(to_uint32_ms(response.view_age));
+  if (response.in_service) {
+    // Without a time stamp: the state is as of now, and its elements carry their ages.
+    snapshot::Snapshot snapshot;
+    snapshot.state = response.what;
+    message.set_warm_state(snapshot::encode(snapshot));
   }
-  return snapshot::seal(kOffer, p.SerializeAsString());
+  return snapshot::wrap_with_checksum(kResponseMagic, message.SerializeAsString());
 }
 
-std::variant<recovery::TransferResponse, Fault> decode_offer(std::string_view bytes) {
-  const auto read = parsed<wire::TransferResponse>(kOffer, bytes, kMaxOffer);
-  if (const auto* fault = std::get_if<Fault>(&read)) return *fault;
-  const auto& p = std::get<wire::TransferResponse>(read);
-  if (p.by().size() > kMaxText) return Fault{"reading it", "a name is too long"};
-  recovery::TransferResponse o;
-  o.nonce = p.nonce();
-  o.by = p.by();
-  o.boot_id = membership::BootId(p.boot_id());
-  o.in_service = p.in_service();
-  o.sure = p.sure();
-  o.view_age = std::chrono::milliseconds(p.view_age_ms());
-  if (!o.in_service) return o;
-  auto inner = snapshot::decode_snapshot(p.warm_state());
-  if (const auto* fault = std::get_if<Fault>(&inner)) return *fault;
-  o.what = std::move(std::get<snapshot::Snapshot>(inner).what);
-  return o;
+StorageResult<recovery::TransferResponse> decode_response(std::string_view bytes) {
+  const auto parsed = parse_message<wire::TransferResponse>(kResponseMagic, bytes, kMaxResponseBytes);
+  if (const auto* error = std::get_if<StorageError>(&parsed)) return *error;
+  const auto& message = std::get<wire::TransferResponse>(parsed);
+  if (message.by().size() > kMaxNameBytes) return snapshot::format_error(StorageErrc::name_too_long);
+  recovery::TransferResponse response;
+  response.nonce = message.nonce();
+  response.by = message.by();
+  response.boot_id = membership::BootId(message.boot_id());
+  response.in_service = message.in_service();
+  response.sure = message.sure();
+  response.view_age = std::chrono::milliseconds(message.view_age_ms());
+  if (!response.in_service) return response;
+  auto decoded = snapshot::decode_snapshot(message.warm_state());
+  if (const auto* error = std::get_if<StorageError>(&decoded)) return *error;
+  response.what = std::move(std::get<snapshot::Snapshot>(decoded).state);
+  return response;
 }
 
-std::string framed(std::string_view bytes) {
+std::string add_length_prefix(std::string_view bytes) {
   std::string out;
   for (int shift = 24; shift >= 0; shift -= 8) out += char(bytes.size() >> shift & 0xff);
   return out.append(bytes);
 }
 
-std::optional<std::size_t> length_of(std::string_view head, std::size_t most) {
-  if (head.size() != 4) return std::nullopt;
+std::optional<std::size_t> parse_length_prefix(std::string_view prefix, std::size_t max_length) {
+  if (prefix.size() != kLengthPrefixBytes) return std::nullopt;
   std::size_t length = 0;
-  for (const char c : head) length = length << 8 | std::uint8_t(c);
-  if (length == 0 || length > most) return std::nullopt;
+  for (const char byte : prefix) length = length << 8 | std::uint8_t(byte);
+  if (length == 0 || length > max_length) return std::nullopt;
   return length;
 }
 
--- a/src/state_transfer/codec.h
+++ b/src/state_transfer/codec.h
@@ -1,31 +1,38 @@
-// The bytes of a question and of an offer; no I/O. What can't be believed is a Fault, and is counted by
-// whoever reads it.
+// The messages of the warm-state transfer: a query and its response, in checksum envelopes of magic numbers
+// "ggq1" and "ggo1" (snapshot/checksum_envelope.h), and the length prefix in front of each on a connection.
+//
+// Pure functions without I/O. What can't be decoded is a StorageError, as for the stored files.
 #pragma once
+#include <cstddef>
+#include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
-#include <variant>
 
 #include "recovery/donor_selection.h"
 #include "snapshot/snapshot.h"
 
 namespace granitegap::state_transfer {
 
-inline constexpr std::size_t kMaxQuestion = 256,
-                             kMaxOffer = snapshot::kMaxSnapshot + 1024;  // bytes, sealed
+inline constexpr std::size_t kMaxQueryBytes = 256;  // with the envelope
+inline constexpr std::size_t kMaxResponseBytes = snapshot::kMaxSnapshotBytes + 1024;
+inline constexpr std::size_t kLengthPrefixBytes = 4;
 
-struct Asked {
-  std::string cluster, name;
-  std::uint64_t nonce = 0;
+// Asks a peer for its warm state.
+struct TransferQuery {
+  std::string cluster;      // a peer of another cluster does not respond
+  std::string name;         // of the process that asks
+  std::uint64_t nonce = 0;  // returned in the response
 };
 
-std::string encode(const Asked& asked);
-std::variant<Asked, snapshot::Fault> decode_question(std::string_view bytes);
-std::string encode(const recovery::TransferResponse& offer);
-std::variant<recovery::TransferResponse, snapshot::Fault> decode_offer(std::string_view bytes);
+[[nodiscard]] std::string encode(const TransferQuery& query);
+[[nodiscard]] snapshot::StorageResult<TransferQuery> decode_query(std::string_view bytes);
+[[nodiscard]] std::string encode(const recovery::TransferResponse& response);
+[[nodiscard]] snapshot::StorageResult<recovery::TransferResponse> decode_response(std::string_view bytes);
 
-// With its length in front; and the length, absent where it is over `most` or nothing at all.
-std::string framed(std::string_view bytes);
-std::optional<std::size_t> length_of(std::string_view head, std::size_t most);
+// The bytes with their length in front, as kLengthPrefixBytes big-endian bytes.
+[[nodiscard]] std::string add_length_prefix(std::string_view bytes);
+// The length that a prefix announces; absent where it is zero or over `max_length`.
+[[nodiscard]] std::optional<std::size_t> parse_length_prefix(std::string_view prefix, std::size_t max_length);
 
 }  // namespace granitegap::state_transfer
--- a/tests/operation_unit_test.cpp
+++ b/tests/operation_unit_test.cpp
@@ -18,8 +18,8 @@
 
 using namespace std::chrono_literals;
 using hot_restart::KeyLeaseTable;
+using hot_restart::LeaseDecision;
 using hot_restart::SharedLeaseTable;
-using hot_restart::Verdict;
 using lifecycle::Lifecycle;
 using lifecycle::Phase;
 
@@ -77,9 +77,10 @@
 // ---- The operators' calls ----
 
 std::string answer_to(std::string_view line) {
-  const auto call = admin::parse(line);
-  const auto* bad = std::get_if<admin::BadCall>(&call);
-  return bad ? "ERR " + bad->why : "call " + std::to_string(int(std::get<admin::Call>(call)));
+  const auto call = admin::parse_command(line);
+  const auto* bad = std::get_if<admin::CommandError>(&call);
+  return bad ? std::string("ERR ") + admin::text_of(*bad)
+             : "call " + std::to_string(int(std::get<admin::Command>(call)));
 }
 
 TEST(Admin, LinesThatAreCallsAndLinesThatAreNot) {
@@ -95,19 +96,19 @@
 }
 
 TEST(Admin, BytesComeInAnyPiecesAndALineHasAnEnd) {
-  admin::Reader pieces;
+  admin::CommandReader pieces;
   EXPECT_FALSE(pieces.add("hea"));
   EXPECT_FALSE(pieces.add("lth\r"));
   const auto call = pieces.add("\nquiesce\n");  // one line a connection
   ASSERT_TRUE(call);
-  EXPECT_EQ(std::get<admin::Call>(*call), admin::Call::health);
-  admin::Reader endless;
+  EXPECT_EQ(std::get<admin::Command>(*call), admin::Command::health);
+  admin::CommandReader endless;
   std::size_t given = 0;
-  std::optional<std::variant<admin::Call, admin::BadCall>> told;
-  for (; !told && given < 10 * admin::kMaxLine; given += 10) told = endless.add("xxxxxxxxxx");
+  std::optional<admin::CommandResult> told;
+  for (; !told && given < 10 * admin::kMaxLineBytes; given += 10) told = endless.add("xxxxxxxxxx");
   ASSERT_TRUE(told);
-  EXPECT_EQ(std::get<admin::BadCall>(*told).why, "line too long");
-  EXPECT_LE(given, admin::kMaxLine + 20);
+  EXPECT_STREQ(admin::text_of(std::get<admin::CommandError>(*told)), "line too long");
+  EXPECT_LE(given, admin::kMaxLineBytes + 20);
 }
 
 // ---- KeyLeaseTable ----
@@ -116,44 +117,45 @@
 hot_restart::UnixTime at(Duration since) { return hot_restart::UnixTime(Duration(1764576000s) + since); }
 
 struct Memory {
-  hot_restart::Head head;
-  std::vector<hot_restart::KeyLease> places = std::vector<hot_restart::KeyLease>(256);
-  KeyLeaseTable claims() { return {head, places}; }
-  Memory() { claims().adopt(at(0s), kSpan); }
-  Verdict claim(const std::string& token, std::uint64_t boot_id, Duration reached,
-                std::optional<Duration> now = {}) {
-    return claims().claim(hot_restart::token_of("report", token), at(reached), kSpan, boot_id,
-                          at(now.value_or(reached)), kSpan);
+  hot_restart::LeaseTableHeader head;
+  std::vector<hot_restart::KeyLease> slots = std::vector<hot_restart::KeyLease>(256);
+  KeyLeaseTable claims() { return {head, slots}; }
+  Memory() { EXPECT_TRUE(claims().adopt(at(0s), kSpan)); }
+  LeaseDecision acquire(const std::string& token, std::uint64_t boot_id, Duration reached,
+                        std::optional<Duration> now = {}) {
+    return claims().acquire(hot_restart::hash_key("report", token), at(reached), kSpan, boot_id,
+                            at(now.value_or(reached)), kSpan);
   }
 };
 
 TEST(KeyLeaseTable, ATokenIsOneProcesssForItsWindowInEitherOrder) {
   Memory m;
-  EXPECT_EQ(m.claim("a", 1, 0s), Verdict::mine);
-  EXPECT_EQ(m.claim("a", 2, 1s), Verdict::theirs);
-  EXPECT_EQ(m.claim("a", 2, 10s, 11s), Verdict::theirs);  // came in the window, was read after it
-  EXPECT_EQ(m.claim("a", 2, 10s + 1us), Verdict::mine);
-  EXPECT_EQ(m.claim("a", 1, 11s), Verdict::theirs);
-  EXPECT_EQ(m.claim("b", 2, 11s), Verdict::mine);
-  EXPECT_EQ(m.claim("b", 1, 11s), Verdict::theirs);
+  EXPECT_EQ(m.acquire("a", 1, 0s), LeaseDecision::acquired);
+  EXPECT_EQ(m.acquire("a", 2, 1s), LeaseDecision::held_by_other);
+  EXPECT_EQ(m.acquire("a", 2, 10s, 11s),
+            LeaseDecision::held_by_other);  // came in the window, was read after it
+  EXPECT_EQ(m.acquire("a", 2, 10s + 1us), LeaseDecision::acquired);
+  EXPECT_EQ(m.acquire("a", 1, 11s), LeaseDecision::held_by_other);
+  EXPECT_EQ(m.acquire("b", 2, 11s), LeaseDecision::acquired);
+  EXPECT_EQ(m.acquire("b", 1, 11s), LeaseDecision::held_by_other);
 }
 
 TEST(KeyLeaseTable, WhatTheKernelNeverRanIsGivenBackByWhoeverClaimedIt) {
   Memory m;
-  m.claim("a", 1, 0s);
-  m.claims().never_ran(hot_restart::token_of("report", "a"), 2);
-  EXPECT_EQ(m.claim("a", 2, 1s), Verdict::theirs);
-  m.claims().never_ran(hot_restart::token_of("report", "a"), 1);
-  EXPECT_EQ(m.claim("a", 2, 1s), Verdict::mine);
+  m.acquire("a", 1, 0s);
+  m.claims().release(hot_restart::hash_key("report", "a"), 2);
+  EXPECT_EQ(m.acquire("a", 2, 1s), LeaseDecision::held_by_other);
+  m.claims().release(hot_restart::hash_key("report", "a"), 1);
+  EXPECT_EQ(m.acquire("a", 2, 1s), LeaseDecision::acquired);
 }
 
 TEST(KeyLeaseTable, AFullTableIsDoubtAndAgedClaimsMakeRoom) {
   Memory m;
   int doubts = 0;
-  for (int i = 0; i < 1000; ++i) doubts += m.claim(std::to_string(i), 1, 0s) == Verdict::doubt;
+  for (int i = 0; i < 1000; ++i) doubts += m.acquire(std::to_string(i), 1, 0s) == LeaseDecision::unknown;
   EXPECT_GE(doubts, 1000 - 256);
-  EXPECT_LE(m.claims().in_force(at(0s)), 256u);
-  EXPECT_EQ(m.claim("fresh", 1, 60s), Verdict::mine);
+  EXPECT_LE(m.claims().count_active(at(0s)), 256u);
+  EXPECT_EQ(m.acquire("fresh", 1, 60s), LeaseDecision::acquired);
 }
 
 // Every byte of a record spoilt in turn: whatever it makes of it, the token does not run again.
@@ -161,26 +163,26 @@
   for (std::size_t byte = 0; byte < sizeof(hot_restart::KeyLease); ++byte)
     for (const unsigned char flip : {std::uint8_t{0x01}, std::uint8_t{0x80}, std::uint8_t{0xff}}) {
       Memory m;
-      ASSERT_EQ(m.claim("a", 1, 0s), Verdict::mine);
-      for (auto& place : m.places)
-        if (place.check != 0) reinterpret_cast<unsigned char*>(&place)[byte] ^= flip;
-      EXPECT_NE(m.claim("a", 2, 1s), Verdict::mine) << "byte " << byte;
-      EXPECT_NE(m.claim("other", 2, 1s), Verdict::mine)
+      ASSERT_EQ(m.acquire("a", 1, 0s), LeaseDecision::acquired);
+      for (auto& slot : m.slots)
+        if (slot.checksum != 0) reinterpret_cast<unsigned char*>(&slot)[byte] ^= flip;
+      EXPECT_NE(m.acquire("a", 2, 1s), LeaseDecision::acquired) << "byte " << byte;
+      EXPECT_NE(m.acquire("other", 2, 1s), LeaseDecision::acquired)
           << "what stood there could have been it; byte " << byte;
     }
 }
 
 TEST(KeyLeaseTable, AfterDamageAllWaitsForOneWindowAndNoLonger) {
   Memory m;
-  m.claim("a", 1, 0s);
+  m.acquire("a", 1, 0s);
   m.head.magic ^= 1;
   EXPECT_FALSE(m.claims().adopt(at(1s), kSpan));
-  EXPECT_EQ(m.claim("b", 2, 2s), Verdict::doubt);
-  EXPECT_EQ(m.claim("b", 2, 11s), Verdict::mine);
+  EXPECT_EQ(m.acquire("b", 2, 2s), LeaseDecision::unknown);
+  EXPECT_EQ(m.acquire("b", 2, 11s), LeaseDecision::acquired);
   Memory back;  // a clock that was far ahead, and is right again
-  back.claim("a", 1, 1h);
-  EXPECT_EQ(back.claim("a", 2, 0s), Verdict::doubt);
-  EXPECT_EQ(back.claim("a", 2, 10s), Verdict::mine);
+  back.acquire("a", 1, 1h);
+  EXPECT_EQ(back.acquire("a", 2, 0s), LeaseDecision::unknown);
+  EXPECT_EQ(back.acquire("a", 2, 10s), LeaseDecision::acquired);
 }
 
 // Two processes and an earlier life at random, against a model that knows when each token ran last.
@@ -194,7 +196,7 @@
       const auto token = std::to_string(random() % 30);
       const Duration reached = std::max(now - Duration(random() % 4000000), Duration{});
       const std::uint64_t boot_id = 1 + random() % 3;
-      if (m.claim(token, boot_id, reached, now) != Verdict::mine) {
+      if (m.acquire(token, boot_id, reached, now) != LeaseDecision::acquired) {
         ++refused;
         continue;
       }
@@ -229,25 +231,25 @@
   Folder f;
   auto one = f.open(1);
   auto& old = std::get<SharedLeaseTable>(one);
-  old.serves();
-  EXPECT_FALSE(old.another_serves());
+  old.mark_serving();
+  EXPECT_FALSE(old.another_process_serves());
   {
     auto two = f.open(2);
     auto& fresh = std::get<SharedLeaseTable>(two);
-    EXPECT_TRUE(fresh.another_serves());
-    EXPECT_FALSE(old.another_serves());  // it is there, and can't serve yet
-    fresh.serves();
-    EXPECT_TRUE(old.another_serves());
-    const auto token = hot_restart::token_of("report", "a");
-    EXPECT_EQ(fresh.claim(token, at(0s), kSpan, at(0s)), Verdict::mine);
-    EXPECT_EQ(old.claim(token, at(0s), kSpan, at(0s)), Verdict::theirs);
+    EXPECT_TRUE(fresh.another_process_serves());
+    EXPECT_FALSE(old.another_process_serves());  // it is there, and can't serve yet
+    fresh.mark_serving();
+    EXPECT_TRUE(old.another_process_serves());
+    const auto token = hot_restart::hash_key("report", "a");
+    EXPECT_EQ(fresh.acquire(token, at(0s), kSpan, at(0s)), LeaseDecision::acquired);
+    EXPECT_EQ(old.acquire(token, at(0s), kSpan, at(0s)), LeaseDecision::held_by_other);
   }
-  EXPECT_FALSE(old.another_serves());
+  EXPECT_FALSE(old.another_process_serves());
   auto three = f.open(3);  // takes the row of the one that went
-  EXPECT_FALSE(old.another_serves());
+  EXPECT_FALSE(old.another_process_serves());
   EXPECT_EQ(
-      std::get<SharedLeaseTable>(three).claim(hot_restart::token_of("report", "a"), at(1s), kSpan, at(1s)),
-      Verdict::theirs);
+      std::get<SharedLeaseTable>(three).acquire(hot_restart::hash_key("report", "a"), at(1s), kSpan, at(1s)),
+      LeaseDecision::held_by_other);
 }
 
 TEST(SharedTables, SayWhatIsWrongWithTheFolderAndMendAFileThatIsNoTable) {
@@ -264,9 +266,11 @@
   std::ofstream(f.path + "/granitegap-n1.claims") << "something else";
   auto opened = f.open(1);
   auto& table = std::get<SharedLeaseTable>(opened);
-  EXPECT_TRUE(table.wiped());
-  EXPECT_EQ(table.claim(hot_restart::token_of("report", "a"), at(1s), kSpan, at(1s)), Verdict::doubt);
-  EXPECT_EQ(table.claim(hot_restart::token_of("report", "a"), at(11s), kSpan, at(11s)), Verdict::mine);
+  EXPECT_TRUE(table.was_reset());
+  EXPECT_EQ(table.acquire(hot_restart::hash_key("report", "a"), at(1s), kSpan, at(1s)),
+            LeaseDecision::unknown);
+  EXPECT_EQ(table.acquire(hot_restart::hash_key("report", "a"), at(11s), kSpan, at(11s)),
+            LeaseDecision::acquired);
 }
 
 }  // namespace
--- a/tests/recovery_controller_test.cpp
+++ b/tests/recovery_controller_test.cpp
@@ -494,7 +494,7 @@
   TransferResponse o{77, "n1", membership::BootId(5), true, true, 1500ms, says(5s, 9ms, 3s)};
   o.what.members = {membership::Address{{127, 0, 0, 1}, 5, false}};
   const auto bytes = state_transfer::encode(o);
-  const auto back = state_transfer::decode_offer(bytes);
+  const auto back = state_transfer::decode_response(bytes);
   ASSERT_TRUE(std::holds_alternative<TransferResponse>(back));
   const auto& read = std::get<TransferResponse>(back);
   EXPECT_EQ(read.nonce, o.nonce);
@@ -504,17 +504,19 @@
   EXPECT_EQ(read.what.endpoints, o.what.endpoints);
   EXPECT_EQ(read.what.members, o.what.members);
   for (std::size_t k = 0; k < bytes.size(); ++k) {
-    EXPECT_TRUE(std::holds_alternative<snapshot::Fault>(state_transfer::decode_offer(bytes.substr(0, k))));
+    EXPECT_TRUE(
+        std::holds_alternative<snapshot::StorageError>(state_transfer::decode_response(bytes.substr(0, k))));
     auto bad = bytes;
     bad[k] = char(bad[k] ^ 0x10);
-    EXPECT_TRUE(std::holds_alternative<snapshot::Fault>(state_transfer::decode_offer(bad))) << k;
+    EXPECT_TRUE(std::holds_alternative<snapshot::StorageError>(state_transfer::decode_response(bad))) << k;
   }
-  const auto asked = state_transfer::encode(state_transfer::Asked{"c", "n2", 9});
-  EXPECT_EQ(std::get<state_transfer::Asked>(state_transfer::decode_question(asked)).nonce, 9u);
-  EXPECT_TRUE(std::holds_alternative<snapshot::Fault>(state_transfer::decode_question(bytes)));
-  EXPECT_FALSE(state_transfer::length_of(std::string("\xff\xff\xff\xff", 4), 1000));
-  EXPECT_FALSE(state_transfer::length_of(std::string(4, '\0'), 1000));
-  EXPECT_EQ(state_transfer::length_of(state_transfer::framed(asked).substr(0, 4), 1000), asked.size());
+  const auto asked = state_transfer::encode(state_transfer::TransferQuery{"c", "n2", 9});
+  EXPECT_EQ(std::get<state_transfer::TransferQuery>(state_transfer::decode_query(asked)).nonce, 9u);
+  EXPECT_TRUE(std::holds_alternative<snapshot::StorageError>(state_transfer::decode_query(bytes)));
+  EXPECT_FALSE(state_transfer::parse_length_prefix(std::string("\xff\xff\xff\xff", 4), 1000));
+  EXPECT_FALSE(state_transfer::parse_length_prefix(std::string(4, '\0'), 1000));
+  EXPECT_EQ(state_transfer::parse_length_prefix(state_transfer::add_length_prefix(asked).substr(0, 4), 1000),
+            asked.size());
 }
 
 }  // namespace
--- a/tests/recovery_process_test.cpp
+++ b/tests/recovery_process_test.cpp
@@ -13,7 +13,8 @@
 #include <thread>
 
 #include "fleet/process_fleet.h"
-#include "snapshot/snapshot.h"
+#include "snapshot/directory_lock.h"
+#include "snapshot/snapshot_files.h"
 #include "standin/caller.h"
 #include "standin/dependency.h"
 
@@ -203,8 +204,8 @@
 }
 
 std::size_t members_in(const std::filesystem::path& folder) {
-  const auto newest = snapshot::read_newest(folder);
-  return newest.snapshot ? newest.snapshot->what.members.size() : 0;
+  const auto newest = snapshot::read_newest_snapshot(folder);
+  return newest.snapshot ? newest.snapshot->state.members.size() : 0;
 }
 
 // The only seed is gone for good: whoever restarts finds the others by what its earlier life knew. Wiped, it
@@ -246,10 +247,14 @@
     Trial f(o);
     std::filesystem::create_directories(f.folder("n0"));
     snapshot::Snapshot s;
-    s.at = snapshot::read_stamp();
-    if (old) s.at.since_boot -= 1h, s.at.unix_us -= 3'600'000'000, s.at.boot = "another";
-    s.what.by = "n0";
-    s.what.endpoints = {{"e.example.org", "127.0.0.1", 9, 30s, 2, 80ms, 0s}};
+    s.taken_at = snapshot::read_clock_stamp();
+    if (old) {
+      s.taken_at.kernel_boot_id = "another";
+      s.taken_at.since_boot -= 1h;
+      s.taken_at.unix_us -= 3'600'000'000;
+    }
+    s.state.by = "n0";
+    s.state.endpoints = {{"e.example.org", "127.0.0.1", 9, 30s, 2, 80ms, 0s}};
     ASSERT_FALSE(snapshot::write_snapshot(f.folder("n0"), snapshot::encode(s)));
     f.up();
     EXPECT_TRUE(f.until([&] { return f.says("recovery: a snapshot"); }, kLong));
@@ -297,7 +302,7 @@
   EXPECT_EQ(f.insist(kToken)->code, 0);
   snapshot::DirectoryLock busy;
   f.kill("n0");
-  ASSERT_FALSE(busy.take(f.folder("n0")));
+  ASSERT_FALSE(busy.acquire(f.folder("n0")));
   f.up();
   EXPECT_TRUE(f.until([&] { return f.says("another process holds it"); }, kLong));
   EXPECT_EQ(f.report(kOther)->code, 1);
--- a/tests/restart_quarantine_test.cpp
+++ b/tests/restart_quarantine_test.cpp
@@ -8,8 +8,9 @@
 #include <fstream>
 
 #include "deps/scatter_gather.h"
+#include "snapshot/directory_lock.h"
 #include "snapshot/shutdown_record.h"
-#include "snapshot/snapshot.h"
+#include "snapshot/snapshot_files.h"
 
 namespace granitegap {
 namespace {
@@ -92,73 +93,95 @@
   ~Folder() { std::filesystem::remove_all(path); }
 };
 
-const Ended kEnded{"n1", {"boot-1", 5000s, 1'700'000'000'000'000}};
+// The file was looked for, and is not there.
+bool has_no_record(const std::filesystem::path& directory) {
+  const auto read = read_shutdown_record(directory);
+  const auto* record = std::get_if<std::optional<ShutdownRecord>>(&read);
+  return record && !*record;
+}
+
+const ShutdownRecord kShutdownRecord{"n1", {"boot-1", 5000s, 1'700'000'000'000'000}};
 
 TEST(LifeFile, IsReadAsItWasWrittenAndTakenOnce) {
   Folder f;
-  EXPECT_TRUE(std::holds_alternative<Nothing>(read_ended(f.path)));
-  EXPECT_FALSE(write_ended(f.path, kEnded));
-  const auto back = read_ended(f.path);
-  ASSERT_TRUE(std::holds_alternative<Ended>(back));
-  EXPECT_EQ(std::get<Ended>(back).name, "n1");
-  EXPECT_EQ(std::get<Ended>(back).at.since_boot, 5000s);
-  EXPECT_FALSE(take_ended(f.path));
-  EXPECT_TRUE(std::holds_alternative<Nothing>(read_ended(f.path)));
-  EXPECT_FALSE(take_ended(f.path));
+  EXPECT_TRUE(has_no_record(f.path));
+  EXPECT_FALSE(write_shutdown_record(f.path, kShutdownRecord));
+  const auto back = read_shutdown_record(f.path);
+  ASSERT_TRUE(std::holds_alternative<std::optional<ShutdownRecord>>(back));
+  const auto& record = std::get<std::optional<ShutdownRecord>>(back);
+  ASSERT_TRUE(record);
+  EXPECT_EQ(record->name, "n1");
+  EXPECT_EQ(record->shutdown_at.since_boot, 5000s);
+  EXPECT_FALSE(remove_shutdown_record(f.path));
+  EXPECT_TRUE(has_no_record(f.path));
+  EXPECT_FALSE(remove_shutdown_record(f.path));
 }
 
 // Cut at each byte, each byte changed, something after it: believed only whole.
 TEST(LifeFile, DamageOfAnyByteIsNoticed) {
-  const auto whole = encode(kEnded);
-  ASSERT_TRUE(std::holds_alternative<Ended>(decode(whole)));
+  const auto whole = encode(kShutdownRecord);
+  ASSERT_TRUE(std::holds_alternative<ShutdownRecord>(decode_shutdown_record(whole)));
   for (std::size_t n = 0; n < whole.size(); ++n) {
-    EXPECT_TRUE(std::holds_alternative<Fault>(decode(whole.substr(0, n)))) << n;
+    EXPECT_TRUE(std::holds_alternative<StorageError>(decode_shutdown_record(whole.substr(0, n)))) << n;
     for (int bit = 0; bit < 8; ++bit) {
       auto flipped = whole;
       flipped[n] = char(flipped[n] ^ (1 << bit));
-      EXPECT_TRUE(std::holds_alternative<Fault>(decode(flipped))) << n;
+      EXPECT_TRUE(std::holds_alternative<StorageError>(decode_shutdown_record(flipped))) << n;
     }
   }
-  EXPECT_TRUE(std::holds_alternative<Fault>(decode(whole + "x")));
-  EXPECT_TRUE(std::holds_alternative<Fault>(decode(std::string(10000, 'x'))));
+  EXPECT_TRUE(std::holds_alternative<StorageError>(decode_shutdown_record(whole + "x")));
+  EXPECT_TRUE(std::holds_alternative<StorageError>(decode_shutdown_record(std::string(10000, 'x'))));
   auto version = whole;
   version[3] = '2';
-  EXPECT_EQ(std::get<Fault>(decode(version)).why, "of another version");
+  EXPECT_EQ(std::get<StorageError>(decode_shutdown_record(version)).cause, StorageErrc::other_version);
+  EXPECT_EQ(std::get<StorageError>(decode_shutdown_record(version)).message(),
+            "reading it: of another version");
 }
 
 TEST(LifeFile, OnlyOneBootsClockTellsHowLongAgo) {
-  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'700'000'004'000'000}).ended_in_order, 4s);
-  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'700'000'004'000'000}).clock_behind, 0s);
-  EXPECT_FALSE(previous_incarnation(kEnded, {"boot-2", 5004s, 1'700'000'004'000'000}).ended_in_order);
-  EXPECT_FALSE(previous_incarnation(kEnded, {"", 5004s, 1'700'000'004'000'000}).ended_in_order);
-  EXPECT_FALSE(previous_incarnation(kEnded, {"boot-1", 4000s, 1'700'000'004'000'000}).ended_in_order);
+  EXPECT_EQ(previous_incarnation(kShutdownRecord, {"boot-1", 5004s, 1'700'000'004'000'000}).ended_in_order,
+            4s);
+  EXPECT_EQ(previous_incarnation(kShutdownRecord, {"boot-1", 5004s, 1'700'000'004'000'000}).clock_behind, 0s);
+  EXPECT_FALSE(
+      previous_incarnation(kShutdownRecord, {"boot-2", 5004s, 1'700'000'004'000'000}).ended_in_order);
+  EXPECT_FALSE(previous_incarnation(kShutdownRecord, {"", 5004s, 1'700'000'004'000'000}).ended_in_order);
+  EXPECT_FALSE(
+      previous_incarnation(kShutdownRecord, {"boot-1", 4000s, 1'700'000'004'000'000}).ended_in_order);
   // The Unix clock a day ahead does not make the end older, and one set back is seen by as much.
-  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'700'086'404'000'000}).ended_in_order, 4s);
-  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'699'999'944'000'000}).clock_behind, 60s);
-  EXPECT_EQ(previous_incarnation(kEnded, {"boot-2", 4s, 1'699'999'944'000'000}).clock_behind, 56s);
+  EXPECT_EQ(previous_incarnation(kShutdownRecord, {"boot-1", 5004s, 1'700'086'404'000'000}).ended_in_order,
+            4s);
+  EXPECT_EQ(previous_incarnation(kShutdownRecord, {"boot-1", 5004s, 1'699'999'944'000'000}).clock_behind,
+            60s);
+  EXPECT_EQ(previous_incarnation(kShutdownRecord, {"boot-2", 4s, 1'699'999'944'000'000}).clock_behind, 56s);
 }
 
 TEST(LifeFile, WhatCanNotBeWrittenOrTakenSaysSo) {
   Folder f;
-  EXPECT_EQ(write_ended(f.path / "none", kEnded)->step, "creating it");
-  EXPECT_TRUE(take_ended(f.path / "none"));
+  const auto unwritten = write_shutdown_record(f.path / "none", kShutdownRecord);
+  ASSERT_TRUE(unwritten);
+  EXPECT_EQ(unwritten->step, StorageStep::create_file);
+  EXPECT_EQ(unwritten->message(), "creating it: No such file or directory");
+  EXPECT_TRUE(remove_shutdown_record(f.path / "none"));
   std::ofstream(f.path / "file") << "x";
   DirectoryLock lock;
-  EXPECT_TRUE(lock.take(f.path / "file" / "below"));
-  EXPECT_TRUE(lock.take(f.path / "file"));
+  EXPECT_TRUE(lock.acquire(f.path / "file" / "below"));
+  EXPECT_TRUE(lock.acquire(f.path / "file"));
   EXPECT_FALSE(lock.held());
   // A directory where the file should be: neither read nor taken.
   std::filesystem::create_directory(f.path / "ended");
-  EXPECT_TRUE(std::holds_alternative<Fault>(read_ended(f.path)));
-  EXPECT_TRUE(take_ended(f.path));
+  EXPECT_TRUE(std::holds_alternative<StorageError>(read_shutdown_record(f.path)));
+  EXPECT_TRUE(remove_shutdown_record(f.path));
 }
 
 TEST(LifeFile, ADirectoryHasOneOwner) {
   Folder f;
   DirectoryLock first, second;
-  EXPECT_FALSE(first.take(f.path / "state"));
-  EXPECT_EQ(second.take(f.path / "state")->why, "another process holds it");
-  EXPECT_FALSE(first.take(f.path / "state"));
+  EXPECT_FALSE(first.acquire(f.path / "state"));
+  const auto refused = second.acquire(f.path / "state");
+  ASSERT_TRUE(refused);
+  EXPECT_EQ(refused->cause, StorageErrc::lock_held);
+  EXPECT_EQ(refused->message(), "locking the directory: another process holds it");
+  EXPECT_FALSE(first.acquire(f.path / "state"));
 }
 
 // ---- What was learned ----
@@ -180,10 +203,10 @@
 Snapshot snapshot_of(const std::string& boot, Duration since_boot, std::int64_t unix_us,
                      warm_state::WarmState what) {
   Snapshot s;
-  s.at.boot = boot;
-  s.at.since_boot = since_boot;
-  s.at.unix_us = unix_us;
-  s.what = std::move(what);
+  s.taken_at.kernel_boot_id = boot;
+  s.taken_at.since_boot = since_boot;
+  s.taken_at.unix_us = unix_us;
+  s.state = std::move(what);
   return s;
 }
 
@@ -192,20 +215,21 @@
   const auto whole = encode(made);
   const auto back = decode_snapshot(whole);
   ASSERT_TRUE(std::holds_alternative<Snapshot>(back));
-  EXPECT_EQ(std::get<Snapshot>(back).what, some());
-  EXPECT_EQ(std::get<Snapshot>(back).at.unix_us, 77);
+  EXPECT_EQ(std::get<Snapshot>(back).state, some());
+  EXPECT_EQ(std::get<Snapshot>(back).taken_at.unix_us, 77);
   for (std::size_t n = 0; n < whole.size(); ++n) {
-    EXPECT_TRUE(std::holds_alternative<Fault>(decode_snapshot(whole.substr(0, n)))) << n;
+    EXPECT_TRUE(std::holds_alternative<StorageError>(decode_snapshot(whole.substr(0, n)))) << n;
     for (int bit = 0; bit < 8; ++bit) {
       auto flipped = whole;
       flipped[n] = char(flipped[n] ^ (1 << bit));
-      EXPECT_TRUE(std::holds_alternative<Fault>(decode_snapshot(flipped))) << n;
+      EXPECT_TRUE(std::holds_alternative<StorageError>(decode_snapshot(flipped))) << n;
     }
   }
   auto version = whole;
   version[3] = '9';
-  EXPECT_EQ(std::get<Fault>(decode_snapshot(version)).why, "of another version");
-  EXPECT_TRUE(std::holds_alternative<Fault>(decode_snapshot(std::string(kMaxSnapshot + 1, 'g'))));
+  EXPECT_EQ(std::get<StorageError>(decode_snapshot(version)).cause, StorageErrc::other_version);
+  EXPECT_EQ(std::get<StorageError>(decode_snapshot(version)).message(), "reading it: of another version");
+  EXPECT_TRUE(std::holds_alternative<StorageError>(decode_snapshot(std::string(kMaxSnapshotBytes + 1, 'g'))));
 }
 
 TEST(Snapshot, TheLargestThatCanBeLearnedStaysWithinItsBound) {
@@ -222,35 +246,35 @@
   }
   const auto made = snapshot_of(std::string(36, 'b'), 5s, 77, what);
   const auto bytes = encode(made);
-  EXPECT_LE(bytes.size(), kMaxSnapshot);
+  EXPECT_LE(bytes.size(), kMaxSnapshotBytes);
   ASSERT_TRUE(std::holds_alternative<Snapshot>(decode_snapshot(bytes)));
-  EXPECT_EQ(std::get<Snapshot>(decode_snapshot(bytes)).what.members.size(), warm_state::kMaxMembers);
+  EXPECT_EQ(std::get<Snapshot>(decode_snapshot(bytes)).state.members.size(), warm_state::kMaxMembers);
 }
 
 TEST(Snapshot, TheNewerWholeOneOfTwoCounts) {
   Folder f;
-  EXPECT_FALSE(read_newest(f.path).snapshot);
-  EXPECT_TRUE(read_newest(f.path).faults.empty());
+  EXPECT_FALSE(read_newest_snapshot(f.path).snapshot);
+  EXPECT_TRUE(read_newest_snapshot(f.path).errors.empty());
   for (int n = 1; n <= 3; ++n) {
     auto what = some();
     what.boot_id = std::uint64_t(n);
     const auto made = snapshot_of("boot", Duration(n), n, what);
     EXPECT_FALSE(write_snapshot(f.path, encode(made)));
-    EXPECT_EQ(read_newest(f.path).snapshot->what.boot_id, std::uint64_t(n));
+    EXPECT_EQ(read_newest_snapshot(f.path).snapshot->state.boot_id, std::uint64_t(n));
   }
   // The newest is damaged: the one before it counts, and what is wrong is named.
   for (const char* name : {"learned-a", "learned-b"}) {
     const auto read = read_snapshot_file(f.path / name);
-    if (std::get<Snapshot>(read).what.boot_id == 3) std::filesystem::resize_file(f.path / name, 20);
+    if (std::get<Snapshot>(read).state.boot_id == 3) std::filesystem::resize_file(f.path / name, 20);
   }
-  const auto newest = read_newest(f.path);
-  EXPECT_EQ(newest.snapshot->what.boot_id, 2u);
-  EXPECT_EQ(newest.faults.size(), 1u);
-  EXPECT_EQ(write_snapshot(f.path / "none", "x")->step, "creating it");
+  const auto newest = read_newest_snapshot(f.path);
+  EXPECT_EQ(newest.snapshot->state.boot_id, 2u);
+  EXPECT_EQ(newest.errors.size(), 1u);
+  EXPECT_EQ(write_snapshot(f.path / "none", "x")->step, StorageStep::create_file);
 }
 
 TEST(Snapshot, ItsAgeIsKnownByOneBootOrAUnixClockThatDoesNotStandBehind) {
-  const Stamp then{"boot", 100s, 1'000'000'000};
+  const ClockStamp then{"boot", 100s, 1'000'000'000};
   EXPECT_EQ(age_of(then, {"boot", 104s, 5}), 4s);
   EXPECT_EQ(age_of(then, {"other", 1s, 1'060'000'000}), 60s);
   EXPECT_FALSE(age_of(then, {"other", 1s, 999'999'999}));
