--- a/bench/recovery.cpp
+++ b/bench/recovery.cpp
@@ -327,7 +327,7 @@
   for (const auto& n : names) {
     for (const auto& [what, count] : f.kernel_runs(n)) {
       runs += count;
-      if (what.class_index == "trail-report" && count > 1) double_runs += count - 1;
+      if (what.cls == "trail-report" && count > 1) double_runs += count - 1;
     }
     rss = std::max(rss, resident_mb(f.pid(n)));
   }
