--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -267,12 +267,12 @@
   if (auto* errors = std::get_if<std::vector<typed_config::Error>>(&checked)) return std::move(*errors);
   const auto& v = std::get<typed_config::Value>(checked);
   Scenario s;
-  s.name = v["name"].as_text();
-  s.length = v["seconds"].as_span();
-  s.deed_at = v["at"].as_span();
-  s.deed_for = v["lasts"].as_span();
+  s.name = v["name"].as_string();
+  s.length = v["seconds"].as_duration();
+  s.deed_at = v["at"].as_duration();
+  s.deed_for = v["lasts"].as_duration();
   s.count = std::size_t(v["count"].as_int());
-  const auto& deed = v["deed"].as_text();
+  const auto& deed = v["deed"].as_string();
   s.deed = deed == "kill"         ? Deed::kill
            : deed == "pause"      ? Deed::pause
            : deed == "cut_halves" ? Deed::cut_halves
@@ -280,9 +280,9 @@
            : deed == "cut_output" ? Deed::cut_output
                                   : Deed::none;
   standin::Rule r;
-  r.loss = v["loss"].as_number();
-  r.delay = v["delay"].as_span();
-  r.spread = v["spread"].as_number();
+  r.loss = v["loss"].as_double();
+  r.delay = v["delay"].as_duration();
+  r.spread = v["spread"].as_double();
   if (r.loss > 0 || r.delay.count() > 0) s.rules.push_back(r);
   return s;
 }
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -10,7 +10,7 @@
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/asio/write.hpp>
 
-#include "net/accept.h"
+#include "net/accept_loop.h"
 
 namespace granitegap::admin {
 namespace {
@@ -58,7 +58,7 @@
 }
 
 asio::awaitable<void> AdminServer::serve() {
-  co_await net::accept_each(acceptor_, closed_, [this](tcp::socket socket, const asio::ip::address&) {
+  co_await net::accept_connections(acceptor_, closed_, [this](tcp::socket socket, const asio::ip::address&) {
     // Guards against callers that say nothing and stay: the oldest of them makes room.
     if (open_.size() >= kMaxConnections) {
       error_code ignored;
--- a/src/cache_fill_http/server.cpp
+++ b/src/cache_fill_http/server.cpp
@@ -9,7 +9,7 @@
 #include <boost/beast/core/tcp_stream.hpp>
 #include <boost/beast/http.hpp>
 
-#include "net/accept.h"
+#include "net/accept_loop.h"
 
 namespace granitegap::cache_fill_http {
 namespace {
@@ -59,16 +59,16 @@
 
 asio::awaitable<void> CacheFillServer::serve() {
   // In a name of its own: GCC 12 destroys a temporary in a co_await expression twice.
-  const net::Take take = [this](Tcp::socket socket, const asio::ip::address& from) {
+  const net::ConnectionHandler take = [this](Tcp::socket socket, const asio::ip::address& from) {
     // Guards against a fleet whose members each keep as many as they like: they ask below themselves.
     if (connections_ < kMaxConnections && hooks_.may_ask(from))
       asio::co_spawn(executor_, converse(std::move(socket)), asio::detached);
   };
-  co_await net::accept_each(door_, closed_, take);
+  co_await net::accept_connections(door_, closed_, take);
 }
 
 asio::awaitable<void> CacheFillServer::converse(Tcp::socket socket) {
-  const net::Counted counted(connections_);
+  const net::ScopedCount counted(connections_);
   error_code error;
   socket.set_option(Tcp::no_delay(true), error);
   beast::tcp_stream stream(std::move(socket));
--- a/src/frames/frames.cpp
+++ b/src/frames/frames.cpp
@@ -115,7 +115,7 @@
 
 }  // namespace
 
-bool UsedStreams::take(std::uint32_t stream) {
+bool StreamIdTracker::take(std::uint32_t stream) {
   if (stream <= all_up_to_ || !later_.insert(stream).second) return false;
   while (!later_.empty() && (*later_.begin() == all_up_to_ + 1 || later_.size() > kMaxApart)) {
     all_up_to_ = *later_.begin();
@@ -124,7 +124,7 @@
   return true;
 }
 
-void Reader::add(std::string_view bytes) {
+void FrameDecoder::add(std::string_view bytes) {
   const auto skipped = std::min(skip_, bytes.size());
   skip_ -= skipped;
   bytes.remove_prefix(skipped);
@@ -136,13 +136,13 @@
 }
 
 // Guards against connections that hold for good the room their last request took.
-void Reader::release() {
+void FrameDecoder::release() {
   if (at_ < buffer_.size()) return;
   std::string().swap(buffer_);
   at_ = 0;
 }
 
-std::optional<Message> Reader::next() {
+std::optional<Message> FrameDecoder::next() {
   if (broken_) return std::nullopt;
   const auto left = std::string_view(buffer_).substr(at_);
   if (left.empty()) release();
@@ -150,7 +150,7 @@
   const std::size_t length = big_endian(left.substr(0, kLengthBytes));
   if (length < kHeadBytes || length > kMaxFrame) {
     broken_ = true;
-    return BadStream{"frame of " + std::to_string(length) + " bytes"};
+    return ProtocolError{"frame of " + std::to_string(length) + " bytes"};
   }
   if (left.size() < kLengthBytes + kHeadBytes) return std::nullopt;
   const auto type = std::uint8_t(left[kLengthBytes]);
@@ -160,30 +160,30 @@
     const auto here = std::min(whole, left.size());
     skip_ = whole - here;
     at_ += here;
-    if (type == kRequest && stream != 0) return BadRequest{stream, "request too large"};
+    if (type == kRequest && stream != 0) return MalformedRequest{stream, "request too large"};
     broken_ = true;
-    return BadStream{"oversize frame of type " + std::to_string(type)};
+    return ProtocolError{"oversize frame of type " + std::to_string(type)};
   }
   if (left.size() < whole) return std::nullopt;
   at_ += whole;
   auto message = decode(type, stream, left.substr(kLengthBytes + kHeadBytes, length - kHeadBytes));
-  broken_ = std::holds_alternative<BadStream>(message);
+  broken_ = std::holds_alternative<ProtocolError>(message);
   return message;
 }
 
-Message Reader::decode(std::uint8_t type, std::uint32_t stream, std::string_view payload) const {
+Message FrameDecoder::decode(std::uint8_t type, std::uint32_t stream, std::string_view payload) const {
   if (type == kRequest)
-    return stream ? decode_request(stream, payload) : Message(BadStream{"request on stream 0"});
-  if (type != kCheck) return BadStream{"frame of unknown type " + std::to_string(type)};
+    return stream ? decode_request(stream, payload) : Message(ProtocolError{"request on stream 0"});
+  if (type != kCheck) return ProtocolError{"frame of unknown type " + std::to_string(type)};
   edge::HealthCheck check{{peer_, stream}, false};
   const bool whole = read_fields(payload, [&](std::string_view name, std::string_view value) {
     if (name == "full") check.full = value == "1";
   });
-  if (!whole) return BadStream{"health check with broken fields"};
+  if (!whole) return ProtocolError{"health check with broken fields"};
   return check;
 }
 
-Message Reader::decode_request(std::uint32_t stream, std::string_view payload) const {
+Message FrameDecoder::decode_request(std::uint32_t stream, std::string_view payload) const {
   edge::Request r;
   r.from = {peer_, stream};
   r.tenant = catalog_->find_tenant({});
@@ -234,15 +234,15 @@
       r.read = object.value_or(0);
     }
   });
-  if (!whole) return BadRequest{stream, "broken fields"};
+  if (!whole) return MalformedRequest{stream, "broken fields"};
   if (!bad && !cls) bad = "method";
   if (!bad && r.rid.empty()) bad = "rid";
   if (!bad && !has_time) bad = "t0";
   if (!bad && !has_memory) bad = "mem";
   // Without a token nothing could tell its tries apart, so it could run twice.
   if (!bad && catalog_->is_keyed(*cls) && r.token.empty()) bad = "token";
-  if (bad) return BadRequest{stream, std::string("missing or unusable field ") + bad};
-  if (payload.size() > kMaxBody) return BadRequest{stream, "body too large"};
+  if (bad) return MalformedRequest{stream, std::string("missing or unusable field ") + bad};
+  if (payload.size() > kMaxBodyBytes) return MalformedRequest{stream, "body too large"};
   r.cls = *cls;
   if (!catalog_->is_keyed(r.cls)) r.token.clear();
   r.body = payload;
--- a/src/frames/frames.h
+++ b/src/frames/frames.h
@@ -11,23 +11,23 @@
 
 namespace granitegap::frames {
 
-inline constexpr std::size_t kMaxBody = 2048;
-inline constexpr std::size_t kMaxOpen = 32;  // requests on one connection
+inline constexpr std::size_t kMaxBodyBytes = 2048;
+inline constexpr std::size_t kMaxOpenRequests = 32;  // requests on one connection
 
 // A frame broken in a way that leaves its stream known: that request alone is turned away.
-struct BadRequest {
+struct MalformedRequest {
   std::uint32_t stream = 0;
   std::string why;
 };
 // Nothing after it can be trusted: the connection ends once its open requests are answered.
-struct BadStream {
+struct ProtocolError {
   std::string why;
 };
-using Message = std::variant<edge::Request, edge::HealthCheck, BadRequest, BadStream>;
+using Message = std::variant<edge::Request, edge::HealthCheck, MalformedRequest, ProtocolError>;
 
 // The streams a connection has carried: each is new there, open or long answered. Those taken a little out of
 // order are told apart; guards against a set that grows with the connection's life.
-class UsedStreams {
+class StreamIdTracker {
  public:
   bool take(std::uint32_t stream);  // false: it was used before, or lies too far behind
 
@@ -39,13 +39,13 @@
 
 // Takes bytes as they come and gives whole messages. A frame too large to be a request is skipped as its
 // bytes arrive, so that a connection's buffer stays small whatever is sent.
-class Reader {
+class FrameDecoder {
  public:
-  Reader(const edge::NameRegistry& catalog, edge::PeerId peer) : catalog_(&catalog), peer_(peer) {}
+  FrameDecoder(const edge::NameRegistry& catalog, edge::PeerId peer) : catalog_(&catalog), peer_(peer) {}
   void add(std::string_view bytes);
   std::optional<Message> next();
   // Bytes of an unfinished frame stand here when the connection ends.
-  std::size_t held_bytes() const { return buffer_.capacity(); }
+  std::size_t buffer_capacity() const { return buffer_.capacity(); }
   bool in_frame() const { return skip_ > 0 || at_ < buffer_.size(); }
 
  private:
--- a/src/kernel/line_codec.cpp
+++ b/src/kernel/line_codec.cpp
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-void Reader::add(std::string_view bytes) {
+void NoticeDecoder::add(std::string_view bytes) {
   if (at_ == buffer_.size()) {
     buffer_.clear();
     at_ = 0;
@@ -69,11 +69,11 @@
   buffer_ += bytes;
 }
 
-std::optional<Notice> Reader::next() {
+std::optional<Notice> NoticeDecoder::next() {
   if (broken_) return std::nullopt;
   const auto fail = [&](std::string why) {
     broken_ = true;
-    return Notice{0, BadLine{std::move(why)}};
+    return Notice{0, DecodeError{std::move(why)}};
   };
   auto left = std::string_view(buffer_).substr(at_);
   if (waits_) {
@@ -90,7 +90,7 @@
   const auto line = left.substr(0, end);
   at_ += end + kLineEnd.size();
   auto notice = decode(line);
-  if (const auto* bad = std::get_if<BadLine>(&notice.what)) return fail(bad->why);
+  if (const auto* bad = std::get_if<DecodeError>(&notice.what)) return fail(bad->why);
   if (!std::holds_alternative<edge::RunReport>(notice.what) &&
       !std::holds_alternative<edge::DependencyCallRequested>(notice.what))
     return notice;
@@ -98,9 +98,9 @@
   return next();
 }
 
-Notice Reader::decode(std::string_view line) {
+Notice NoticeDecoder::decode(std::string_view line) {
   const auto words = split(line);
-  const auto bad = [&] { return Notice{0, BadLine{std::string(line.substr(0, 120))}}; };
+  const auto bad = [&] { return Notice{0, DecodeError{std::string(line.substr(0, 120))}}; };
   if (words.empty()) return bad();
   const auto verb = words[0];
   if (verb == "REAP" && words.size() == 6) {
@@ -123,7 +123,7 @@
     return {*number, edge::DependencyCallRequested{std::string(words[2])}};
   }
   if (verb == "INFO" && words.size() >= 2) {
-    Info info{std::string(words[1]), {}};
+    SystemInfo info{std::string(words[1]), {}};
     for (const auto word : std::span(words).subspan(2)) {
       const auto value = to_number<float>(word);
       if (!value) return bad();
@@ -150,11 +150,11 @@
   return bad();
 }
 
-void encode_open(std::uint64_t last_notice, std::string& to) {
-  to += "OPEN " + std::to_string(last_notice) + "\r\n";
+void encode_open(std::uint64_t last_sequence, std::string& to) {
+  to += "OPEN " + std::to_string(last_sequence) + "\r\n";
 }
 
-void encode_ask(std::string_view tag, std::string& to) {
+void encode_sysinfo_request(std::string_view tag, std::string& to) {
   to += "SYSINFO ";
   to += tag;
   to += kLineEnd;
@@ -173,7 +173,7 @@
   } else if (const auto* check = std::get_if<edge::DeepCheck>(&command)) {
     to += "POST " + std::to_string(check->tag) + "\r\n";
   } else {
-    encode_ask(kGaugesTag, to);
+    encode_sysinfo_request(kGaugesTag, to);
   }
 }
 
--- a/src/kernel/line_codec.h
+++ b/src/kernel/line_codec.h
@@ -11,21 +11,21 @@
 namespace granitegap::kernel {
 
 struct IgnoredNotice {};  // carries no meaning beyond its number
-struct Info {
+struct SystemInfo {
   std::string tag;
   edge::Gauges gauges;
 };
-struct BadLine {
+struct DecodeError {
   std::string why;
 };
 struct Notice {
   std::uint64_t number = 0;  // 0: not numbered
   std::variant<edge::KernelStarted, edge::RunReport, edge::DependencyCallRequested, edge::CommandRejected,
-               Info, edge::DeepCheckDone, IgnoredNotice, BadLine>
+               SystemInfo, edge::DeepCheckDone, IgnoredNotice, DecodeError>
       what;
 };
 
-class Reader {
+class NoticeDecoder {
  public:
   void add(std::string_view bytes);
   std::optional<Notice> next();
@@ -39,8 +39,8 @@
   bool broken_ = false;
 };
 
-void encode_open(std::uint64_t last_notice, std::string& to);
-void encode_ask(std::string_view tag, std::string& to);
+void encode_open(std::uint64_t last_sequence, std::string& to);
+void encode_sysinfo_request(std::string_view tag, std::string& to);
 void encode(const edge::Command& command, const edge::NameRegistry& catalog, std::string& to);
 
 }  // namespace granitegap::kernel
--- a/src/kernel/link.cpp
+++ b/src/kernel/link.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-void Ledger::note(const edge::Command& command) {
+void CommandLog::record(const edge::Command& command) {
   if (const auto* start = std::get_if<edge::StartRun>(&command))
     runs_[start->rid] = {order_++, command, false};
   else if (const auto* resume = std::get_if<edge::ResumeRun>(&command))
@@ -37,7 +37,7 @@
 // After BOOTED numbers go up by one. One that comes before it, or leaps ahead, is of another life, unless it
 // tells the end of what was asked for here: taken at its word it would make the next notices read as replays,
 // and their requests stand unanswered.
-bool Ledger::belongs(const Notice& notice) const {
+bool CommandLog::belongs(const Notice& notice) const {
   if (booted_ && notice.number == last_ + 1) return true;
   if (const auto* report = std::get_if<edge::RunReport>(&notice.what)) return runs_.contains(report->rid);
   if (const auto* wanted = std::get_if<edge::DependencyCallRequested>(&notice.what))
@@ -45,7 +45,7 @@
   return false;
 }
 
-bool Ledger::take(const Notice& notice) {
+bool CommandLog::accept(const Notice& notice) {
   if (std::holds_alternative<edge::KernelStarted>(notice.what)) booted_ = true;
   if (notice.number) {
     if (notice.number <= last_ || !belongs(notice)) return false;
@@ -59,7 +59,7 @@
   return true;
 }
 
-std::vector<edge::Command> Ledger::to_ask_again() const {
+std::vector<edge::Command> CommandLog::commands_to_resend() const {
   std::vector<const Asked*> open;
   for (const auto& [rid, asked] : runs_) open.push_back(&asked);
   std::sort(open.begin(), open.end(), [](auto* a, auto* b) { return a->order < b->order; });
@@ -91,14 +91,14 @@
   if (std::holds_alternative<edge::AskGauges>(command)) {
     if (!ready_ || std::exchange(asked_gauges_, true)) return;  // one question at a time
   } else {
-    ledger_.note(command);
+    command_log_.record(command);
     if (!ready_) return;  // asked once the link stands
   }
   encode(command, catalog_, outgoing_);
   flush();
 }
 
-void Link::move_to(const tcp::endpoint& kernel) {
+void Link::set_endpoint(const tcp::endpoint& kernel) {
   retry_.cancel();
   if (std::exchange(kernel_, kernel) == kernel) return;  // a link that stands there goes on
   moved_ = true;
@@ -117,13 +117,13 @@
       told = false;
       continue;
     }
-    if (end.reach == Reach::up) {
+    if (end.reach == LinkProgress::up) {
       log_.line("kernel link lost: " + end.why, {{"event", "kernel_lost"}, {"why", end.why}});
       pause = kFirstRetry;
       told = false;
     } else if (!std::exchange(told, true)) {
-      log_.line((end.reach == Reach::opened ? "kernel link ended before it was up, trying on: "
-                                            : "kernel not reached, trying on: ") +
+      log_.line((end.reach == LinkProgress::opened ? "kernel link ended before it was up, trying on: "
+                                                   : "kernel not reached, trying on: ") +
                     end.why,
                 {{"event", "kernel_not_reached"}, {"why", end.why}});
     }
@@ -135,21 +135,21 @@
   }
 }
 
-asio::awaitable<LinkEnd> Link::attempt() {
+asio::awaitable<LinkOutcome> Link::attempt() {
   using namespace asio::experimental::awaitable_operators;
   socket_ = tcp::socket(executor_);
   error_code error;
   co_await socket_.async_connect(kernel_, into(error));
-  if (error || moved_) co_return LinkEnd{Reach::not_connected, error.message()};
+  if (error || moved_) co_return LinkOutcome{LinkProgress::not_connected, error.message()};
   socket_.set_option(tcp::no_delay(true), error);
   outgoing_.clear();
   ready_ = asked_gauges_ = false;
-  ledger_.link_opened();
-  encode_open(ledger_.last_notice(), outgoing_);
+  command_log_.connection_opened();
+  encode_open(command_log_.last_sequence(), outgoing_);
   const auto ended = co_await (read() || write());
   socket_.close(error);
-  const auto reach = std::exchange(ready_, false) ? Reach::up : Reach::opened;
-  co_return LinkEnd{reach, ended.index() == 0 ? std::get<0>(ended) : std::string("write failed")};
+  const auto reach = std::exchange(ready_, false) ? LinkProgress::up : LinkProgress::opened;
+  co_return LinkOutcome{reach, ended.index() == 0 ? std::get<0>(ended) : std::string("write failed")};
 }
 
 asio::awaitable<void> Link::write() {
@@ -170,7 +170,7 @@
 }
 
 asio::awaitable<std::string> Link::read() {
-  Reader reader;
+  NoticeDecoder reader;
   std::array<char, 16384> chunk;
   for (;;) {
     error_code error;
@@ -178,29 +178,29 @@
     if (error) co_return error.message();
     reader.add({chunk.data(), size});
     while (auto notice = reader.next()) {
-      if (const auto* bad = std::get_if<BadLine>(&notice->what)) co_return "unreadable line: " + bad->why;
+      if (const auto* bad = std::get_if<DecodeError>(&notice->what)) co_return "unreadable line: " + bad->why;
       co_await take(std::move(*notice));
     }
   }
 }
 
 asio::awaitable<void> Link::take(Notice notice) {
-  if (!ledger_.take(notice)) co_return;
+  if (!command_log_.accept(notice)) co_return;
   if (const auto* booted = std::get_if<edge::KernelStarted>(&notice.what)) {
     log_.line(std::string("kernel up: ") + (booted->cold ? "cold" : "warm") + ", started " +
                   std::to_string(booted->ago.count()) + " ms ago",
               {{"event", "kernel_up"},
                {"cores", booted->cold ? "cold" : "warm"},
                {"ago_ms", std::int64_t(booted->ago.count())}});
-    encode_ask(kFenceTag, outgoing_);
+    encode_sysinfo_request(kFenceTag, outgoing_);
     flush();
     co_await hand_in(*booted);
   } else if (auto* report = std::get_if<edge::RunReport>(&notice.what)) {
     co_await hand_in(std::move(*report));
-  } else if (auto* info = std::get_if<Info>(&notice.what)) {
+  } else if (auto* info = std::get_if<SystemInfo>(&notice.what)) {
     if (info->tag == kFenceTag && !ready_) {
       ready_ = true;
-      for (const auto& command : ledger_.to_ask_again()) encode(command, catalog_, outgoing_);
+      for (const auto& command : command_log_.commands_to_resend()) encode(command, catalog_, outgoing_);
       flush();
     }
     asked_gauges_ = false;
--- a/src/kernel/link.h
+++ b/src/kernel/link.h
@@ -21,16 +21,16 @@
 // A command on a lost link may or may not have been carried out. After the next link's replay of notices,
 // whose end an answer to SYSINFO marks, what is still open here is asked again: for a run that goes on that
 // changes nothing, and one whose end was replayed is no longer here, so that nothing runs twice.
-class Ledger {
+class CommandLog {
  public:
-  void note(const edge::Command& command);
+  void record(const edge::Command& command);
   // False for a notice that was read before, or that is not of this life: a kernel outlives the program, and
   // may tell of an earlier life's runs, under numbers of that life.
-  bool take(const Notice& notice);
+  bool accept(const Notice& notice);
   // A new link: what comes before its BOOTED answers nothing that was asked on it.
-  void link_opened() { booted_ = false; }
-  std::uint64_t last_notice() const { return last_; }
-  std::vector<edge::Command> to_ask_again() const;
+  void connection_opened() { booted_ = false; }
+  std::uint64_t last_sequence() const { return last_; }
+  std::vector<edge::Command> commands_to_resend() const;
 
  private:
   struct Asked {
@@ -46,9 +46,9 @@
 };
 
 // How an attempt at the link ended, and how far it had come.
-enum class Reach : std::uint8_t { not_connected, opened, up };
-struct LinkEnd {
-  Reach reach = Reach::not_connected;
+enum class LinkProgress : std::uint8_t { not_connected, opened, up };
+struct LinkOutcome {
+  LinkProgress reach = LinkProgress::not_connected;
   std::string why;
 };
 
@@ -59,13 +59,13 @@
        const edge::NameRegistry& catalog, Mail& module, Logger& log);
   boost::asio::awaitable<void> run();
   void send(const edge::Command& command);
-  bool up() const { return ready_; }
+  bool is_up() const { return ready_; }
   // The kernel's address is now this one. A link elsewhere ends, the next is tried without a pause, and the
   // ledger carries over: numbers go on and what is open is asked again.
-  void move_to(const boost::asio::ip::tcp::endpoint& kernel);
+  void set_endpoint(const boost::asio::ip::tcp::endpoint& kernel);
 
  private:
-  boost::asio::awaitable<LinkEnd> attempt();
+  boost::asio::awaitable<LinkOutcome> attempt();
   boost::asio::awaitable<void> write();
   boost::asio::awaitable<std::string> read();
   boost::asio::awaitable<void> hand_in(edge::Input input);
@@ -77,7 +77,7 @@
   const edge::NameRegistry& catalog_;
   Mail& module_;
   Logger& log_;
-  Ledger ledger_;
+  CommandLog command_log_;
   std::string outgoing_;
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer wake_, retry_;
--- a/src/load_report/load_reporter.cpp
+++ b/src/load_report/load_reporter.cpp
@@ -31,7 +31,7 @@
     log_.line("announce: report left out, mailbox full", {{"event", "report_left_out"}});
 }
 
-void LoadReporter::move_to(const asio::ip::udp::endpoint& service) { mailbox_.post_control(service); }
+void LoadReporter::set_service(const asio::ip::udp::endpoint& service) { mailbox_.post_control(service); }
 
 asio::awaitable<void> LoadReporter::run() {
   std::optional<edge::LoadReport> newest;
--- a/src/load_report/load_reporter.h
+++ b/src/load_report/load_reporter.h
@@ -20,9 +20,9 @@
   boost::asio::awaitable<void> run();
   void report(const edge::LoadReport& report);
   // Nothing more is said: another process speaks under this name now.
-  void fall_silent() { silent_ = true; }
+  void stop_reporting() { silent_ = true; }
   // The service is at this address from now on, and hears the newest report at once.
-  void move_to(const boost::asio::ip::udp::endpoint& service);
+  void set_service(const boost::asio::ip::udp::endpoint& service);
 
  private:
   using Mail = std::variant<edge::LoadReport, boost::asio::ip::udp::endpoint>;
--- a/src/log/logger.cpp
+++ b/src/log/logger.cpp
@@ -9,7 +9,7 @@
 
 namespace granitegap {
 
-Logger::Logger(std::string_view name, LogForm form)
+Logger::Logger(std::string_view name, LogFormat form)
     : name_(name),
       form_(form),
       out_(
@@ -32,7 +32,7 @@
   std::string plain;
   for (const char c : text) plain += c >= ' ' && c < 127 ? c : '?';  // what came from outside stays one line
   const auto left_out = std::exchange(left_out_, 0);
-  if (form_ == LogForm::text) {
+  if (form_ == LogFormat::text) {
     std::string out(name_);
     out += ": " + plain;
     if (left_out) out += " (" + std::to_string(left_out) + " lines left out before)";
--- a/src/log/logger.h
+++ b/src/log/logger.h
@@ -15,13 +15,13 @@
 
 namespace granitegap {
 
-enum class LogForm { text, json };
+enum class LogFormat { text, json };
 
 class Logger {
  public:
   using Clock = std::chrono::steady_clock;
   // `name`: of the tile server; it must outlive the logger.
-  explicit Logger(std::string_view name, LogForm form = LogForm::text);
+  explicit Logger(std::string_view name, LogFormat form = LogFormat::text);
   ~Logger();
   struct Field {
     Field(std::string_view n, std::string_view v) : name(n), value(v) {}
@@ -36,7 +36,7 @@
 
  private:
   std::string_view name_;
-  LogForm form_;
+  LogFormat form_;
   std::shared_ptr<spdlog::logger> out_;
   double room_ = kBurst;
   Clock::time_point filled_ = Clock::now();
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -21,7 +21,7 @@
 
 struct Options {
   std::string operator_file;
-  LogForm log = LogForm::text;
+  LogFormat log = LogFormat::text;
   bool plain = false, plain_membership = false;
 };
 
@@ -33,7 +33,7 @@
 int check(const std::string& path) {
   auto declared = operators::load(path);
   if (const auto* errors = std::get_if<operators::Errors>(&declared)) return tell(*errors);
-  auto& good = std::get<operators::Declared>(declared);
+  auto& good = std::get<operators::OperatorConfig>(declared);
   // With the platform's settings at hand its classes are held against them too.
   if (const char* platform = std::getenv("EDGE_CONFIG")) {
     const auto loaded = config::load(platform);
@@ -41,10 +41,11 @@
       std::fprintf(stderr, "granitegap: EDGE_CONFIG %s: %s\n", platform, problem->what.c_str());
       return kUnusable;
     }
-    if (const auto errors = operators::bind(good, std::get<config::Config>(loaded).catalog); !errors.empty())
+    if (const auto errors = operators::resolve_classes(good, std::get<config::Config>(loaded).catalog);
+        !errors.empty())
       return tell(errors);
   }
-  std::fputs(typed_config::print(good.filled).c_str(), stdout);
+  std::fputs(typed_config::print(good.values).c_str(), stdout);
   return 0;
 }
 
@@ -68,8 +69,8 @@
   if (!options.operator_file.empty()) {
     auto declared = operators::load(options.operator_file);
     if (const auto* errors = std::get_if<operators::Errors>(&declared)) return tell(*errors);
-    extras.declared = std::get<operators::Declared>(std::move(declared));
-    if (const auto errors = operators::bind(*extras.declared, config.catalog); !errors.empty())
+    extras.declared = std::get<operators::OperatorConfig>(std::move(declared));
+    if (const auto errors = operators::resolve_classes(*extras.declared, config.catalog); !errors.empty())
       return tell(errors);
   }
   const auto refuse = [](const std::string& what) {
@@ -88,7 +89,7 @@
     if (error) return refuse("the operators' door: not a numeric address: " + extras.admin->host);
   }
   if (const char* text = std::getenv("EDGE_FD"); text && *text) {
-    auto door = net::inherited_listener(text);
+    auto door = net::validate_inherited_listener(text);
     if (const auto* why = std::get_if<std::string>(&door)) return refuse("EDGE_FD " + *why);
     extras.listening = std::get<int>(door);
     if (const char* folder = std::getenv("TMPDIR")) extras.shared_folder = folder;
@@ -136,7 +137,7 @@
 
 // Asks a process for its view; again and again where it is to be watched.
 int members(const std::string& text, bool json, bool watch, bool recovery_report) {
-  const auto address = operators::read_address(text);
+  const auto address = operators::parse_address(text);
   if (!address) {
     std::fprintf(stderr, "granitegap: %s: expected a numeric address and a port, as 127.0.0.1:9101\n",
                  text.c_str());
@@ -178,7 +179,7 @@
   const auto add_log = [&](CLI::App& to) {
     to.add_option("--log", options.log, "Form of the log lines")
         ->transform(CLI::CheckedTransformer(
-            std::map<std::string, LogForm>{{"text", LogForm::text}, {"json", LogForm::json}}))
+            std::map<std::string, LogFormat>{{"text", LogFormat::text}, {"json", LogFormat::json}}))
         ->option_text("text|json [text]");
   };
   add_log(app);
--- a/src/net/accept.h
+++ b/src/net/accept_loop.h
@@ -13,21 +13,22 @@
 namespace granitegap::net {
 
 // Counts one while it lives, however that ends: guards against a door that an exception closes for good.
-class Counted {
+class ScopedCount {
  public:
-  explicit Counted(std::size_t& count) : count_(count) { ++count_; }
-  ~Counted() { --count_; }
-  Counted(const Counted&) = delete;
-  Counted& operator=(const Counted&) = delete;
+  explicit ScopedCount(std::size_t& count) : count_(count) { ++count_; }
+  ~ScopedCount() { --count_; }
+  ScopedCount(const ScopedCount&) = delete;
+  ScopedCount& operator=(const ScopedCount&) = delete;
 
  private:
   std::size_t& count_;
 };
 
 // Until `closed`, which whoever closes the door has set by then. `take` drops a connection by not keeping it.
-using Take = std::function<void(boost::asio::ip::tcp::socket, const boost::asio::ip::address& from)>;
-inline boost::asio::awaitable<void> accept_each(boost::asio::ip::tcp::acceptor& door, const bool& closed,
-                                                Take take) {
+using ConnectionHandler =
+    std::function<void(boost::asio::ip::tcp::socket, const boost::asio::ip::address& from)>;
+inline boost::asio::awaitable<void> accept_connections(boost::asio::ip::tcp::acceptor& door,
+                                                       const bool& closed, ConnectionHandler take) {
   namespace asio = boost::asio;
   while (!closed) {
     boost::system::error_code error;
--- a/src/net/peer.cpp
+++ b/src/net/client_connection.cpp
@@ -1,4 +1,4 @@
-#include "net/peer.h"
+#include "net/client_connection.h"
 
 #include <sys/socket.h>
 
@@ -23,7 +23,7 @@
 // Well inside the 3 s in which a client that says nothing is due its close.
 constexpr auto kFirstMessage = std::chrono::milliseconds(1500);
 constexpr auto kWholeMessage = std::chrono::milliseconds(2500);
-constexpr int kBadInARow = int(frames::kMaxOpen);
+constexpr int kBadInARow = int(frames::kMaxOpenRequests);
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
@@ -36,22 +36,23 @@
 
 }  // namespace
 
-Peer::Peer(tcp::socket socket, edge::PeerId id, const edge::NameRegistry& catalog,
-           Mailbox<edge::Input>& module, const std::optional<double>& hint, Logger& log)
+ClientConnection::ClientConnection(tcp::socket socket, edge::PeerId id, const edge::NameRegistry& catalog,
+                                   Mailbox<edge::Input>& module, const std::optional<double>& load_hint,
+                                   Logger& log)
     : socket_(std::move(socket)),
       id_(id),
-      reader_(catalog, id),
+      decoder_(catalog, id),
       module_(module),
-      hint_(hint),
+      load_hint_(load_hint),
       log_(log),
       outbox_(socket_.get_executor(), kMaxOutgoing),
-      room_(socket_.get_executor()) {
+      write_progress_(socket_.get_executor()) {
   error_code ignored;
   socket_.set_option(tcp::no_delay(true), ignored);
   socket_.non_blocking(true, ignored);
 }
 
-asio::awaitable<void> Peer::run() {
+asio::awaitable<void> ClientConnection::run() {
   using namespace asio::experimental::awaitable_operators;
   try {
     co_await (read() && write());
@@ -61,71 +62,73 @@
               {{"event", "connection_dropped"}, {"why", e.what()}});
   }
   close();
-  if (!open_.empty()) module_.post_control(edge::PeerDisconnected{id_});
+  if (!open_streams_.empty()) module_.post_control(edge::PeerDisconnected{id_});
 }
 
-void Peer::close() {
+void ClientConnection::close() {
   error_code ignored;
   if (socket_.is_open()) discard_unread();
   socket_.close(ignored);
   outbox_.close();
-  room_.cancel();
+  write_progress_.cancel();
 }
 
-void Peer::mind(Clock::time_point now) {
+void ClientConnection::enforce_timeouts(Clock::time_point now) {
   if (!socket_.is_open()) return;
-  if (unsent_ > 0 && now - sending_since_ > kStuckAfter) return close();
+  if (unsent_bytes_ > 0 && now - write_started_at_ > kStuckAfter) return close();
   // What lies unread is read first: guards against a process that stood still, or was starved, and ends
   // connections whose messages came in time.
-  if (finishing_ || crowded() || unread()) return;
-  const bool half = reader_.in_frame();
-  const bool silent = !spoke_ && !half && now - born_ > kFirstMessage;
+  if (reading_done_ || is_backpressured() || has_unread_bytes()) return;
+  const bool half = decoder_.in_frame();
+  const bool silent = !received_message_ && !half && now - opened_at_ > kFirstMessage;
   // A first message on a slow link is given as long as any other, from the connection's start.
-  const bool endless = half && now - (spoke_ ? heard_ : born_) > kWholeMessage;
+  const bool endless = half && now - (received_message_ ? last_message_at_ : opened_at_) > kWholeMessage;
   if (!silent && !endless) return;
-  fault(half ? "no end of a message" : "no message");
+  fail_connection(half ? "no end of a message" : "no message");
   error_code ignored;
   socket_.shutdown(tcp::socket::shutdown_receive, ignored);  // wakes the reader
 }
 
-void Peer::deliver(Outgoing message) {
+void ClientConnection::deliver(OutgoingMessage message) {
   // Guards against a flood of broken frames whose sender never reads: what it is owed stays bounded.
   if (!outbox_.post(std::move(message)) && !outbox_.closed()) close();
 }
 
-void Peer::finish() {
-  finishing_ = true;
-  if (idle()) outbox_.close();
+void ClientConnection::stop_reading() {
+  reading_done_ = true;
+  if (is_idle()) outbox_.close();
 }
 
-bool Peer::unread() const {
+bool ClientConnection::has_unread_bytes() const {
   error_code ignored;
   return socket_.is_open() && socket_.available(ignored) > 0;
 }
 
 // Closing over unread bytes sends a reset, which takes from the other side answers that it has not read yet.
-void Peer::discard_unread() {
+void ClientConnection::discard_unread() {
   for (int turns = 0; turns < kDiscardTurns; ++turns)
     if (::recv(socket_.native_handle(), nullptr, kDiscard, MSG_TRUNC | MSG_DONTWAIT) <= 0) return;
 }
 
-bool Peer::crowded() const { return unsent_ > kCrowdedBytes || outbox_.size() > kCrowdedOutgoing; }
+bool ClientConnection::is_backpressured() const {
+  return unsent_bytes_ > kCrowdedBytes || outbox_.size() > kCrowdedOutgoing;
+}
 
 // A peer that does not read is not read from: its answers wait here, within bounds, and stall no one else.
-asio::awaitable<void> Peer::wait_for_room() {
-  while (crowded() && socket_.is_open()) {
-    room_.expires_at(Clock::time_point::max());
+asio::awaitable<void> ClientConnection::wait_for_write_progress() {
+  while (is_backpressured() && socket_.is_open()) {
+    write_progress_.expires_at(Clock::time_point::max());
     error_code woken;
-    co_await room_.async_wait(into(woken));
+    co_await write_progress_.async_wait(into(woken));
   }
 }
 
-asio::awaitable<void> Peer::read() {
+asio::awaitable<void> ClientConnection::read() {
   // One for all connections, filled and emptied within a turn: hundreds that ask once and stay would else
   // hold a buffer each. Its size bounds what one connection has done for it in a turn.
   static std::array<char, 4096> chunk;
-  while (!finishing_) {
-    co_await wait_for_room();
+  while (!reading_done_) {
+    co_await wait_for_write_progress();
     error_code error;
     co_await socket_.async_wait(tcp::socket::wait_read, into(error));
     if (error || !socket_.is_open()) co_return close();
@@ -133,65 +136,65 @@
     if (error == asio::error::would_block || error == asio::error::try_again) continue;
     if (error == asio::error::eof) break;  // its answers are still owed
     if (error) co_return close();
-    last_used_ = Clock::now();
-    if (!reader_.in_frame()) heard_ = last_used_;  // a message begins
-    reader_.add({chunk.data(), size});
-    while (auto message = reader_.next()) {
-      spoke_ = true;
-      heard_ = last_used_;
-      if (!take(std::move(*message))) break;
+    last_active_ = Clock::now();
+    if (!decoder_.in_frame()) last_message_at_ = last_active_;  // a message begins
+    decoder_.add({chunk.data(), size});
+    while (auto message = decoder_.next()) {
+      received_message_ = true;
+      last_message_at_ = last_active_;
+      if (!handle_message(std::move(*message))) break;
     }
   }
-  finish();
+  stop_reading();
 }
 
 // An error that belongs to no request ends the connection, once what is open on it is answered.
-bool Peer::fault(std::string why) {
+bool ClientConnection::fail_connection(std::string why) {
   log_.line("bad connection: " + why, {{"event", "bad_connection"}, {"why", why}});
-  deliver(StreamError{std::move(why)});
-  finishing_ = true;
+  deliver(ConnectionError{std::move(why)});
+  reading_done_ = true;
   return false;
 }
 
 // Guards against two requests under one number: an answer to the one could be read as the other's, so the one
 // still open is failed and neither is served.
-bool Peer::claim(std::uint32_t stream) {
-  if (used_.take(stream)) return true;
-  if (open_.count(stream)) module_.post_control(edge::RequestCancelled{{id_, stream}});
-  return fault("stream used again");
+bool ClientConnection::claim_stream(std::uint32_t stream) {
+  if (stream_ids_.take(stream)) return true;
+  if (open_streams_.count(stream)) module_.post_control(edge::RequestCancelled{{id_, stream}});
+  return fail_connection("stream used again");
 }
 
-bool Peer::take(frames::Message message) {
+bool ClientConnection::handle_message(frames::Message message) {
   return std::visit(
       Overloaded{[&](edge::Request& request) {
                    const auto stream = request.from.stream;
-                   if (!claim(stream)) return false;
-                   bad_in_a_row_ = 0;
-                   const bool room = open_.size() < frames::kMaxOpen;
-                   open_.insert(stream);
-                   if (!room || !module_.post(std::move(request))) turn_away(stream);
+                   if (!claim_stream(stream)) return false;
+                   consecutive_malformed_ = 0;
+                   const bool room = open_streams_.size() < frames::kMaxOpenRequests;
+                   open_streams_.insert(stream);
+                   if (!room || !module_.post(std::move(request))) reject_malformed(stream);
                    return true;
                  },
                  [&](edge::HealthCheck& check) {
-                   ++checks_;
-                   if (!module_.post(check)) deliver(edge::HealthAnswer{check.from, false, hint_});
+                   ++pending_health_checks_;
+                   if (!module_.post(check)) deliver(edge::HealthAnswer{check.from, false, load_hint_});
                    return true;
                  },
-                 [&](frames::BadRequest& bad) {
-                   if (!claim(bad.stream)) return false;
+                 [&](frames::MalformedRequest& bad) {
+                   if (!claim_stream(bad.stream)) return false;
                    log_.line("bad request: " + bad.why, {{"event", "bad_request"}, {"why", bad.why}});
-                   open_.insert(bad.stream);
-                   turn_away(bad.stream);
+                   open_streams_.insert(bad.stream);
+                   reject_malformed(bad.stream);
                    // Guards against one that sends the same again as soon as it is turned away.
-                   return ++bad_in_a_row_ < kBadInARow || fault("too many bad requests");
+                   return ++consecutive_malformed_ < kBadInARow || fail_connection("too many bad requests");
                  },
-                 [&](frames::BadStream& bad) { return fault(std::move(bad.why)); }},
+                 [&](frames::ProtocolError& bad) { return fail_connection(std::move(bad.why)); }},
       message);
 }
 
 // Guards against a reset that takes the last answers with it: closing with bytes unread sends one. What comes
 // is dropped by the system uncopied, so that a body of any size costs little.
-asio::awaitable<void> Peer::linger() {
+asio::awaitable<void> ClientConnection::linger() {
   lingering_ = true;
   asio::steady_timer limit(socket_.get_executor(), kLinger);
   limit.async_wait([self = weak_from_this()](error_code cancelled) {
@@ -207,12 +210,12 @@
 }
 
 // Through the module's mailbox where there is room, so that this answer too carries the current hint.
-void Peer::turn_away(std::uint32_t stream) {
+void ClientConnection::reject_malformed(std::uint32_t stream) {
   if (module_.post(edge::UnusableRequest{{id_, stream}})) return;
-  deliver(edge::Answer{{id_, stream}, edge::Outcome::refused, nullptr, hint_, {}, false});
+  deliver(edge::Answer{{id_, stream}, edge::Outcome::refused, nullptr, load_hint_, {}, false});
 }
 
-asio::awaitable<void> Peer::write() {
+asio::awaitable<void> ClientConnection::write() {
   for (;;) {
     const auto messages = co_await outbox_.take();
     if (messages.empty() && outbox_.closed()) break;
@@ -220,25 +223,25 @@
     for (const auto& message : messages) {
       std::visit(Overloaded{[&](const edge::Answer& a) {
                               // The one answer of that stream: a second would find it closed.
-                              if (open_.erase(a.to.stream)) frames::encode(a, bytes);
+                              if (open_streams_.erase(a.to.stream)) frames::encode(a, bytes);
                             },
                             [&](const edge::HealthAnswer& a) {
-                              if (checks_ > 0) --checks_;
+                              if (pending_health_checks_ > 0) --pending_health_checks_;
                               frames::encode(a, bytes);
                             },
-                            [&](const StreamError& e) { frames::encode_error(e.why, bytes); },
+                            [&](const ConnectionError& e) { frames::encode_error(e.why, bytes); },
                             [&](const GoAway&) { frames::encode_goaway(bytes); }},
                  message);
     }
-    unsent_ = bytes.size();
-    sending_since_ = Clock::now();
+    unsent_bytes_ = bytes.size();
+    write_started_at_ = Clock::now();
     error_code error;
     co_await asio::async_write(socket_, asio::buffer(bytes), into(error));
-    unsent_ = 0;
-    last_used_ = Clock::now();
-    room_.cancel();
+    unsent_bytes_ = 0;
+    last_active_ = Clock::now();
+    write_progress_.cancel();
     if (error) co_return close();
-    if (finishing_ && idle()) break;
+    if (reading_done_ && is_idle()) break;
   }
   if (!socket_.is_open()) co_return;
   error_code ignored;
--- a/src/net/inherited_socket.cpp
+++ b/src/net/inherited_socket.cpp
@@ -8,7 +8,7 @@
 
 namespace granitegap::net {
 
-std::variant<int, std::string> inherited_listener(std::string_view text) {
+std::variant<int, std::string> validate_inherited_listener(std::string_view text) {
   const auto no = [&](const char* why) { return std::string(text.substr(0, 40)).append(": ").append(why); };
   int fd = -1;
   const auto* end = text.data() + text.size();
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -53,7 +53,7 @@
     }
     if (door_closed_) break;
     log_.line("accept: " + error.message(), {{"event", "accept_failed"}, {"why", error.message()}});
-    if (error == asio::error::no_descriptors) make_room();
+    if (error == asio::error::no_descriptors) evict_connection();
     retry_.expires_after(kAcceptRetry);
     co_await retry_.async_wait(asio::redirect_error(asio::use_awaitable, error));
   }
@@ -62,23 +62,23 @@
 // Guards against running out of descriptors. With no connection to spare the new one is closed at once: its
 // client goes elsewhere sooner than from a backlog that waits.
 void Listener::admit(tcp::socket socket) {
-  if (peers_.size() < max_peers_ || make_room()) return start_peer(std::move(socket));
+  if (peers_.size() < max_peers_ || evict_connection()) return start_connection(std::move(socket));
   log_.line("accept: closed at once, every connection is in use", {{"event", "accept_full"}});
 }
 
-asio::awaitable<void> Listener::mind_peers() {
+asio::awaitable<void> Listener::enforce_timeouts() {
   for (;;) {
     look_.expires_after(kLook);
     error_code woken;
     co_await look_.async_wait(asio::redirect_error(asio::use_awaitable, woken));
-    const auto now = Peer::Clock::now();
-    for (const auto& [id, peer] : peers_) peer->mind(now);
+    const auto now = ClientConnection::Clock::now();
+    for (const auto& [id, peer] : peers_) peer->enforce_timeouts(now);
   }
 }
 
-void Listener::start_peer(tcp::socket socket) {
+void Listener::start_connection(tcp::socket socket) {
   const edge::PeerId id{next_peer_++};
-  auto peer = std::make_shared<Peer>(std::move(socket), id, catalog_, module_, hint_, log_);
+  auto peer = std::make_shared<ClientConnection>(std::move(socket), id, catalog_, module_, hint_, log_);
   peers_.emplace(id, peer);
   asio::co_spawn(
       executor_, [peer]() -> asio::awaitable<void> { co_await peer->run(); },
@@ -91,22 +91,22 @@
 // one idle for longest; one with a message or a check on its way only where there is no other. Never one that
 // was used a moment ago, whose client may still be reading its answer, nor one in whose socket bytes lie
 // unread, as these may be a request.
-bool Listener::make_room() {
-  const auto settled_by = Peer::Clock::now() - kFresh;
-  const auto rank = [&](const Peer& p) {
-    if (p.last_used() >= settled_by) return 0;
-    if (p.lingering()) return 4;
-    if (!p.idle() || p.unread()) return 0;
-    return p.in_message() || p.awaits_check() ? 1 : p.spoke() ? 2 : 3;
+bool Listener::evict_connection() {
+  const auto settled_by = ClientConnection::Clock::now() - kFresh;
+  const auto rank = [&](const ClientConnection& p) {
+    if (p.last_active() >= settled_by) return 0;
+    if (p.is_lingering()) return 4;
+    if (!p.is_idle() || p.has_unread_bytes()) return 0;
+    return p.has_partial_message() || p.has_pending_health_check() ? 1 : p.received_message() ? 2 : 3;
   };
-  std::shared_ptr<Peer> spare;
+  std::shared_ptr<ClientConnection> spare;
   int best = 0;
   std::size_t open = 0;
   for (const auto& [id, peer] : peers_) {
     if (!peer->is_open()) continue;
     ++open;
     const int own = rank(*peer);
-    if (own > best || (own && own == best && peer->last_used() < spare->last_used())) {
+    if (own > best || (own && own == best && peer->last_active() < spare->last_active())) {
       best = own;
       spare = peer;
     }
@@ -116,44 +116,45 @@
   return spare != nullptr;
 }
 
-void Listener::deliver(const edge::Origin& to, Outgoing message) {
+void Listener::deliver(const edge::Origin& to, OutgoingMessage message) {
   if (const auto* answer = std::get_if<edge::Answer>(&message)) hint_ = answer->hint;
   if (const auto it = peers_.find(to.peer); it != peers_.end()) it->second->deliver(std::move(message));
 }
 
-void Listener::close_idle(Duration idle_for) {
-  const auto before = Peer::Clock::now() - idle_for;
+void Listener::close_idle_connections(Duration idle_for) {
+  const auto before = ClientConnection::Clock::now() - idle_for;
   for (const auto& [id, peer] : peers_)
-    if (peer->idle() && peer->heard_out() && peer->last_used() < before) peer->close();
+    if (peer->is_idle() && peer->has_read_everything() && peer->last_active() < before) peer->close();
 }
 
-void Listener::close_door() {
+void Listener::start_draining(BacklogPolicy backlog) {
   if (door_closed_) return;
-  // Closing with connections in the backlog would reset them, requests and all. Before the peers are told, as
-  // one that is being told is in use, and makes no room for those that wait.
+  // Before the GOAWAY is sent, as a connection with an answer under way is in use and can't be evicted in
+  // favour of those that wait in the backlog.
+  if (backlog == BacklogPolicy::accept) accept_backlog();
+  announce_shutdown();
+}
+
+// Closing the socket over connections in its backlog would reset them, and lose the requests on them.
+void Listener::accept_backlog() {
   error_code error;
   while (!error) {
     tcp::socket socket(executor_);
     acceptor_.accept(socket, error);
     if (!error) admit(std::move(socket));
   }
-  tell_all();
-}
-
-void Listener::leave_door() {
-  if (!door_closed_) tell_all();
 }
 
-void Listener::tell_all() {
+void Listener::announce_shutdown() {
   door_closed_ = true;
   error_code ignored;
   acceptor_.close(ignored);
   for (const auto& [id, peer] : peers_) peer->deliver(GoAway{});
 }
 
-bool Listener::at_rest() const {
+bool Listener::is_quiescent() const {
   return std::all_of(peers_.begin(), peers_.end(),
-                     [](const auto& p) { return p.second->idle() && p.second->heard_out(); });
+                     [](const auto& p) { return p.second->is_idle() && p.second->has_read_everything(); });
 }
 
 void Listener::close_all() {
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -6,10 +6,16 @@
 #include <map>
 #include <memory>
 
-#include "net/peer.h"
+#include "net/client_connection.h"
 
 namespace granitegap::net {
 
+// What happens to connections that still wait in the kernel's accept queue when a listener starts to drain.
+enum class BacklogPolicy : std::uint8_t {
+  accept,  // accepted first: closing the socket over them would reset them
+  leave,   // left to another process that holds the same listening socket
+};
+
 class Listener {
  public:
   // `sockets`: the descriptors the whole process may hold. `inherited`: a listening socket that others hold
@@ -18,25 +24,25 @@
            std::size_t sockets, const edge::NameRegistry& catalog, Mailbox<edge::Input>& module, Logger& log,
            std::optional<int> inherited = {});
   boost::asio::awaitable<void> run();
-  boost::asio::awaitable<void> mind_peers();  // what a connection must not keep for long
-  boost::asio::ip::tcp::endpoint local() const { return acceptor_.local_endpoint(); }
+  boost::asio::awaitable<void> enforce_timeouts();  // what a connection must not keep for long
+  boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
-  void deliver(const edge::Origin& to, Outgoing message);
-  void close_idle(Duration idle_for);
-  // Nothing new comes in any more: what waits in the backlog is taken, the door closed, every peer told.
-  void close_door();
-  // No answer is owed or on its way out, and nothing has come that was not heard yet.
-  bool at_rest() const;
-  // As close_door, but what waits in the backlog is left to another process that holds the socket too.
-  void leave_door();
+  void deliver(const edge::Origin& to, OutgoingMessage message);
+  void close_idle_connections(Duration idle_for);
+  // Stops accepting, closes the listening socket and sends every client a GOAWAY. Does nothing the second
+  // time.
+  void start_draining(BacklogPolicy backlog);
+  // True while no answer is owed or being sent and no received byte is waiting to be parsed.
+  bool is_quiescent() const;
   bool empty() const { return peers_.empty(); }
   // Ends every connection, none by a reset.
   void close_all();
 
  private:
-  void start_peer(boost::asio::ip::tcp::socket socket);
-  bool make_room();
-  void tell_all();
+  void start_connection(boost::asio::ip::tcp::socket socket);
+  bool evict_connection();
+  void accept_backlog();
+  void announce_shutdown();
   void admit(boost::asio::ip::tcp::socket socket);
   boost::asio::any_io_executor executor_;
   boost::asio::ip::tcp::acceptor acceptor_;
@@ -45,7 +51,7 @@
   const edge::NameRegistry& catalog_;
   Mailbox<edge::Input>& module_;
   Logger& log_;
-  std::map<edge::PeerId, std::shared_ptr<Peer>> peers_;
+  std::map<edge::PeerId, std::shared_ptr<ClientConnection>> peers_;
   std::optional<double> hint_;  // the newest that any answer carried
   std::uint64_t next_peer_ = 1;
   bool door_closed_ = false;
--- a/src/operators/operator_file.cpp
+++ b/src/operators/operator_config.cpp
@@ -1,4 +1,4 @@
-#include "operators/operator_file.h"
+#include "operators/operator_config.h"
 
 #include <algorithm>
 #include <boost/asio/ip/address.hpp>
@@ -35,7 +35,7 @@
  public:
   Reader(const std::string& file, Errors& errors) : file_(file), errors_(errors) {}
 
-  void read(const Value& top, Declared& to) {
+  void read(const Value& top, OperatorConfig& to) {
     const auto& dependencies = top["dependencies"].as_list();
     for (std::size_t i = 0; i < dependencies.size(); ++i)
       to.spec.dependencies.push_back(dependency(dependencies[i], "dependencies[" + std::to_string(i) + "]"));
@@ -43,18 +43,18 @@
     for (std::size_t i = 0; i < gathers.size(); ++i) {
       const auto path = "gathers[" + std::to_string(i) + "]";
       const auto& cls = gathers[i]["class"];
-      const auto same = [&](const auto& c) { return c.first == cls.as_text(); };
-      if (std::any_of(to.classes.begin(), to.classes.end(), same))
+      const auto same = [&](const auto& c) { return c.first == cls.as_string(); };
+      if (std::any_of(to.gather_classes.begin(), to.gather_classes.end(), same))
         fail(cls, path + ".class",
-             "class " + cls.as_text() + " has gathers twice; expected one for each class");
-      to.classes.emplace_back(cls.as_text(), cls.at);
+             "class " + cls.as_string() + " has gathers twice; expected one for each class");
+      to.gather_classes.emplace_back(cls.as_string(), cls.position);
       to.spec.gathers.push_back(gather(gathers[i], path, to.spec));
     }
-    to.spec.cache_bytes = top["cache"].as_size();
-    to.spec.remember_failures = top["remember_failures"].as_span();
-    to.connections = std::size_t(top["connections"].as_int());
+    to.spec.cache_bytes = top["cache"].as_byte_size();
+    to.spec.remember_failures = top["remember_failures"].as_duration();
+    to.dependency_connections = std::size_t(top["connections"].as_int());
     if (const auto* m = top.find("membership")) to.membership = membership(*m);
-    to.fill_port = std::uint16_t(top["fill_port"].as_int());
+    to.cache_fill_port = std::uint16_t(top["fill_port"].as_int());
     for (std::size_t i = 0; i < dependencies.size(); ++i)
       if (to.spec.dependencies[i].fleet_fill && !to.membership)
         fail(dependencies[i]["fleet_fill"], "dependencies[" + std::to_string(i) + "].fleet_fill",
@@ -65,24 +65,24 @@
              "expected membership beside it: without it nobody knows how many share it");
     if (const auto* r = top.find("recovery")) {
       const auto* folder = r->find("folder");
-      to.recovery = Declared::Recovery{(*r)["after_lost_memory"].as_text() == "wait_out",
-                                       folder ? folder->as_text() : std::string(),
-                                       (*r)["clock_back_most"].as_span(),
-                                       (*r)["snapshot_every"].as_span(),
-                                       (*r)["guided"].as_bool(),
-                                       (*r)["first"].as_number(),
-                                       (*r)["growth"].as_number(),
-                                       (*r)["wait_bound"].as_number(),
-                                       (*r)["learn_most"].as_span(),
-                                       std::uint16_t((*r)["donate_port"].as_int()),
-                                       (*r)["pause_most"].as_span(),
-                                       (*r)["calm_for"].as_span()};
+      to.recovery = OperatorConfig::Recovery{(*r)["after_lost_memory"].as_string() == "wait_out",
+                                             folder ? folder->as_string() : std::string(),
+                                             (*r)["clock_back_most"].as_duration(),
+                                             (*r)["snapshot_every"].as_duration(),
+                                             (*r)["guided"].as_bool(),
+                                             (*r)["first"].as_double(),
+                                             (*r)["growth"].as_double(),
+                                             (*r)["wait_bound"].as_double(),
+                                             (*r)["learn_most"].as_duration(),
+                                             std::uint16_t((*r)["donate_port"].as_int()),
+                                             (*r)["pause_most"].as_duration(),
+                                             (*r)["calm_for"].as_duration()};
     }
   }
 
  private:
   void fail(const Value& where, const std::string& field, std::string what) {
-    errors_.push_back({file_, where.at, field, std::move(what)});
+    errors_.push_back({file_, where.position, field, std::move(what)});
   }
   template <class T>
   void in_order(const Value& v, const char* least, const char* most, T low, T high, const std::string& path) {
@@ -91,7 +91,7 @@
 
   deps::DependencySpec dependency(const Value& v, const std::string& path) {
     deps::DependencySpec d;
-    d.name = v["name"].as_text();
+    d.name = v["name"].as_string();
     if (!std::all_of(d.name.begin(), d.name.end(),
                      [](char c) { return c > ' ' && c < 127 && c != '/' && c != '@'; }))
       fail(v["name"], path + ".name", "expected a host's name, as it stands in Host");
@@ -99,7 +99,7 @@
     const auto& endpoints = v["endpoints"].as_list();
     for (std::size_t i = 0; i < endpoints.size(); ++i) {
       const auto here = path + ".endpoints[" + std::to_string(i) + "]";
-      const auto e = endpoint(endpoints[i].as_text());
+      const auto e = endpoint(endpoints[i].as_string());
       if (!e)
         fail(endpoints[i], here, "expected a numeric address and a port, as \"127.0.0.1:9001\"");
       else if (std::find(d.endpoints.begin(), d.endpoints.end(), *e) != d.endpoints.end())
@@ -108,30 +108,30 @@
         d.endpoints.push_back(*e);
     }
     const auto whole = [&](const char* name) { return std::uint32_t(v[name].as_int()); };
-    d.min_timeout = v["timeout_least"].as_span();
-    d.max_timeout = v["timeout_most"].as_span();
-    d.timeout_factor = v["timeout_factor"].as_number();
+    d.min_timeout = v["timeout_least"].as_duration();
+    d.max_timeout = v["timeout_most"].as_duration();
+    d.timeout_factor = v["timeout_factor"].as_double();
     d.max_tries = whole("most_tries");
-    d.retry_share = v["retry_share"].as_number();
-    d.retry_burst = v["retry_burst"].as_number();
-    d.retry_pause = v["retry_pause"].as_span();
-    d.max_retry_pause = v["retry_pause_most"].as_span();
-    d.hedge_after = v["hedge_after"].as_number();
+    d.retry_share = v["retry_share"].as_double();
+    d.retry_burst = v["retry_burst"].as_double();
+    d.retry_pause = v["retry_pause"].as_duration();
+    d.max_retry_pause = v["retry_pause_most"].as_duration();
+    d.hedge_after = v["hedge_after"].as_double();
     d.min_open = whole("least_open");
     d.max_open = whole("most_open");
     d.fleet_open = whole("fleet_open");
     d.fleet_fill = v["fleet_fill"].as_bool();
     d.max_waiting = whole("most_waiting");
-    d.max_ejected = v["most_ejected"].as_number();
-    d.eject_for = v["eject_for"].as_span();
-    d.max_eject = v["eject_most"].as_span();
-    d.slow_start = v["slow_start"].as_span();
-    d.probe_every = v["probe_every"].as_span();
-    d.max_probe = v["probe_most"].as_span();
-    d.max_answer = v["most_answer"].as_size();
-    d.max_header = v["most_header"].as_size();
-    d.max_quiet = v["quiet_most"].as_span();
-    d.max_idle_time = v["idle_most"].as_span();
+    d.max_ejected = v["most_ejected"].as_double();
+    d.eject_for = v["eject_for"].as_duration();
+    d.max_eject = v["eject_most"].as_duration();
+    d.slow_start = v["slow_start"].as_duration();
+    d.probe_every = v["probe_every"].as_duration();
+    d.max_probe = v["probe_most"].as_duration();
+    d.max_answer = v["most_answer"].as_byte_size();
+    d.max_header = v["most_header"].as_byte_size();
+    d.max_quiet = v["quiet_most"].as_duration();
+    d.max_idle_time = v["idle_most"].as_duration();
     d.max_idle_connections = whole("most_idle");
     in_order(v, "timeout_least", "timeout_most", d.min_timeout, d.max_timeout, path);
     in_order(v, "retry_pause", "retry_pause_most", d.retry_pause, d.max_retry_pause, path);
@@ -143,7 +143,7 @@
 
   deps::GatherSpec gather(const Value& v, const std::string& path, const deps::Spec& spec) {
     deps::GatherSpec g;
-    g.budget = v["budget"].as_span();
+    g.budget = v["budget"].as_duration();
     const auto& parts = v["parts"].as_list();
     for (std::size_t i = 0; i < parts.size(); ++i)
       g.parts.push_back(part(parts[i], path + ".parts[" + std::to_string(i) + "]", spec, g.parts));
@@ -153,20 +153,20 @@
   deps::PartSpec part(const Value& v, const std::string& path, const deps::Spec& spec,
                       const std::vector<deps::PartSpec>& earlier) {
     deps::PartSpec p;
-    p.name = v["name"].as_text();
+    p.name = v["name"].as_string();
     if (p.name.find_first_of(", =\r\n") != std::string::npos)
       fail(v["name"], path + ".name", "expected a name without commas and spaces");
     if (std::any_of(earlier.begin(), earlier.end(), [&](auto& e) { return e.name == p.name; }))
       fail(v["name"], path + ".name", "a second part of this name");
     const auto& from = v["from"];
     const auto d = std::find_if(spec.dependencies.begin(), spec.dependencies.end(),
-                                [&](auto& known) { return known.name == from.as_text(); });
+                                [&](auto& known) { return known.name == from.as_string(); });
     if (d == spec.dependencies.end())
       fail(from, path + ".from",
-           "no dependency " + from.as_text() + "; expected one of " + known_names(spec));
+           "no dependency " + from.as_string() + "; expected one of " + known_names(spec));
     else
       p.dependency = std::size_t(d - spec.dependencies.begin());
-    p.path = v["path"].as_text();
+    p.path = v["path"].as_string();
     const auto parsed = deps::PathTemplate::parse(p.path);
     const auto* needs = v.find("needs");
     if (const auto* bad = std::get_if<deps::PathTemplate::Bad>(&parsed))
@@ -175,17 +175,17 @@
       fail(v["path"], path + ".path", "{needed} without needs: expected the name of an earlier part there");
     if (needs) {
       const auto e =
-          std::find_if(earlier.begin(), earlier.end(), [&](auto& k) { return k.name == needs->as_text(); });
+          std::find_if(earlier.begin(), earlier.end(), [&](auto& k) { return k.name == needs->as_string(); });
       if (e == earlier.end())
         fail(*needs, path + ".needs", "expected the name of an earlier part of this gather");
       else
         p.needs = std::size_t(e - earlier.begin());
     }
     p.required = v["required"].as_bool();
-    p.within = v["within"].as_span();
-    p.fresh_for = v["fresh_for"].as_span();
-    p.stale_for = v["stale_for"].as_span();
-    if (const auto* fallback = v.find("default")) p.fallback = fallback->as_text();
+    p.within = v["within"].as_duration();
+    p.fresh_for = v["fresh_for"].as_duration();
+    p.stale_for = v["stale_for"].as_duration();
+    if (const auto* fallback = v.find("default")) p.fallback = fallback->as_string();
     return p;
   }
 
@@ -196,12 +196,12 @@
       return std::all_of(s.begin(), s.end(), [](char c) { return c > ' ' && c < 127; });
     };
     const auto read = [&](const Value& from, const std::string& here) {
-      const auto a = read_address(from.as_text());
+      const auto a = parse_address(from.as_string());
       if (!a) fail(from, here, "expected a numeric address and a port, as \"127.0.0.1:9101\"");
       return a.value_or(membership::Address{});
     };
-    m.cluster = v["cluster"].as_text();
-    m.zone = v["zone"].as_text();
+    m.cluster = v["cluster"].as_string();
+    m.zone = v["zone"].as_string();
     if (!plain(m.cluster)) fail(v["cluster"], path + ".cluster", "expected a name without spaces");
     if (!plain(m.zone)) fail(v["zone"], path + ".zone", "expected a name without spaces");
     m.bind = read(v["bind"], path + ".bind");
@@ -230,17 +230,17 @@
       m.options.seeds.push_back(seed);
     }
     auto& o = m.options;
-    o.period = v["period"].as_span();
-    o.min_late = v["late_least"].as_span();
+    o.period = v["period"].as_duration();
+    o.min_late = v["late_least"].as_duration();
     o.indirect = unsigned(v["indirect"].as_int());
-    o.suspicion = v["suspicion"].as_number();
-    o.max_suspicion = v["suspicion_most"].as_number();
+    o.suspicion = v["suspicion"].as_double();
+    o.max_suspicion = v["suspicion_most"].as_double();
     o.confirmations = unsigned(v["confirmations"].as_int());
     o.spread = unsigned(v["spread"].as_int());
-    o.mass_share = v["mass_share"].as_number();
-    o.shrink_after = v["shrink_after"].as_span();
-    o.forget_after = v["forget_after"].as_span();
-    o.believe_for = v["believe_for"].as_span();
+    o.mass_share = v["mass_share"].as_double();
+    o.shrink_after = v["shrink_after"].as_duration();
+    o.forget_after = v["forget_after"].as_duration();
+    o.believe_for = v["believe_for"].as_duration();
     o.expected = std::size_t(v["expected"].as_int());
     o.max_members = std::size_t(v["members_most"].as_int());
     // Guards against a late word that raises one of whom nobody knows any more that it is dead.
@@ -268,34 +268,34 @@
   return document;
 }
 
-std::optional<membership::Address> read_address(const std::string& text) {
+std::optional<membership::Address> parse_address(const std::string& text) {
   const auto e = endpoint(text);
   if (!e) return std::nullopt;
   return membership_udp::address_of(boost::asio::ip::make_address(e->host), e->port);
 }
 
-std::variant<Declared, Errors> read(const typed_config::Document& document) {
+std::variant<OperatorConfig, Errors> from_document(const typed_config::Document& document) {
   auto checked = typed_config::validate(document, schema(), "#Operator");
   if (auto* errors = std::get_if<Errors>(&checked)) return std::move(*errors);
-  Declared declared;
+  OperatorConfig declared;
   declared.file = document.file;
-  declared.filled = std::get<Value>(std::move(checked));
+  declared.values = std::get<Value>(std::move(checked));
   Errors errors;
-  Reader(document.file, errors).read(declared.filled, declared);
+  Reader(document.file, errors).read(declared.values, declared);
   if (!errors.empty()) return errors;
   return declared;
 }
 
-std::variant<Declared, Errors> load(const std::string& path) {
+std::variant<OperatorConfig, Errors> load(const std::string& path) {
   const auto document = typed_config::load(path);
   if (const auto* error = std::get_if<typed_config::Error>(&document)) return Errors{*error};
-  return read(std::get<typed_config::Document>(document));
+  return from_document(std::get<typed_config::Document>(document));
 }
 
-Errors bind(Declared& declared, const edge::NameRegistry& catalog) {
+Errors resolve_classes(OperatorConfig& declared, const edge::NameRegistry& catalog) {
   Errors errors;
-  for (std::size_t i = 0; i < declared.classes.size(); ++i) {
-    const auto& [name, at] = declared.classes[i];
+  for (std::size_t i = 0; i < declared.gather_classes.size(); ++i) {
+    const auto& [name, at] = declared.gather_classes[i];
     const auto cls = catalog.find_class(name);
     if (cls)
       declared.spec.gathers[i].cls = *cls;
--- a/src/operators/operator_file.h
+++ b/src/operators/operator_config.h
@@ -16,30 +16,30 @@
 
 using Errors = std::vector<typed_config::Error>;
 
-struct Declared {
-  deps::Spec spec;                                                      // its classes are numbered by bind()
-  std::vector<std::pair<std::string, typed_config::Position>> classes;  // of the gathers, in order
-  std::size_t connections = 128;
+struct OperatorConfig {
+  deps::Spec spec;  // its classes are numbered by bind()
+  std::vector<std::pair<std::string, typed_config::Position>> gather_classes;  // of the gathers, in order
+  std::size_t dependency_connections = 128;
   std::optional<membership_udp::Settings> membership;
-  std::uint16_t fill_port = 0;
-  bool fills() const {
+  std::uint16_t cache_fill_port = 0;
+  bool cache_fill_enabled() const {
     for (const auto& d : spec.dependencies)
       if (d.fleet_fill) return membership.has_value();
     return false;
   }
   struct Recovery {
-    bool wait_out = true;  // keyed requests, after memory was lost
-    std::string folder;    // empty: none
+    bool quarantine_keys = true;  // keyed requests, after memory was lost
+    std::string directory;        // empty: none
     Duration max_clock_back{}, snapshot_every{};
     bool guided = true;  // the return to full service
     double first = 0.1, growth = 1.5, wait_bound = 1;
     Duration max_learn{};
-    std::uint16_t donate_port = 0;
+    std::uint16_t state_transfer_port = 0;
     Duration max_pause{}, calm_for{};
     bool operator==(const Recovery&) const = default;
   };
   std::optional<Recovery> recovery;
-  typed_config::Value filled;  // the file, with defaults
+  typed_config::Value values;  // the file, with defaults
   std::string file;
 };
 
@@ -47,10 +47,10 @@
 const typed_config::Document& schema();
 // A Declared, or every error there is.
 // "127.0.0.1:9101", "[::1]:9101"; absent where it is none.
-std::optional<membership::Address> read_address(const std::string& text);
-std::variant<Declared, Errors> read(const typed_config::Document& document);
-std::variant<Declared, Errors> load(const std::string& path);
+std::optional<membership::Address> parse_address(const std::string& text);
+std::variant<OperatorConfig, Errors> from_document(const typed_config::Document& document);
+std::variant<OperatorConfig, Errors> load(const std::string& path);
 // Numbers the classes as the platform's settings do; names those that it does not know.
-Errors bind(Declared& declared, const edge::NameRegistry& catalog);
+Errors resolve_classes(OperatorConfig& declared, const edge::NameRegistry& catalog);
 
 }  // namespace granitegap::operators
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -44,7 +44,7 @@
         extras.guarded);
   if (!extras.declared || !extras.declared->recovery) return edge;
   const auto& r = *extras.declared->recovery;
-  if (r.wait_out) edge.wait_out_lost_memory(r.max_clock_back, !r.folder.empty(), started);
+  if (r.quarantine_keys) edge.wait_out_lost_memory(r.max_clock_back, !r.directory.empty(), started);
   if (r.guided) {
     recovery::RecoveryOptions rules;
     rules.first = r.first;
@@ -59,7 +59,9 @@
 }
 
 std::size_t Server::sockets_for_door(const Extras& extras) {
-  return extras.declared && extras.declared->fills() ? cache_fill_http::CacheFillServer::kMaxConnections : 0;
+  return extras.declared && extras.declared->cache_fill_enabled()
+             ? cache_fill_http::CacheFillServer::kMaxConnections
+             : 0;
 }
 
 // Calls below, and the door where others ask, take their descriptors from the same limit, and never more than
@@ -68,7 +70,7 @@
   auto all = config.limits.sockets;
   if (extras.admin) all -= std::min(admin::AdminServer::kDescriptors, all / 4);
   if (!extras.declared) return all;
-  return all - std::min(extras.declared->connections + sockets_for_door(extras), all / 2);
+  return all - std::min(extras.declared->dependency_connections + sockets_for_door(extras), all / 2);
 }
 
 Server::Server(asio::io_context& context, config::Config config, Extras extras,
@@ -96,11 +98,12 @@
     }
   if (extras_.listening) share_door();
   if (!extras_.declared) return;
-  if (extras_.declared->fills()) {
+  if (extras_.declared->cache_fill_enabled()) {
     auto& m = *extras_.declared->membership;
     cache_fill_server_ = std::make_unique<cache_fill_http::CacheFillServer>(
         context.get_executor(),
-        asio::ip::tcp::endpoint(membership_udp::endpoint_of(m.bind).address(), extras_.declared->fill_port),
+        asio::ip::tcp::endpoint(membership_udp::endpoint_of(m.bind).address(),
+                                extras_.declared->cache_fill_port),
         log_);
     m.fill_port = cache_fill_server_->port();
   }
@@ -110,7 +113,7 @@
         fleet_->member().self().boot_id,
         {[this](const asio::ip::address& who) { return fleet_->may_ask(who); },
          [this](edge::CacheFillQuery asked) { return module_.mailbox().post(std::move(asked)); }});
-  if (const auto& r = extras_.declared->recovery; r && !r->folder.empty()) keep_learned(*r);
+  if (const auto& r = extras_.declared->recovery; r && !r->directory.empty()) keep_learned(*r);
   if (const auto& r = extras_.declared->recovery; r && r->guided && fleet_) learn_from_others();
   // Ends of calls always find room: the limits on open calls bound their number.
   const auto apart = config_.limits.sockets - sockets_for_peers(config_, extras_);
@@ -118,7 +121,7 @@
                   [this](deps::CallReport report) { module_.mailbox().post_control(std::move(report)); });
 }
 
-void Server::keep_learned(const operators::Declared::Recovery& recovery) {
+void Server::keep_learned(const operators::OperatorConfig::Recovery& recovery) {
   snapshot::PersistenceActor::Hooks hooks;
   hooks.found = [this](const recovery::PreviousIncarnation& found) {
     module_.mailbox().post_control(edge::PreviousIncarnationFound{found});
@@ -129,7 +132,7 @@
   };
   hooks.collect = [this] { return collect(); };
   persistence_ =
-      std::make_unique<snapshot::PersistenceActor>(context_.get_executor(), recovery.folder, config_.name,
+      std::make_unique<snapshot::PersistenceActor>(context_.get_executor(), recovery.directory, config_.name,
                                                    recovery.snapshot_every, std::move(hooks), log_);
 }
 
@@ -179,7 +182,7 @@
                                      config_.name,
                                      m.zone,
                                      membership_udp::endpoint_of(m.bind).address(),
-                                     extras_.declared->recovery->donate_port,
+                                     extras_.declared->recovery->state_transfer_port,
                                      config_.seed ^ std::uint64_t(member.self().boot_id)};
   recovery::DonorSelectionOptions rules;
   rules.most = extras_.declared->recovery->max_learn;
@@ -265,7 +268,7 @@
   auto& boot_id = module_.edge().lifecycle();
   if (call == admin::Call::health) {
     std::string text = lifecycle::text_of(boot_id.phase());
-    if (boot_id.up() && !link_.up()) text += ", kernel link down";
+    if (boot_id.up() && !link_.is_up()) text += ", kernel link down";
     if (boot_id.up() && !boot_id.stopping() && module_.edge().held_unfit())
       text += ", held unfit by the module";
     return {boot_id.up() && !boot_id.stopping(), text};
@@ -286,7 +289,7 @@
   spawn(link_.run());
   spawn(load_reporter_.run());
   spawn(listener_.run());
-  spawn(listener_.mind_peers());
+  spawn(listener_.enforce_timeouts());
   if (caller_) spawn(caller_->mind_idle());
   if (fleet_) {
     spawn(fleet_->receive());
@@ -341,7 +344,7 @@
   if (shared_ && boot_id.up() && !boot_id.stopping()) shared_->serves();
   load_reporter_.report(report);
 }
-void Server::carry_out(edge::CloseIdlePeers&& idle) { listener_.close_idle(idle.idle_for); }
+void Server::carry_out(edge::CloseIdlePeers&& idle) { listener_.close_idle_connections(idle.idle_for); }
 void Server::carry_out(edge::LogEvent&& remark) {
   log_.line(remark.text, {{"event", remark.event}, {"subject", remark.subject}});
 }
@@ -391,8 +394,8 @@
 asio::awaitable<void> Server::hand_over(std::chrono::milliseconds within) {
   using Clock = std::chrono::steady_clock;
   const auto end = Clock::now() + within - std::min(kLastMoment, within / 8);
-  load_reporter_.fall_silent();
-  listener_.leave_door();
+  load_reporter_.stop_reporting();
+  listener_.start_draining(net::BacklogPolicy::leave);
   asio::steady_timer timer(context_);
   while (Clock::now() < end) {
     timer.expires_after(kLook);
@@ -430,21 +433,22 @@
   if (!fixed.empty())
     log_.line("reload: changed but kept until a restart: " + fixed,
               {{"event", "reload_kept"}, {"kept", fixed}});
-  link_.move_to(kernel);
-  load_reporter_.move_to(service);
+  link_.set_endpoint(kernel);
+  load_reporter_.set_service(service);
 }
 
-void Server::reload(std::variant<operators::Declared, operators::Errors> loaded) {
+void Server::reload(std::variant<operators::OperatorConfig, operators::Errors> loaded) {
   const auto keep = [&](const operators::Errors& errors) {
     for (const auto& e : errors)
       log_.line("reload: keeping the old operator file: " + e.text(),
                 {{"event", "reload_refused"}, {"field", e.field}});
   };
   if (const auto* errors = std::get_if<operators::Errors>(&loaded)) return keep(*errors);
-  auto& fresh = std::get<operators::Declared>(loaded);
-  if (const auto errors = operators::bind(fresh, config_.catalog); !errors.empty()) return keep(errors);
+  auto& fresh = std::get<operators::OperatorConfig>(loaded);
+  if (const auto errors = operators::resolve_classes(fresh, config_.catalog); !errors.empty())
+    return keep(errors);
   if (!extras_.declared) return;
-  if (fresh.connections != extras_.declared->connections)
+  if (fresh.dependency_connections != extras_.declared->dependency_connections)
     log_.line("reload: changed but kept until a restart: connections",
               {{"event", "reload_kept"}, {"kept", "connections"}});
   if (fresh.membership.has_value() != (fleet_ != nullptr))
@@ -455,9 +459,9 @@
   if (fresh.recovery != extras_.declared->recovery)
     log_.line("reload: changed but kept until a restart: recovery",
               {{"event", "reload_kept"}, {"kept", "recovery"}});
-  const auto connections = extras_.declared->connections;
+  const auto connections = extras_.declared->dependency_connections;
   extras_.declared = std::move(fresh);
-  extras_.declared->connections = connections;
+  extras_.declared->dependency_connections = connections;
   log_.line(
       "reload: operator file taken over: " + std::to_string(extras_.declared->spec.dependencies.size()) +
           " dependencies, " + std::to_string(extras_.declared->spec.gathers.size()) + " classes gather",
@@ -473,13 +477,13 @@
   const auto end = Clock::now() + config_.stop - std::min(kLastMoment, config_.stop / 8);
   asio::steady_timer timer(context_, end - std::min(kDoorBefore, config_.stop / 4));
   co_await timer.async_wait(asio::use_awaitable);
-  listener_.close_door();
+  listener_.start_draining(net::BacklogPolicy::accept);
   bool closing = false;
   const auto crossed = Clock::now() + std::min(kCrossing, config_.stop / 16);
   while (Clock::now() < end) {
     timer.expires_after(kLook);
     co_await timer.async_wait(asio::use_awaitable);
-    if (Clock::now() < crossed || !module_.at_rest() || !listener_.at_rest()) continue;
+    if (Clock::now() < crossed || !module_.at_rest() || !listener_.is_quiescent()) continue;
     // Nothing is owed any more: the fleet hears that this one leaves, and it waits for some of them to know.
     if (fleet_) fleet_->leave();
     // Before an end is written down nothing more may run; what came in the meantime is answered first.
@@ -494,7 +498,7 @@
 }
 
 void Server::end_all() {
-  const bool all = module_.at_rest() && listener_.at_rest();
+  const bool all = module_.at_rest() && listener_.is_quiescent();
   log_.line(all ? "left: all answered" : "left: with answers unsent",
             {{"event", all ? "left" : "left_unsent"}});
   if (caller_) caller_->close_all();
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -16,7 +16,7 @@
 #include "log/logger.h"
 #include "membership_udp/actor.h"
 #include "net/listener.h"
-#include "operators/operator_file.h"
+#include "operators/operator_config.h"
 #include "snapshot/persistence_actor.h"
 #include "state_transfer/actor.h"
 
@@ -29,9 +29,9 @@
 
 class Server {
  public:
-  struct Extras {                                 // what an operator may add; none of it on the platform
-    std::optional<operators::Declared> declared;  // its classes numbered
-    LogForm log = LogForm::text;
+  struct Extras {  // what an operator may add; none of it on the platform
+    std::optional<operators::OperatorConfig> declared;  // its classes numbered
+    LogFormat log = LogFormat::text;
     bool guarded = true;                    // false: the plain policy that measurements compare with
     std::optional<int> listening;           // an inherited socket; docs/operation.md
     std::optional<config::Endpoint> admin;  // the operators' door
@@ -49,8 +49,8 @@
   // stop_ms counts from the next notice; what else differs waits for a restart, and is named in a line.
   void reload(const std::variant<config::Config, config::Problem>& loaded);
   // A new operator's file while running: calls in flight go on. One that can't be used keeps the old.
-  void reload(std::variant<operators::Declared, operators::Errors> loaded);
-  boost::asio::ip::tcp::endpoint local() const { return listener_.local(); }
+  void reload(std::variant<operators::OperatorConfig, operators::Errors> loaded);
+  boost::asio::ip::tcp::endpoint local() const { return listener_.local_endpoint(); }
   // Where operators call; absent where no door was asked for.
   std::optional<boost::asio::ip::tcp::endpoint> admin_door() const {
     if (!admin_) return std::nullopt;
@@ -83,7 +83,7 @@
   void learn_from_others();
   warm_state::WarmState collect() const;
   std::optional<membership_udp::RecoveryReport> recovery_report() const;
-  void keep_learned(const operators::Declared::Recovery& recovery);
+  void keep_learned(const operators::OperatorConfig::Recovery& recovery);
 
   static edge::Edge make_edge(const config::Config& config, const Extras& extras, TimePoint started);
   static std::size_t sockets_for_door(const Extras& extras);
--- a/src/state_transfer/actor.cpp
+++ b/src/state_transfer/actor.cpp
@@ -10,7 +10,7 @@
 #include <chrono>
 
 #include "membership_udp/actor.h"
-#include "net/accept.h"
+#include "net/accept_loop.h"
 
 namespace granitegap::state_transfer {
 namespace {
@@ -71,11 +71,11 @@
 
 asio::awaitable<void> Actor::serve() {
   // In a name of its own: GCC 12 destroys a temporary in a co_await expression twice.
-  const net::Take take = [this](Tcp::socket socket, const asio::ip::address& from) {
+  const net::ConnectionHandler take = [this](Tcp::socket socket, const asio::ip::address& from) {
     if (hooks_.may_ask(from) && may_give())
       asio::co_spawn(executor_, answer(std::move(socket)), asio::detached);
   };
-  co_await net::accept_each(door_, closed_, take);
+  co_await net::accept_connections(door_, closed_, take);
 }
 
 asio::awaitable<std::optional<std::string>> Actor::read(Tcp::socket& socket, std::size_t most) {
@@ -91,7 +91,7 @@
 }
 
 asio::awaitable<void> Actor::answer(Tcp::socket socket) {
-  const net::Counted counted(at_once_);
+  const net::ScopedCount counted(at_once_);
   {
     const Deadline dawdles(socket, std::chrono::steady_clock::now() + 2 * kDawdle);
     const auto bytes = co_await read(socket, kMaxQuestion);
--- a/src/typed_config/parser.cpp
+++ b/src/typed_config/parser.cpp
@@ -134,8 +134,8 @@
 Position place(const Node& n) { return {n.begin().line, n.begin().column}; }
 
 struct Bad {  // stays in this file
-  Position at;
-  std::string what;
+  Position position;
+  std::string message;
 };
 
 void put_utf8(std::string& to, std::uint32_t c) {
@@ -192,10 +192,10 @@
 }
 
 Value read_number(std::string_view text, Position at) {
-  Span span{};
-  Size size{};
-  if (read_span(text, span)) return {span, at};
-  if (read_size(text, size)) return {size, at};
+  Duration span{};
+  ByteSize size{};
+  if (parse_duration(text, span)) return {span, at};
+  if (parse_byte_size(text, size)) return {size, at};
   const auto* end = text.data() + text.size();
   if (text.find_first_of(".eE") == std::string_view::npos) {
     std::int64_t whole = 0;
@@ -208,25 +208,26 @@
   return {value, at};
 }
 
-Expr literal(Value value, Position at) {
-  Expr e;
-  e.kind = Kind::literal;
-  e.at = at;
+Expression literal(Value value, Position at) {
+  Expression e;
+  e.kind = ExpressionKind::literal;
+  e.position = at;
   e.literal = std::move(value);
   return e;
 }
 
-Expr read_word(std::string_view word, Position at) {
+Expression read_word(std::string_view word, Position at) {
   if (word == "true" || word == "false") return literal({word == "true", at}, at);
   if (word == "null") return literal({nullptr, at}, at);
-  static constexpr std::pair<std::string_view, Type> kTypes[] = {
-      {"_", Type::any},       {"bool", Type::boolean},  {"int", Type::integer}, {"number", Type::number},
-      {"string", Type::text}, {"duration", Type::span}, {"size", Type::size}};
+  static constexpr std::pair<std::string_view, ValueType> kTypes[] = {
+      {"_", ValueType::any},         {"bool", ValueType::boolean},  {"int", ValueType::integer},
+      {"number", ValueType::number}, {"string", ValueType::string}, {"duration", ValueType::duration},
+      {"size", ValueType::byte_size}};
   for (const auto& [name, type] : kTypes)
     if (word == name) {
-      Expr e;
-      e.kind = Kind::type;
-      e.at = at;
+      Expression e;
+      e.kind = ExpressionKind::type;
+      e.position = at;
       e.type = type;
       return e;
     }
@@ -235,88 +236,90 @@
                     "duration size _"};
 }
 
-Expr convert(const Node& n);
+Expression convert(const Node& n);
 
-void convert_members(const Node& n, Expr& record, std::map<std::string, Expr>* definitions) {
+void convert_members(const Node& n, Expression& record, std::map<std::string, Expression>* definitions) {
   for (const auto& child : n.children) {
     if (child->is_type<open_mark>()) {
       record.open = true;
       continue;
     }
     if (!child->is_type<field>()) continue;
-    Field f;
-    f.at = place(*child);
+    FieldDeclaration f;
+    f.position = place(*child);
     const auto& name = *child->children.at(0);
-    f.name = name.string().starts_with('"') ? unquote(name.string_view(), f.at) : name.string();
+    f.name = name.string().starts_with('"') ? unquote(name.string_view(), f.position) : name.string();
     f.optional = child->children.at(1)->is_type<optional_mark>();
     auto value = convert(*child->children.back());
     if (f.name.starts_with('#')) {
-      if (!definitions) throw Bad{f.at, "definitions stand at the top of the file"};
+      if (!definitions) throw Bad{f.position, "definitions stand at the top of the file"};
       if (!definitions->emplace(f.name, std::move(value)).second)
-        throw Bad{f.at, f.name + " is defined twice"};
+        throw Bad{f.position, f.name + " is defined twice"};
       continue;
     }
     if (std::any_of(record.fields.begin(), record.fields.end(), [&](auto& k) { return k.name == f.name; }))
-      throw Bad{f.at, "field " + f.name + " stands twice"};
-    f.type = std::make_shared<const Expr>(std::move(value));
+      throw Bad{f.position, "field " + f.name + " stands twice"};
+    f.type = std::make_shared<const Expression>(std::move(value));
     record.fields.push_back(std::move(f));
   }
 }
 
-Compare compare_of(std::string_view sign) {
-  if (sign == "<") return Compare::less;
-  if (sign == "<=") return Compare::at_most;
-  if (sign == ">") return Compare::more;
-  return sign == ">=" ? Compare::at_least : Compare::unlike;
+Comparison compare_of(std::string_view sign) {
+  if (sign == "<") return Comparison::less;
+  if (sign == "<=") return Comparison::at_most;
+  if (sign == ">") return Comparison::more;
+  return sign == ">=" ? Comparison::at_least : Comparison::unlike;
 }
 
-Expr convert(const Node& n) {
-  Expr e;
-  e.at = place(n);
+Expression convert(const Node& n) {
+  Expression e;
+  e.position = place(n);
   const auto parts = [&] {
     for (const auto& c : n.children) e.parts.push_back(convert(*c));
   };
-  if (n.is_type<number>()) return literal(read_number(n.string_view(), e.at), e.at);
-  if (n.is_type<text>()) return literal({unquote(n.string_view(), e.at), e.at}, e.at);
-  if (n.is_type<word>()) return read_word(n.string_view(), e.at);
+  if (n.is_type<number>()) return literal(read_number(n.string_view(), e.position), e.position);
+  if (n.is_type<text>()) return literal({unquote(n.string_view(), e.position), e.position}, e.position);
+  if (n.is_type<word>()) return read_word(n.string_view(), e.position);
   if (n.is_type<reference>()) {
-    e.kind = Kind::reference;
+    e.kind = ExpressionKind::reference;
     e.name = n.string();
   } else if (n.is_type<bound>()) {
-    e.kind = Kind::bound;
+    e.kind = ExpressionKind::bound;
     e.compare = compare_of(n.children.at(0)->string_view());
     e.literal = convert(*n.children.at(1)).literal;
   } else if (n.is_type<call>()) {
-    e.kind = Kind::call;
+    e.kind = ExpressionKind::call;
     e.name = n.children.at(0)->string();
     e.parts.push_back(convert(*n.children.at(1)));
     const auto& argument = e.parts.front();
     static constexpr std::string_view kKnown[] = {"list.MinItems", "list.MaxItems", "strings.MinRunes",
                                                   "strings.MaxRunes"};
     if (std::find(std::begin(kKnown), std::end(kKnown), e.name) == std::end(kKnown))
-      throw Bad{e.at, "unknown " + e.name +
-                          "(); expected list.MinItems, list.MaxItems, strings.MinRunes or strings.MaxRunes"};
-    if (argument.kind != Kind::literal || !std::holds_alternative<std::int64_t>(argument.literal.is))
-      throw Bad{argument.at, "expected a whole number as the argument of " + e.name};
+      throw Bad{e.position,
+                "unknown " + e.name +
+                    "(); expected list.MinItems, list.MaxItems, strings.MinRunes or strings.MaxRunes"};
+    if (argument.kind != ExpressionKind::literal ||
+        !std::holds_alternative<std::int64_t>(argument.literal.data))
+      throw Bad{argument.position, "expected a whole number as the argument of " + e.name};
   } else if (n.is_type<record>()) {
-    e.kind = Kind::record;
+    e.kind = ExpressionKind::record;
     convert_members(n, e, nullptr);
   } else if (n.is_type<list>()) {
-    e.kind = Kind::list;
+    e.kind = ExpressionKind::list;
     parts();
   } else if (n.is_type<list_of>()) {
-    e.kind = Kind::list_of;
+    e.kind = ExpressionKind::list_of;
     parts();
     if (e.parts.empty()) {  // [...]: of anything
-      e.parts.emplace_back().kind = Kind::type;
-      e.parts.back().type = Type::any;
+      e.parts.emplace_back().kind = ExpressionKind::type;
+      e.parts.back().type = ValueType::any;
     }
   } else if (n.is_type<all_of>()) {
     if (n.children.size() == 1) return convert(*n.children.front());
-    e.kind = Kind::all_of;
+    e.kind = ExpressionKind::all_of;
     parts();
   } else if (n.is_type<expression>()) {
-    e.kind = Kind::any_of;
+    e.kind = ExpressionKind::any_of;
     for (const auto& alternative : n.children) {
       const bool marked = alternative->children.front()->is_type<preferred>();
       if (marked && e.preferred) throw Bad{place(*alternative), "a second default"};
@@ -373,10 +376,10 @@
 
 }  // namespace
 
-bool read_span(std::string_view text, Span& to) {
+bool parse_duration(std::string_view text, Duration& to) {
   return read_with_unit(text, {{"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"m", 6e7}, {"h", 3.6e9}}, 1e15, to);
 }
-bool read_size(std::string_view text, Size& to) {
+bool parse_byte_size(std::string_view text, ByteSize& to) {
   return read_with_unit(text, {{"B", 1}, {"KiB", 1024}, {"MiB", 1048576}, {"GiB", 1073741824}}, 1e15, to);
 }
 
@@ -389,8 +392,8 @@
     const auto root = p::parse_tree::parse<file, selector, p::nothing, control>(input);
     Document d;
     d.file = name;
-    d.top.kind = Kind::record;
-    d.top.at = {1, 1};
+    d.top.kind = ExpressionKind::record;
+    d.top.position = {1, 1};
     const auto& children = root->children;
     const bool braces = children.size() == 1 && children.front()->is_type<record>();
     convert_members(braces ? *children.front() : *root, d.top, &d.definitions);
@@ -399,7 +402,7 @@
     const auto& at = e.positions().front();
     return fail({at.line, at.column}, std::string(e.message()));
   } catch (const Bad& bad) {
-    return fail(bad.at, bad.what);
+    return fail(bad.position, bad.message);
   }
 }
 
--- a/src/typed_config/typed_config.cpp
+++ b/src/typed_config/typed_config.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using Errors = std::vector<Error>;
-using Definitions = std::map<std::string, Expr>;
+using Definitions = std::map<std::string, Expression>;
 
 std::string quoted(std::string_view text) {
   std::string out = "\"";
@@ -52,14 +52,14 @@
   return out;
 }
 
-std::string span_text(Span span) {
+std::string span_text(Duration span) {
   const auto us = span.count();
   if (us % 1000000 == 0) return std::to_string(us / 1000000) + "s";
   if (us % 1000 == 0) return std::to_string(us / 1000) + "ms";
   return std::to_string(us) + "us";
 }
 
-std::string size_text(Size size) {
+std::string size_text(ByteSize size) {
   const auto bytes = std::uint64_t(size);
   if (bytes && bytes % 1048576 == 0) return std::to_string(bytes >> 20) + "MiB";
   if (bytes && bytes % 1024 == 0) return std::to_string(bytes >> 10) + "KiB";
@@ -94,8 +94,8 @@
       void operator()(std::int64_t i) { p.out += std::to_string(i); }
       void operator()(double d) { p.out += plain(d); }
       void operator()(const std::string& s) { p.out += quoted(s); }
-      void operator()(Span s) { p.out += span_text(s); }
-      void operator()(Size s) { p.out += size_text(s); }
+      void operator()(Duration s) { p.out += span_text(s); }
+      void operator()(ByteSize s) { p.out += size_text(s); }
       void operator()(const List& list) {
         if (list.empty()) {
           p.out += "[]";
@@ -121,51 +121,51 @@
         p.out += '}';
       }
     } visitor{*this, depth};
-    std::visit(visitor, value.is);
+    std::visit(visitor, value.data);
   }
 };
 
 std::string brief(const Value& value) {
-  if (std::holds_alternative<Record>(value.is)) return "a record";
-  if (std::holds_alternative<List>(value.is))
-    return "a list of " + std::to_string(std::get<List>(value.is).size());
+  if (std::holds_alternative<Record>(value.data)) return "a record";
+  if (std::holds_alternative<List>(value.data))
+    return "a list of " + std::to_string(std::get<List>(value.data).size());
   Printer p;
   p.print(value, 0);
   return p.out.size() > 60 ? p.out.substr(0, 57) + "..." : p.out;
 }
 
 // What an expression asks for, in its own notation.
-std::string described(const Expr& e) {
+std::string described(const Expression& e) {
   const auto joined = [&](const char* between) {
     std::string out;
     for (const auto& part : e.parts) out += (out.empty() ? "" : between) + described(part);
     return out;
   };
   switch (e.kind) {
-    case Kind::literal:
+    case ExpressionKind::literal:
       return brief(e.literal);
-    case Kind::type: {
+    case ExpressionKind::type: {
       static constexpr const char* kNames[] = {
           "anything", "null", "bool", "int", "number", "string", "duration (as 200ms)", "size (as 64KiB)"};
       return kNames[std::size_t(e.type)];
     }
-    case Kind::bound: {
+    case ExpressionKind::bound: {
       static constexpr const char* kSigns[] = {"<", "<=", ">", ">=", "!="};
       return kSigns[std::size_t(e.compare)] + brief(e.literal);
     }
-    case Kind::call:
+    case ExpressionKind::call:
       return e.name + "(" + described(e.parts.front()) + ")";
-    case Kind::reference:
+    case ExpressionKind::reference:
       return e.name;
-    case Kind::all_of:
+    case ExpressionKind::all_of:
       return joined(" & ");
-    case Kind::any_of:
+    case ExpressionKind::any_of:
       return joined(" | ");
-    case Kind::record:
+    case ExpressionKind::record:
       return "a record";
-    case Kind::list:
+    case ExpressionKind::list:
       return "a list of " + std::to_string(e.parts.size());
-    case Kind::list_of:
+    case ExpressionKind::list_of:
       return "a list of " + described(e.parts.front());
   }
   return {};
@@ -180,41 +180,42 @@
  public:
   Resolver(const Document& data, Errors& errors) : data_(data), errors_(errors) {}
 
-  std::optional<Value> resolve(const Expr& e, const std::string& path) {
+  std::optional<Value> resolve(const Expression& e, const std::string& path) {
     switch (e.kind) {
-      case Kind::literal:
-        return Value{e.literal.is, e.at};
-      case Kind::list: {
+      case ExpressionKind::literal:
+        return Value{e.literal.data, e.position};
+      case ExpressionKind::list: {
         List list;
         for (std::size_t i = 0; i < e.parts.size(); ++i)
           if (auto item = resolve(e.parts[i], path + "[" + std::to_string(i) + "]"))
             list.push_back(std::move(*item));
-        return Value{std::move(list), e.at};
+        return Value{std::move(list), e.position};
       }
-      case Kind::record: {
+      case ExpressionKind::record: {
         Record record;
         for (const auto& f : e.fields) {
           if (f.optional) {
-            fail(f.at, below(path, f.name), "a ? belongs in definitions; expected a value");
+            fail(f.position, below(path, f.name), "a ? belongs in definitions; expected a value");
             continue;
           }
           if (auto value = resolve(*f.type, below(path, f.name)))
             record.emplace_back(f.name, std::move(*value));
         }
-        return Value{std::move(record), e.at};
+        return Value{std::move(record), e.position};
       }
-      case Kind::reference: {
+      case ExpressionKind::reference: {
         const auto it = data_.definitions.find(e.name);
-        if (it == data_.definitions.end()) return fail(e.at, path, e.name + " is not defined in this file");
+        if (it == data_.definitions.end())
+          return fail(e.position, path, e.name + " is not defined in this file");
         // Guards against definitions that stand in each other.
         if (std::find(open_.begin(), open_.end(), e.name) != open_.end())
-          return fail(e.at, path, e.name + " stands in itself");
+          return fail(e.position, path, e.name + " stands in itself");
         open_.push_back(e.name);
         auto value = resolve(it->second, path);
         open_.pop_back();
         return value;
       }
-      case Kind::all_of: {
+      case ExpressionKind::all_of: {
         std::optional<Value> all;
         for (const auto& part : e.parts) {
           auto one = resolve(part, path);
@@ -224,14 +225,14 @@
           else if (!merge(*all, std::move(*one), path))
             return std::nullopt;
         }
-        if (all) all->at = e.at;
+        if (all) all->position = e.position;
         return all;
       }
-      case Kind::any_of:
+      case ExpressionKind::any_of:
         if (e.preferred) return resolve(e.parts[e.preferred - 1], path);
         [[fallthrough]];
       default:
-        return fail(e.at, path, "expected a value, found " + described(e));
+        return fail(e.position, path, "expected a value, found " + described(e));
     }
   }
 
@@ -241,13 +242,13 @@
     return std::nullopt;
   }
   bool merge(Value& to, Value from, const std::string& path) {
-    auto* record = std::get_if<Record>(&to.is);
-    auto* more = std::get_if<Record>(&from.is);
+    auto* record = std::get_if<Record>(&to.data);
+    auto* more = std::get_if<Record>(&from.data);
     if (!record || !more) {
-      if (brief(to) == brief(from) && to.is.index() == from.is.index() &&
-          !std::holds_alternative<List>(to.is))
+      if (brief(to) == brief(from) && to.data.index() == from.data.index() &&
+          !std::holds_alternative<List>(to.data))
         return true;
-      fail(from.at, path, "both " + brief(to) + " and " + brief(from));
+      fail(from.position, path, "both " + brief(to) + " and " + brief(from));
       return false;
     }
     for (auto& [name, value] : *more) {
@@ -271,35 +272,36 @@
   Checker(const Document& schema, const std::string& file) : schema_(schema), file_(file) {}
 
   // The value as the schema types it, with its defaults; absent with at least one error added.
-  std::optional<Value> check(const Value& v, const Expr& e, const std::string& path, Errors& errors) const {
+  std::optional<Value> check(const Value& v, const Expression& e, const std::string& path,
+                             Errors& errors) const {
     const auto fail = [&](const std::string& what) -> std::optional<Value> {
-      errors.push_back({file_, v.at, path, what});
+      errors.push_back({file_, v.position, path, what});
       return std::nullopt;
     };
     const auto mismatch = [&] { return fail("expected " + described(e) + ", found " + brief(v)); };
     switch (e.kind) {
-      case Kind::literal: {
+      case ExpressionKind::literal: {
         const auto own = coerced(v, type_of(e.literal));
         return own && equal(*own, e.literal) ? own : mismatch();
       }
-      case Kind::type: {
+      case ExpressionKind::type: {
         auto own = coerced(v, e.type);
         return own ? own : mismatch();
       }
-      case Kind::bound: {
-        const auto own = coerced(v, e.literal.is.index() == 2 ? Type::number : type_of(e.literal));
+      case ExpressionKind::bound: {
+        const auto own = coerced(v, e.literal.data.index() == 2 ? ValueType::number : type_of(e.literal));
         if (!own || !holds(*own, e)) return mismatch();
         // A bound on a number leaves a whole number whole.
-        return std::holds_alternative<double>(own->is) ? v : *own;
+        return std::holds_alternative<double>(own->data) ? v : *own;
       }
-      case Kind::call:
+      case ExpressionKind::call:
         return counts(v, e) ? std::optional(v) : mismatch();
-      case Kind::reference: {
+      case ExpressionKind::reference: {
         const auto* definition = find(e.name);
         return definition ? check(v, *definition, path, errors)
                           : fail(e.name + " is not defined in the schema");
       }
-      case Kind::all_of: {
+      case ExpressionKind::all_of: {
         auto all = v;
         for (const auto& part : e.parts) {
           Errors own;
@@ -315,7 +317,7 @@
         }
         return all;
       }
-      case Kind::any_of: {
+      case ExpressionKind::any_of: {
         Errors deepest;
         for (const auto& part : e.parts) {
           Errors own;
@@ -327,25 +329,25 @@
         errors.insert(errors.end(), deepest.begin(), deepest.end());
         return std::nullopt;
       }
-      case Kind::record:
+      case ExpressionKind::record:
         return check_record(v, e, path, errors);
-      case Kind::list: {
-        const auto* list = std::get_if<List>(&v.is);
+      case ExpressionKind::list: {
+        const auto* list = std::get_if<List>(&v.data);
         if (!list || list->size() != e.parts.size()) return mismatch();
         return check_list(
-            v, *list, [&](std::size_t i) -> const Expr& { return e.parts[i]; }, path, errors);
+            v, *list, [&](std::size_t i) -> const Expression& { return e.parts[i]; }, path, errors);
       }
-      case Kind::list_of: {
-        const auto* list = std::get_if<List>(&v.is);
+      case ExpressionKind::list_of: {
+        const auto* list = std::get_if<List>(&v.data);
         if (!list) return mismatch();
         return check_list(
-            v, *list, [&](std::size_t) -> const Expr& { return e.parts.front(); }, path, errors);
+            v, *list, [&](std::size_t) -> const Expression& { return e.parts.front(); }, path, errors);
       }
     }
     return std::nullopt;
   }
 
-  const Expr* find(const std::string& name) const {
+  const Expression* find(const std::string& name) const {
     const auto it = schema_.definitions.find(name);
     return it == schema_.definitions.end() ? nullptr : &it->second;
   }
@@ -362,14 +364,14 @@
       if (item) typed.push_back(std::move(*item));
     }
     if (!good) return std::nullopt;
-    return Value{std::move(typed), v.at};
+    return Value{std::move(typed), v.position};
   }
 
-  std::optional<Value> check_record(const Value& v, const Expr& e, const std::string& path,
+  std::optional<Value> check_record(const Value& v, const Expression& e, const std::string& path,
                                     Errors& errors) const {
-    const auto* record = std::get_if<Record>(&v.is);
+    const auto* record = std::get_if<Record>(&v.data);
     if (!record) {
-      errors.push_back({file_, v.at, path, "expected a record, found " + brief(v)});
+      errors.push_back({file_, v.position, path, "expected a record, found " + brief(v)});
       return std::nullopt;
     }
     Record typed;
@@ -386,7 +388,7 @@
         if (value)
           typed.emplace_back(f.name, std::move(*value));
         else
-          errors.push_back({file_, v.at, here, "missing; expected " + described(*f.type)});
+          errors.push_back({file_, v.position, here, "missing; expected " + described(*f.type)});
       }
     }
     for (const auto& [name, value] : *record) {
@@ -398,19 +400,19 @@
       }
       std::string known;
       for (const auto& f : e.fields) known += (known.empty() ? "" : ", ") + f.name;
-      errors.push_back({file_, value.at, below(path, name), "unknown field; expected one of " + known});
+      errors.push_back({file_, value.position, below(path, name), "unknown field; expected one of " + known});
       good = false;
     }
     if (!good) return std::nullopt;
-    return Value{std::move(typed), v.at};
+    return Value{std::move(typed), v.position};
   }
 
-  std::optional<Value> default_of(const Expr& e) const {
+  std::optional<Value> default_of(const Expression& e) const {
     Errors ignored;
     switch (e.kind) {
-      case Kind::literal:
-        return Value{e.literal.is, {}};
-      case Kind::any_of: {
+      case ExpressionKind::literal:
+        return Value{e.literal.data, {}};
+      case ExpressionKind::any_of: {
         if (!e.preferred) return std::nullopt;
         auto own = default_of(e.parts[e.preferred - 1]);
         // Typed as the other alternatives are, so that a default written as a text comes out a duration.
@@ -419,17 +421,17 @@
             if (auto typed = check(*own, e.parts[i], "", ignored)) return typed;
         return own;
       }
-      case Kind::reference: {
+      case ExpressionKind::reference: {
         const auto* definition = find(e.name);
         return definition ? default_of(*definition) : std::nullopt;
       }
-      case Kind::record:
+      case ExpressionKind::record:
         return check(Value{Record{}, {}}, e, "", ignored);
-      case Kind::list:
+      case ExpressionKind::list:
         return e.parts.empty() ? std::optional(Value{List{}, {}}) : std::nullopt;
-      case Kind::list_of:
+      case ExpressionKind::list_of:
         return Value{List{}, {}};
-      case Kind::all_of: {
+      case ExpressionKind::all_of: {
         for (const auto& part : e.parts)
           if (const auto own = default_of(part)) return check(*own, e, "", ignored);
         return std::nullopt;
@@ -439,80 +441,80 @@
     }
   }
 
-  static Type type_of(const Value& v) {
-    switch (v.is.index()) {
+  static ValueType type_of(const Value& v) {
+    switch (v.data.index()) {
       case 0:
-        return Type::null;
+        return ValueType::null;
       case 1:
-        return Type::boolean;
+        return ValueType::boolean;
       case 2:
-        return Type::integer;
+        return ValueType::integer;
       case 3:
-        return Type::number;
+        return ValueType::number;
       case 4:
-        return Type::text;
+        return ValueType::string;
       case 5:
-        return Type::span;
+        return ValueType::duration;
       case 6:
-        return Type::size;
+        return ValueType::byte_size;
       default:
-        return Type::any;
+        return ValueType::any;
     }
   }
   // JSON has no literals for durations and sizes: a text that reads as one is one.
-  static std::optional<Value> coerced(const Value& v, Type type) {
-    if (type == Type::any || type_of(v) == type) return v;
-    if (type == Type::number && std::holds_alternative<std::int64_t>(v.is))
-      return Value{double(std::get<std::int64_t>(v.is)), v.at};
-    if (const auto* text = std::get_if<std::string>(&v.is)) {
-      Span span{};
-      Size size{};
-      if (type == Type::span && read_span(*text, span)) return Value{span, v.at};
-      if (type == Type::size && read_size(*text, size)) return Value{size, v.at};
+  static std::optional<Value> coerced(const Value& v, ValueType type) {
+    if (type == ValueType::any || type_of(v) == type) return v;
+    if (type == ValueType::number && std::holds_alternative<std::int64_t>(v.data))
+      return Value{double(std::get<std::int64_t>(v.data)), v.position};
+    if (const auto* text = std::get_if<std::string>(&v.data)) {
+      Duration span{};
+      ByteSize size{};
+      if (type == ValueType::duration && parse_duration(*text, span)) return Value{span, v.position};
+      if (type == ValueType::byte_size && parse_byte_size(*text, size)) return Value{size, v.position};
     }
     return std::nullopt;
   }
   static bool equal(const Value& a, const Value& b) {
-    return a.is.index() == b.is.index() && !std::holds_alternative<Record>(a.is) &&
-           !std::holds_alternative<List>(a.is) && brief(a) == brief(b);
+    return a.data.index() == b.data.index() && !std::holds_alternative<Record>(a.data) &&
+           !std::holds_alternative<List>(a.data) && brief(a) == brief(b);
   }
   template <class T>
-  static bool compares(const T& a, Compare how, const T& b) {
+  static bool compares(const T& a, Comparison how, const T& b) {
     switch (how) {
-      case Compare::less:
+      case Comparison::less:
         return a < b;
-      case Compare::at_most:
+      case Comparison::at_most:
         return a <= b;
-      case Compare::more:
+      case Comparison::more:
         return a > b;
-      case Compare::at_least:
+      case Comparison::at_least:
         return a >= b;
-      case Compare::unlike:
+      case Comparison::unlike:
         return a != b;
     }
     return false;
   }
-  static bool holds(const Value& v, const Expr& bound) {
-    if (const auto* number = std::get_if<double>(&v.is))
-      return compares(*number, bound.compare, bound.literal.as_number());
-    if (const auto* text = std::get_if<std::string>(&v.is))
-      return compares(*text, bound.compare, bound.literal.as_text());
-    if (const auto* span = std::get_if<Span>(&v.is))
-      return compares(*span, bound.compare, bound.literal.as_span());
-    if (const auto* size = std::get_if<Size>(&v.is))
-      return compares(*size, bound.compare, std::get<Size>(bound.literal.is));
+  static bool holds(const Value& v, const Expression& bound) {
+    if (const auto* number = std::get_if<double>(&v.data))
+      return compares(*number, bound.compare, bound.literal.as_double());
+    if (const auto* text = std::get_if<std::string>(&v.data))
+      return compares(*text, bound.compare, bound.literal.as_string());
+    if (const auto* span = std::get_if<Duration>(&v.data))
+      return compares(*span, bound.compare, bound.literal.as_duration());
+    if (const auto* size = std::get_if<ByteSize>(&v.data))
+      return compares(*size, bound.compare, std::get<ByteSize>(bound.literal.data));
     return false;
   }
-  static bool counts(const Value& v, const Expr& call) {
+  static bool counts(const Value& v, const Expression& call) {
     const auto n = call.parts.front().literal.as_int();
     const bool least = call.name.ends_with("MinItems") || call.name.ends_with("MinRunes");
     std::int64_t count = 0;
     if (call.name.starts_with("list.")) {
-      const auto* list = std::get_if<List>(&v.is);
+      const auto* list = std::get_if<List>(&v.data);
       if (!list) return false;
       count = std::int64_t(list->size());
     } else {
-      const auto* text = std::get_if<std::string>(&v.is);
+      const auto* text = std::get_if<std::string>(&v.data);
       if (!text) return false;
       count =
           std::count_if(text->begin(), text->end(), [](char c) { return (std::uint8_t(c) & 0xc0) != 0x80; });
@@ -528,14 +530,14 @@
 
 std::string Error::text() const {
   std::string out = file;
-  if (at.line) out += ":" + std::to_string(at.line) + ":" + std::to_string(at.column);
+  if (position.line) out += ":" + std::to_string(position.line) + ":" + std::to_string(position.column);
   out += ": ";
   if (!field.empty()) out += field + ": ";
-  return out + what;
+  return out + message;
 }
 
 const Value* Value::find(std::string_view field) const {
-  const auto* record = std::get_if<Record>(&is);
+  const auto* record = std::get_if<Record>(&data);
   if (!record) return nullptr;
   const auto it = std::find_if(record->begin(), record->end(), [&](auto& f) { return f.first == field; });
   return it == record->end() ? nullptr : &it->second;
@@ -547,9 +549,9 @@
   return *value;
 }
 
-double Value::as_number() const {
-  const auto* whole = std::get_if<std::int64_t>(&is);
-  return whole ? double(*whole) : std::get<double>(is);
+double Value::as_double() const {
+  const auto* whole = std::get_if<std::int64_t>(&data);
+  return whole ? double(*whole) : std::get<double>(data);
 }
 
 std::variant<Value, std::vector<Error>> validate(const Document& data, const Document& schema,
@@ -564,13 +566,13 @@
   if (concrete && type) typed = checker.check(*concrete, *type, "", errors);
   // A field that could not be read is not missing as well.
   std::erase_if(errors, [&](const Error& e) {
-    return e.what.starts_with("missing") &&
+    return e.message.starts_with("missing") &&
            std::any_of(unresolved.begin(), unresolved.end(),
                        [&](const Error& u) { return u.field.starts_with(e.field); });
   });
   if (!errors.empty() || !typed) {
     std::stable_sort(errors.begin(), errors.end(), [](const Error& a, const Error& b) {
-      return std::pair(a.at.line, a.at.column) < std::pair(b.at.line, b.at.column);
+      return std::pair(a.position.line, a.position.column) < std::pair(b.position.line, b.position.column);
     });
     return errors;
   }
@@ -579,7 +581,7 @@
 
 std::string print(const Value& value) {
   Printer p;
-  if (const auto* record = std::get_if<Record>(&value.is)) {
+  if (const auto* record = std::get_if<Record>(&value.data)) {
     p.fields(*record, 0);
     return p.out;
   }
--- a/src/typed_config/typed_config.h
+++ b/src/typed_config/typed_config.h
@@ -27,43 +27,44 @@
 };
 struct Error {
   std::string file;
-  Position at;
+  Position position;
   std::string field;  // its path from the top; empty: the file itself
-  std::string what;
+  std::string message;
   std::string text() const;  // one line
 };
 
-using Span = std::chrono::microseconds;
-enum class Size : std::uint64_t {};  // bytes
+using Duration = std::chrono::microseconds;
+enum class ByteSize : std::uint64_t {};  // bytes
 
 struct Value;
 using List = std::vector<Value>;
 using Record = std::vector<std::pair<std::string, Value>>;  // in the schema's order
 struct Value {
-  std::variant<std::nullptr_t, bool, std::int64_t, double, std::string, Span, Size, List, Record> is;
-  Position at;  // in the file it came from; nowhere for a default
+  std::variant<std::nullptr_t, bool, std::int64_t, double, std::string, Duration, ByteSize, List, Record>
+      data;
+  Position position;  // in the file it came from; nowhere for a default
 
   // For values that a schema has vouched for; anything else is std::bad_variant_access.
   const Value* find(std::string_view field) const;
   const Value& operator[](std::string_view field) const;  // must be there
-  bool as_bool() const { return std::get<bool>(is); }
-  std::int64_t as_int() const { return std::get<std::int64_t>(is); }
-  double as_number() const;  // an integer too
-  const std::string& as_text() const { return std::get<std::string>(is); }
-  Span as_span() const { return std::get<Span>(is); }
-  std::size_t as_size() const { return std::size_t(std::get<Size>(is)); }
-  const List& as_list() const { return std::get<List>(is); }
+  bool as_bool() const { return std::get<bool>(data); }
+  std::int64_t as_int() const { return std::get<std::int64_t>(data); }
+  double as_double() const;  // an integer too
+  const std::string& as_string() const { return std::get<std::string>(data); }
+  Duration as_duration() const { return std::get<Duration>(data); }
+  std::size_t as_byte_size() const { return std::size_t(std::get<ByteSize>(data)); }
+  const List& as_list() const { return std::get<List>(data); }
 };
 
 // ---- Expressions ----
-struct Expr;
-struct Field {
+struct Expression;
+struct FieldDeclaration {
   std::string name;
   bool optional = false;
-  std::shared_ptr<const Expr> type;
-  Position at;
+  std::shared_ptr<const Expression> type;
+  Position position;
 };
-enum class Kind : std::uint8_t {
+enum class ExpressionKind : std::uint8_t {
   literal,
   type,
   bound,
@@ -75,25 +76,25 @@
   list,
   list_of
 };
-enum class Type : std::uint8_t { any, null, boolean, integer, number, text, span, size };
-enum class Compare : std::uint8_t { less, at_most, more, at_least, unlike };
-struct Expr {
-  Kind kind{};
-  Position at;
+enum class ValueType : std::uint8_t { any, null, boolean, integer, number, string, duration, byte_size };
+enum class Comparison : std::uint8_t { less, at_most, more, at_least, unlike };
+struct Expression {
+  ExpressionKind kind{};
+  Position position;
   Value literal;  // literal, and what a bound compares with
-  Type type{};
-  Compare compare{};
-  std::string name;           // of a reference or call
-  std::vector<Expr> parts;    // operands, a list's elements, a call's argument, a list's element type
-  std::size_t preferred = 0;  // any_of: 1 + the alternative marked with *, 0: none
-  std::vector<Field> fields;
+  ValueType type{};
+  Comparison compare{};
+  std::string name;               // of a reference or call
+  std::vector<Expression> parts;  // operands, a list's elements, a call's argument, a list's element type
+  std::size_t preferred = 0;      // any_of: 1 + the alternative marked with *, 0: none
+  std::vector<FieldDeclaration> fields;
   bool open = false;  // a record that takes fields beyond its own
 };
 
 struct Document {
   std::string file;
-  Expr top;                                 // a record
-  std::map<std::string, Expr> definitions;  // by name, with the #
+  Expression top;                                 // a record
+  std::map<std::string, Expression> definitions;  // by name, with the #
 };
 
 std::variant<Document, Error> parse(std::string_view text, std::string file);
@@ -102,7 +103,7 @@
                                                  std::string_view definition);
 std::string print(const Value& value);
 // "200ms", "1.5s", "64KiB"; absent where it is none.
-bool read_span(std::string_view text, Span& to);
-bool read_size(std::string_view text, Size& to);
+bool parse_duration(std::string_view text, Duration& to);
+bool parse_byte_size(std::string_view text, ByteSize& to);
 
 }  // namespace granitegap::typed_config
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -157,9 +157,9 @@
     if (const auto cue = std::filesystem::path(script).replace_extension(".cue");
         std::filesystem::exists(cue)) {
       auto read = declared(cue);
-      REQUIRE(std::holds_alternative<operators::Declared>(read));
-      extras.declared = std::get<operators::Declared>(std::move(read));
-      REQUIRE(operators::bind(*extras.declared, std::get<config::Config>(config).catalog).empty());
+      REQUIRE(std::holds_alternative<operators::OperatorConfig>(read));
+      extras.declared = std::get<operators::OperatorConfig>(std::move(read));
+      REQUIRE(operators::resolve_classes(*extras.declared, std::get<config::Config>(config).catalog).empty());
     }
     const auto start = std::chrono::steady_clock::now() + std::chrono::hours(24);
     server_.emplace(context_, std::move(std::get<config::Config>(config)), std::move(extras), [this, start] {
@@ -261,7 +261,7 @@
   bool from_below(const std::string& who) const {
     return std::any_of(doors_.begin(), doors_.end(), [&](const auto& d) { return who.starts_with(d.first); });
   }
-  std::variant<operators::Declared, operators::Errors> declared(const std::filesystem::path& cue) {
+  std::variant<operators::OperatorConfig, operators::Errors> declared(const std::filesystem::path& cue) {
     auto text = read_file(cue);
     for (const auto& [name, door] : doors_) {
       auto capitals = name;
@@ -271,7 +271,7 @@
     }
     const auto document = typed_config::parse(text, cue.filename().string());
     if (const auto* error = std::get_if<typed_config::Error>(&document)) return operators::Errors{*error};
-    return operators::read(std::get<typed_config::Document>(document));
+    return operators::from_document(std::get<typed_config::Document>(document));
   }
   template <class Protocol>
   static typename Protocol::endpoint any_port() {
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -53,7 +53,7 @@
     } while (!holds());
   }
   tcp::socket& connect() {
-    clients.emplace_back(io).connect(listener.local());
+    clients.emplace_back(io).connect(listener.local_endpoint());
     clients.back().set_option(tcp::no_delay(true));
     return clients.back();
   }
@@ -113,7 +113,7 @@
   asio::io_context io;
   edge::NameRegistry catalog;
   Mailbox<edge::Input> mailbox{io.get_executor(), 1000};
-  Logger log{"test", LogForm::text};
+  Logger log{"test", LogFormat::text};
   net::Listener listener{
       io.get_executor(), {asio::ip::address_v4::loopback(), 0}, kSockets, catalog, mailbox, log};
   std::list<tcp::socket> clients;
@@ -132,9 +132,10 @@
   auto& oldest = door.clients.front();
   door.write(oldest, request(2));
   door.write(door.connect(), "x");
-  door.listener.close_door();  // takes what waits at the door at once, before the loop reads anything
+  door.listener.start_draining(
+      net::BacklogPolicy::accept);  // takes what waits at the door at once, before the loop reads anything
   door.run([&] { return door.requests() == 1; });
-  CHECK(!door.listener.at_rest());
+  CHECK(!door.listener.is_quiescent());
   door.run([&] { return door.ended() > 0; });
   CHECK(door.ended() == 1);  // another one made room
 }
@@ -150,7 +151,7 @@
     if (&other != &oldest) door.check(other);  // so that it is the one used longest ago
   std::this_thread::sleep_for(120ms);
   door.write(door.connect(), "x");
-  door.listener.close_door();
+  door.listener.start_draining(net::BacklogPolicy::accept);
   door.write(oldest, whole.substr(20));
   door.run([&] { return door.requests() == 1 && door.ended() > 0; });
   CHECK(door.ended() == 1);
@@ -160,7 +161,7 @@
   Door door;
   door.fill();
   door.write(door.connect(), request(1));
-  door.listener.close_door();
+  door.listener.start_draining(net::BacklogPolicy::accept);
   door.run([&] { return door.requests() == 1 && door.ended() > 0; });
   CHECK(door.ended() == 1);
 }
@@ -169,15 +170,15 @@
   Door door;
   auto& client = door.connect();
   door.check(client);
-  door.run([&] { return door.listener.at_rest(); });
+  door.run([&] { return door.listener.is_quiescent(); });
   const auto whole = request(2);
   door.write(client, whole.substr(0, 20));
-  CHECK(!door.listener.at_rest());  // unread
+  CHECK(!door.listener.is_quiescent());  // unread
   for (int i = 0; i < 50; ++i) door.run([] { return true; });
-  CHECK(!door.listener.at_rest());  // read, and half of it is still to come
+  CHECK(!door.listener.is_quiescent());  // read, and half of it is still to come
   door.write(client, whole.substr(20));
   door.run([&] { return door.requests() == 1; });
-  CHECK(!door.listener.at_rest());  // its answer is owed
+  CHECK(!door.listener.is_quiescent());  // its answer is owed
 }
 
 TEST_CASE("the end of all connections takes no answer from a client that has not read it yet") {
@@ -198,13 +199,13 @@
 
 TEST_CASE("what lies unread is read before a connection is ended, and a slow first message has its time") {
   Door door;
-  using Clock = net::Peer::Clock;
+  using Clock = net::ClientConnection::Clock;
   const auto pair = [&](edge::PeerId id) {
     tcp::acceptor acceptor(door.io, {asio::ip::address_v4::loopback(), 0});
     door.clients.emplace_back(door.io).connect(acceptor.local_endpoint());
     static const std::optional<double> hint;
-    auto peer =
-        std::make_shared<net::Peer>(acceptor.accept(), id, door.catalog, door.mailbox, hint, door.log);
+    auto peer = std::make_shared<net::ClientConnection>(acceptor.accept(), id, door.catalog, door.mailbox,
+                                                        hint, door.log);
     asio::co_spawn(
         door.io, [peer]() -> asio::awaitable<void> { co_await peer->run(); }, asio::detached);
     door.run([] { return true; });
@@ -215,21 +216,21 @@
   const auto whole = request(1);
   auto& late_client = *std::next(door.clients.begin());
   door.write(late_client, whole);  // as if the process had stood still since it came
-  late->mind(Clock::now() + 10s);
+  late->enforce_timeouts(Clock::now() + 10s);
   door.run([&] { return door.requests() == 1; });
   for (int i = 0; i < 50; ++i) door.run([] { return true; });
   CHECK(late_client.available() == 0);  // no word of an end
   door.write(door.clients.back(), whole.substr(0, 20));
-  door.run([&] { return slow->in_message(); });
-  slow->mind(slow->born() + 2400ms);
+  door.run([&] { return slow->has_partial_message(); });
+  slow->enforce_timeouts(slow->opened_at() + 2400ms);
   door.write(door.clients.back(), whole.substr(20));
   door.run([&] { return door.requests() == 2; });
   for (int i = 0; i < 50; ++i) door.run([] { return true; });
   CHECK(door.clients.back().available() == 0);
-  silent->mind(silent->born() + 1400ms);
+  silent->enforce_timeouts(silent->opened_at() + 1400ms);
   CHECK(silent->is_open());
-  silent->mind(silent->born() + 1600ms);
-  door.run([&] { return silent->lingering(); });
+  silent->enforce_timeouts(silent->opened_at() + 1600ms);
+  door.run([&] { return silent->is_lingering(); });
 }
 
 }  // namespace
--- a/tests/server_parts_test.cpp
+++ b/tests/server_parts_test.cpp
@@ -102,44 +102,45 @@
 }
 
 TEST_CASE("ledger: only what no notice showed as over is asked again, stops after their runs") {
-  kernel::Ledger ledger;
-  ledger.note(edge::StartRun{"b", ClassId{0}, ""});
-  ledger.note(edge::StartRun{"a", ClassId{0}, ""});
-  ledger.note(edge::StopRun{"b"});
-  ledger.note(edge::StopRun{"never started"});
-  CHECK(ledger.take({1, edge::RunReport{"a", edge::RunEnd::ok, {}, ""}}));
-  CHECK_FALSE(ledger.take({1, edge::RunReport{"b", edge::RunEnd::ok, {}, ""}}));
-  const auto again = ledger.to_ask_again();
+  kernel::CommandLog command_log;
+  command_log.record(edge::StartRun{"b", ClassId{0}, ""});
+  command_log.record(edge::StartRun{"a", ClassId{0}, ""});
+  command_log.record(edge::StopRun{"b"});
+  command_log.record(edge::StopRun{"never started"});
+  CHECK(command_log.accept({1, edge::RunReport{"a", edge::RunEnd::ok, {}, ""}}));
+  CHECK_FALSE(command_log.accept({1, edge::RunReport{"b", edge::RunEnd::ok, {}, ""}}));
+  const auto again = command_log.commands_to_resend();
   REQUIRE(again.size() == 2);
   CHECK(std::get<edge::StartRun>(again[0]).rid == "b");
   CHECK(std::get<edge::StopRun>(again[1]).rid == "b");
-  CHECK(ledger.last_notice() == 1);
+  CHECK(command_log.last_sequence() == 1);
 }
 
 // A kernel outlives the program: guards against a link that takes an earlier life's number for its own, and
 // then reads its next notices as replays.
 TEST_CASE("ledger: notices of an earlier life make it neither deaf nor inventive") {
-  kernel::Ledger ledger;
-  ledger.link_opened();
-  CHECK_FALSE(ledger.take({57, edge::RunReport{"old", edge::RunEnd::ok, {}, "x"}}));
-  CHECK_FALSE(ledger.take({1, kernel::IgnoredNotice{}}));  // before BOOTED: of no number that was asked for
-  CHECK(ledger.take({0, edge::KernelStarted{}}));
-  CHECK_FALSE(ledger.take({58, edge::RunReport{"older", edge::RunEnd::ok, {}, "x"}}));
-  CHECK(ledger.last_notice() == 0);
-  ledger.note(edge::StartRun{"a", ClassId{0}, ""});
-  CHECK(ledger.take({1, kernel::IgnoredNotice{}}));
-  CHECK(ledger.take({2, edge::RunReport{"a", edge::RunEnd::ok, {}, "x"}}));
+  kernel::CommandLog command_log;
+  command_log.connection_opened();
+  CHECK_FALSE(command_log.accept({57, edge::RunReport{"old", edge::RunEnd::ok, {}, "x"}}));
+  CHECK_FALSE(
+      command_log.accept({1, kernel::IgnoredNotice{}}));  // before BOOTED: of no number that was asked for
+  CHECK(command_log.accept({0, edge::KernelStarted{}}));
+  CHECK_FALSE(command_log.accept({58, edge::RunReport{"older", edge::RunEnd::ok, {}, "x"}}));
+  CHECK(command_log.last_sequence() == 0);
+  command_log.record(edge::StartRun{"a", ClassId{0}, ""});
+  CHECK(command_log.accept({1, kernel::IgnoredNotice{}}));
+  CHECK(command_log.accept({2, edge::RunReport{"a", edge::RunEnd::ok, {}, "x"}}));
   // Notices that the kernel no longer keeps leave a gap, past which an own run's end counts.
-  ledger.note(edge::StartRun{"b", ClassId{0}, ""});
-  CHECK(ledger.take({9, edge::RunReport{"b", edge::RunEnd::ok, {}, "x"}}));
-  CHECK(ledger.last_notice() == 9);
+  command_log.record(edge::StartRun{"b", ClassId{0}, ""});
+  CHECK(command_log.accept({9, edge::RunReport{"b", edge::RunEnd::ok, {}, "x"}}));
+  CHECK(command_log.last_sequence() == 9);
 }
 
 TEST_CASE("kernel lines: a result may hold line ends and come in pieces") {
   const std::string bytes =
       "REAP 7 aa OK 1.5 4\r\n\r\nx\n\r\nINFO t 0.5 2\r\nBOOTED COLD 12\r\nWHAT\r\nINFO t\r\n";
   for (const std::size_t piece : {std::size_t(1), std::size_t(3), bytes.size()}) {
-    kernel::Reader reader;
+    kernel::NoticeDecoder reader;
     std::vector<kernel::Notice> got;
     for (std::size_t at = 0; at < bytes.size(); at += piece) {
       reader.add(std::string_view(bytes).substr(at, piece));
@@ -149,9 +150,9 @@
     CHECK(got[0].number == 7);
     CHECK(std::get<edge::RunReport>(got[0].what).result == "\r\nx\n");
     CHECK(std::get<edge::RunReport>(got[0].what).took == 1500us);
-    CHECK(std::get<kernel::Info>(got[1].what).gauges.values == std::vector<float>{0.5F, 2});
+    CHECK(std::get<kernel::SystemInfo>(got[1].what).gauges.values == std::vector<float>{0.5F, 2});
     CHECK(std::get<edge::KernelStarted>(got[2].what).ago == 12ms);
-    CHECK(std::holds_alternative<kernel::BadLine>(got[3].what));
+    CHECK(std::holds_alternative<kernel::DecodeError>(got[3].what));
   }
 }
 
@@ -163,25 +164,25 @@
       "2\r\nok\r\n";
   for (std::size_t cut = 0; cut <= notices.size(); ++cut) {
     INFO("broken after ", cut, " bytes");
-    kernel::Ledger ledger;
-    for (const char* rid : {"a", "b", "c", "d"}) ledger.note(edge::StartRun{rid, ClassId{0}, ""});
-    ledger.note(edge::StopRun{"b"});
+    kernel::CommandLog command_log;
+    for (const char* rid : {"a", "b", "c", "d"}) command_log.record(edge::StartRun{rid, ClassId{0}, ""});
+    command_log.record(edge::StopRun{"b"});
     std::string ended;
     const auto read = [&](std::string_view bytes) {
-      kernel::Reader reader;  // each link has its own
+      kernel::NoticeDecoder reader;  // each link has its own
       reader.add(bytes);
       while (const auto notice = reader.next())
-        if (ledger.take(*notice))
+        if (command_log.accept(*notice))
           if (const auto* report = std::get_if<edge::RunReport>(&notice->what)) ended += report->rid;
     };
     read(std::string_view(notices).substr(0, cut));
-    const auto known = ledger.last_notice();
+    const auto known = command_log.last_sequence();
     // The kernel replays what came after that; all of it here, as doubles must change nothing.
     read("BOOTED WARM 60000\r\n" + notices);
     CHECK(known <= 4);
     CHECK(ended == "abc");
-    CHECK(ledger.last_notice() == 4);
-    const auto again = ledger.to_ask_again();
+    CHECK(command_log.last_sequence() == 4);
+    const auto again = command_log.commands_to_resend();
     REQUIRE(again.size() == 1);
     CHECK(std::get<edge::StartRun>(again[0]).rid == "d");
   }
@@ -189,7 +190,7 @@
 
 // Guards against a set that grows with a connection's life, and against an answer that fits two requests.
 TEST_CASE("frames: a stream is new once, in whatever order its neighbours come") {
-  frames::UsedStreams used;
+  frames::StreamIdTracker used;
   for (const std::uint32_t stream : {1, 3, 2, 7}) CHECK(used.take(stream));
   for (const std::uint32_t stream : {1, 2, 3, 7, 0}) CHECK_FALSE(used.take(stream));
   for (std::uint32_t stream = 1001; stream < 3000; stream += 2) CHECK(used.take(stream));
@@ -218,23 +219,23 @@
 // Guards against connections that ask once and stay, each with the room its request took.
 TEST_CASE("frames: a reader with nothing unread holds no buffer") {
   edge::NameRegistry catalog{{"tile"}, {}, {false}};
-  frames::Reader reader(catalog, edge::PeerId{1});
+  frames::FrameDecoder reader(catalog, edge::PeerId{1});
   const std::string check("\x00\x00\x00\x06\x06\x00\x00\x00\x02\x00", 10);
   for (int i = 0; i < 100; ++i) reader.add(check);
   int read = 0;
   while (reader.next()) ++read;
   CHECK(read == 100);
-  CHECK(reader.held_bytes() == std::string().capacity());
+  CHECK(reader.buffer_capacity() == std::string().capacity());
 }
 
 // Guards against buffers that grow with what is sent.
 TEST_CASE("frames: an oversize request is turned away and skipped, and the next one is read") {
   edge::NameRegistry catalog{{"tile"}, {}, {false}};
-  frames::Reader reader(catalog, edge::PeerId{1});
+  frames::FrameDecoder reader(catalog, edge::PeerId{1});
   reader.add(std::string_view("\x00\x03\x00\x00\x00\x00\x00\x00\x05", 9));
   const auto bad = reader.next();
   REQUIRE(bad);
-  CHECK(std::get<frames::BadRequest>(*bad).stream == 5);
+  CHECK(std::get<frames::MalformedRequest>(*bad).stream == 5);
   const std::string filler(4096, 'x');
   std::size_t left = 0x30000 - 5;
   for (; left > filler.size(); left -= filler.size()) {
--- a/tests/typed_config_test.cpp
+++ b/tests/typed_config_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "operators/operator_file.h"
+#include "operators/operator_config.h"
 
 namespace granitegap::typed_config {
 namespace {
@@ -136,18 +136,18 @@
 
 TEST(OperatorFile, TheExampleIsGoodAndStaysTheSameWhenPrinted) {
   const auto declared = operators::load(OPERATOR_EXAMPLE);
-  ASSERT_TRUE(std::holds_alternative<operators::Declared>(declared));
-  const auto& d = std::get<operators::Declared>(declared);
+  ASSERT_TRUE(std::holds_alternative<operators::OperatorConfig>(declared));
+  const auto& d = std::get<operators::OperatorConfig>(declared);
   EXPECT_EQ(d.spec.dependencies.size(), 2u);
   EXPECT_EQ(d.spec.dependencies[0].max_open, 32u);
   EXPECT_EQ(d.spec.gathers[0].parts[1].fallback, "");
-  const auto again = operators::read(parsed(print(d.filled)));
-  ASSERT_TRUE(std::holds_alternative<operators::Declared>(again));
-  EXPECT_EQ(print(std::get<operators::Declared>(again).filled), print(d.filled));
+  const auto again = operators::from_document(parsed(print(d.values)));
+  ASSERT_TRUE(std::holds_alternative<operators::OperatorConfig>(again));
+  EXPECT_EQ(print(std::get<operators::OperatorConfig>(again).values), print(d.values));
 }
 
 TEST(OperatorFile, EveryErrorAtOnce) {
-  const auto result = operators::read(parsed(R"(version: 1
+  const auto result = operators::from_document(parsed(R"(version: 1
 dependencies: [
 	{name: "a b", endpoints: ["localhost:1", "127.0.0.1:9", "127.0.0.1:9"], least_open: 9, most_open: 3},
 	{name: "e", endpoints: ["[::1]:9", "127.0.0.1:0"]},
@@ -162,7 +162,7 @@
 ])"));
   ASSERT_TRUE(std::holds_alternative<operators::Errors>(result));
   std::string out;
-  for (const auto& e : std::get<operators::Errors>(result)) out += e.field + ": " + e.what + "\n";
+  for (const auto& e : std::get<operators::Errors>(result)) out += e.field + ": " + e.message + "\n";
   EXPECT_EQ(out,
             "dependencies[0].name: expected a host's name, as it stands in Host\n"
             "dependencies[0].endpoints[0]: expected a numeric address and a port, as \"127.0.0.1:9001\"\n"
@@ -180,13 +180,13 @@
 }
 
 TEST(OperatorFile, MembershipAloneIsAFile) {
-  const auto result = operators::read(parsed(R"(version: 1
+  const auto result = operators::from_document(parsed(R"(version: 1
 dependencies: []
 gathers: []
 membership: {cluster: "budapest", bind: "127.0.0.1:9101", seeds: ["127.0.0.1:9102"], zone: "vac", period: 200ms}
 )"));
-  ASSERT_TRUE(std::holds_alternative<operators::Declared>(result));
-  const auto& m = std::get<operators::Declared>(result).membership;
+  ASSERT_TRUE(std::holds_alternative<operators::OperatorConfig>(result));
+  const auto& m = std::get<operators::OperatorConfig>(result).membership;
   ASSERT_TRUE(m);
   EXPECT_EQ(m->advertise, m->bind);
   EXPECT_EQ(m->options.seeds.size(), 1u);
@@ -196,14 +196,14 @@
 }
 
 TEST(OperatorFile, MembershipErrorsNameTheirField) {
-  const auto result = operators::read(parsed(R"(version: 1
+  const auto result = operators::from_document(parsed(R"(version: 1
 dependencies: []
 gathers: []
 membership: {cluster: "a b", bind: "0.0.0.0:9101", seeds: ["host:1", "[::1]:2"], believe_for: 1m, forget_after: 90s}
 )"));
   ASSERT_TRUE(std::holds_alternative<operators::Errors>(result));
   std::string out;
-  for (const auto& e : std::get<operators::Errors>(result)) out += e.field + ": " + e.what + "\n";
+  for (const auto& e : std::get<operators::Errors>(result)) out += e.field + ": " + e.message + "\n";
   EXPECT_EQ(out,
             "membership.cluster: expected a name without spaces\n"
             "membership.bind: others can't reach this address: expected advertise beside it\n"
--- a/tools/standin/fault_injector.cpp
+++ b/tools/standin/fault_injector.cpp
@@ -19,7 +19,7 @@
 
 std::set<std::string> names_of(const Value& v) {
   std::set<std::string> names;
-  for (const auto& name : v.as_list()) names.insert(name.as_text());
+  for (const auto& name : v.as_list()) names.insert(name.as_string());
   return names;
 }
 
@@ -41,22 +41,22 @@
     r.to = names_of(v["to"]);
     r.both = v["both"].as_bool();
     r.cut = v["cut"].as_bool();
-    r.begins = v["begins"].as_span();
-    r.ends = v["ends"].as_span();
-    r.loss = v["loss"].as_number();
-    r.burst_loss = v["burst_loss"].as_number();
-    r.good_for = v["good_for"].as_span();
-    r.bad_for = v["bad_for"].as_span();
-    r.delay = v["delay"].as_span();
-    r.shape = shape_of(v["shape"].as_text());
-    r.spread = v["spread"].as_number();
-    r.reorder = v["reorder"].as_number();
-    r.hold = v["hold"].as_span();
-    r.duplicate = v["duplicate"].as_number();
-    r.corrupt = v["corrupt"].as_number();
-    r.rate = v["rate"].as_size();
+    r.begins = v["begins"].as_duration();
+    r.ends = v["ends"].as_duration();
+    r.loss = v["loss"].as_double();
+    r.burst_loss = v["burst_loss"].as_double();
+    r.good_for = v["good_for"].as_duration();
+    r.bad_for = v["bad_for"].as_duration();
+    r.delay = v["delay"].as_duration();
+    r.shape = shape_of(v["shape"].as_string());
+    r.spread = v["spread"].as_double();
+    r.reorder = v["reorder"].as_double();
+    r.hold = v["hold"].as_duration();
+    r.duplicate = v["duplicate"].as_double();
+    r.corrupt = v["corrupt"].as_double();
+    r.rate = v["rate"].as_byte_size();
     if (r.ends.count() > 0 && r.ends <= r.begins)
-      return Errors{{document.file, v.at, "rules.ends", "expected after begins, or 0s for ever"}};
+      return Errors{{document.file, v.position, "rules.ends", "expected after begins, or 0s for ever"}};
     rules.push_back(std::move(r));
   }
   return rules;
--- a/tools/standin/script.cpp
+++ b/tools/standin/script.cpp
@@ -27,19 +27,19 @@
 
 Phase phase_of(const Value& v) {
   Phase p;
-  p.from = v["from"].as_span();
+  p.from = v["from"].as_duration();
   if (const auto* endpoint = v.find("endpoint")) p.endpoint = int(endpoint->as_int());
-  p.shape = named(kShapes, v["shape"].as_text());
-  p.latency = v["latency"].as_span();
-  p.spread = v["spread"].as_number();
-  p.ramp = v["ramp"].as_span();
-  p.ramp_from = v["ramp_from"].as_number();
+  p.shape = named(kShapes, v["shape"].as_string());
+  p.latency = v["latency"].as_duration();
+  p.spread = v["spread"].as_double();
+  p.ramp = v["ramp"].as_duration();
+  p.ramp_from = v["ramp_from"].as_double();
   for (const auto& f : v["faults"].as_list()) {
-    Fault fault{named(kFaults, f["kind"].as_text()), f["share"].as_number(), {}};
-    if (const auto* after = f.find("retry_after")) fault.retry_after = after->as_span();
+    Fault fault{named(kFaults, f["kind"].as_string()), f["share"].as_double(), {}};
+    if (const auto* after = f.find("retry_after")) fault.retry_after = after->as_duration();
     p.faults.push_back(fault);
   }
-  p.body = v["body"].as_size();
+  p.body = v["body"].as_byte_size();
   p.capacity = std::uint32_t(v["capacity"].as_int());
   return p;
 }
@@ -47,7 +47,7 @@
 Script script_of(const Value& v) {
   Script s;
   for (const auto& p : v["phases"].as_list()) s.phases.push_back(phase_of(p));
-  s.repeat = v["repeat"].as_span();
+  s.repeat = v["repeat"].as_duration();
   return s;
 }
 
@@ -104,21 +104,21 @@
   if (auto* errors = std::get_if<Errors>(&checked)) return std::move(*errors);
   const auto& v = std::get<Value>(checked);
   Scenario s;
-  s.name = v["name"].as_text();
-  s.length = v["seconds"].as_span();
-  s.fault_from = v["fault_from"].as_span();
-  s.fault_to = v["fault_to"].as_span();
-  s.budget = v["budget"].as_span();
-  s.fresh_for = v["fresh_for"].as_span();
-  s.stale_for = v["stale_for"].as_span();
-  s.rate = v["rate"].as_number();
+  s.name = v["name"].as_string();
+  s.length = v["seconds"].as_duration();
+  s.fault_from = v["fault_from"].as_duration();
+  s.fault_to = v["fault_to"].as_duration();
+  s.budget = v["budget"].as_duration();
+  s.fresh_for = v["fresh_for"].as_duration();
+  s.stale_for = v["stale_for"].as_duration();
+  s.rate = v["rate"].as_double();
   s.cores = int(v["cores"].as_int());
   s.endpoints = int(v["endpoints"].as_int());
   s.keys = std::uint64_t(v["keys"].as_int());
   s.elevation = script_of(v["elevation"]);
   s.names = script_of(v["names"]);
   if (s.fault_from > s.fault_to || s.fault_to > s.length)
-    return Errors{{document.file, v.at, "fault_to", "expected fault_from <= fault_to <= seconds"}};
+    return Errors{{document.file, v.position, "fault_to", "expected fault_from <= fault_to <= seconds"}};
   return s;
 }
 
