--- /dev/null
+++ b/tests/lifecycle_test.cpp
@@ -0,0 +1,94 @@
+// The lifecycle of a process: every phase that two events in a row lead to.
+#include "lifecycle/lifecycle.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+namespace granitegap::lifecycle {
+namespace {
+
+enum class Event { kernel_up, quiesce, resume, drain, hand_over };
+constexpr Event kEvents[] = {Event::kernel_up, Event::quiesce, Event::resume, Event::drain, Event::hand_over};
+
+bool is_stop(Event event) { return event == Event::drain || event == Event::hand_over; }
+
+// Whether the event was accepted; those that nobody can refuse always are.
+bool apply(Lifecycle& lifecycle, Event event) {
+  switch (event) {
+    case Event::kernel_up:
+      lifecycle.kernel_up();
+      return true;
+    case Event::quiesce:
+      return lifecycle.quiesce();
+    case Event::resume:
+      return lifecycle.resume();
+    case Event::drain:
+      lifecycle.stop(false);
+      return true;
+    case Event::hand_over:
+      lifecycle.stop(true);
+      return true;
+  }
+  return false;
+}
+
+// What the documented rules say of two events, without the code: a stop wins and the first stop counts; else
+// the last of quiesce and resume; else whether the kernel has been up.
+struct Expectation {
+  Expectation(Event first, Event second)
+      : stopped(is_stop(first) || is_stop(second)),
+        stop(is_stop(first) ? first : second),
+        quiesced(second == Event::quiesce || (first == Event::quiesce && second != Event::resume)),
+        kernel_up(first == Event::kernel_up || second == Event::kernel_up),
+        second_accepted(!is_stop(first) || (second != Event::quiesce && second != Event::resume)) {}
+
+  Phase phase() const {
+    if (stopped) return Phase::stopping;
+    if (quiesced) return Phase::quiesced;
+    return kernel_up ? Phase::serving : Phase::starting;
+  }
+  bool handing_over() const { return stopped && stop == Event::hand_over; }
+
+  bool stopped;
+  Event stop;
+  bool quiesced;
+  bool kernel_up;
+  bool second_accepted;
+};
+
+// Calls `check(lifecycle, expectation)` after every ordered pair of events.
+template <class Check>
+void for_every_pair(Check check) {
+  for (const auto first : kEvents)
+    for (const auto second : kEvents) {
+      SCOPED_TRACE(std::to_string(int(first)) + " then " + std::to_string(int(second)));
+      Lifecycle lifecycle;
+      EXPECT_TRUE(apply(lifecycle, first));
+      const Expectation expected(first, second);
+      EXPECT_EQ(apply(lifecycle, second), expected.second_accepted);
+      check(lifecycle, expected);
+    }
+}
+
+TEST(Lifecycle, EveryOrderedPairOfEventsLeadsToTheDocumentedPhase) {
+  for_every_pair([](const Lifecycle& lifecycle, const Expectation& expected) {
+    EXPECT_EQ(lifecycle.phase(), expected.phase());
+    EXPECT_EQ(lifecycle.up(), expected.kernel_up);
+  });
+}
+
+TEST(Lifecycle, HealthChecksAreGoodUnlessQuiescedOrDraining) {
+  for_every_pair([](const Lifecycle& lifecycle, const Expectation& expected) {
+    EXPECT_EQ(lifecycle.welcomes(), expected.stopped ? expected.handing_over() : !expected.quiesced);
+  });
+}
+
+TEST(Lifecycle, AProcessThatHandsOverReportsNothing) {
+  for_every_pair([](const Lifecycle& lifecycle, const Expectation& expected) {
+    EXPECT_EQ(lifecycle.reports(), !expected.handing_over());
+  });
+}
+
+}  // namespace
+}  // namespace granitegap::lifecycle
