--- a/tests/hot_restart_process_test.cpp
+++ b/tests/hot_restart_process_test.cpp
@@ -1,310 +1,214 @@
-// The operators' door, drain and resume, and a new version beside the old one, between real processes on one
-// inherited door. Answers and the runs that the kernels count decide, never times.
-#include <gtest/gtest.h>
-
-#include <boost/asio/io_context.hpp>
-#include <boost/asio/ip/tcp.hpp>
-#include <boost/asio/write.hpp>
-#include <csignal>
+// Hot restart between real processes that inherit one client socket: the old one hands over to its successor,
+// and an idempotency key runs once, whichever of them its attempts reach.
+#include <algorithm>
+#include <chrono>
 #include <cstdio>
-#include <list>
 
-#include "fleet/process_fleet.h"
-#include "standin/caller.h"
+#include "server_process.h"
 
 namespace granitegap::fleet {
 namespace {
 
 using namespace std::chrono_literals;
-using standin::Asked;
 using standin::Caller;
 
-constexpr auto kLong = 60s;
-const Asked kTile{"tile", "x", {}, {}, 20};
-constexpr char kToken[] = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", kOther[] = "5c0f6e1a2b3d4c59a8b7c6d5e4f30212";
+constexpr char kHandsOver[] = "the door is another process's";  // logged where a successor serves
 
-Options options() {
-  Options o;
-  o.program = PROGRAM;
-  o.size = 1;
-  o.in_fleet = o.declared = false;  // as on the platform
-  o.operators_door = o.shared_door = true;
-  o.repeat_window = 600s;  // longer than any machine takes for a test
-  return o;
+int total_run_count(const ServerProcesses& servers, const std::string& successor, const std::string& key) {
+  return servers.run_count(kServer, key) + servers.run_count(successor, key);
 }
 
-struct Trial : Fleet {
-  explicit Trial(Options o = options()) : Fleet(std::move(o)) {}
-  void able(const std::string& name) {
-    ASSERT_TRUE(until([&] { return admin_port(name) != 0 && admin(name, "health") == "OK serving"; }, kLong))
-        << log(name);
-  }
-  void up(const std::string& name = "n0") {
-    start(name);
-    able(name);
-  }
-  std::string upgrade() {
-    const auto fresh = start_twin("n0");
-    able(fresh);
-    return fresh;
-  }
-  std::uint16_t door() const { return port("n0"); }
-  static Asked report(const std::string& token, int est_ms = 20) {
-    return {"trail-report", "report " + token, token, {}, est_ms};
-  }
-  int ran(const std::string& name, const std::string& token) const {
-    const auto all = runs(name);
-    const auto it = all.find({"trail-report", "report " + token});
-    return it == all.end() ? 0 : it->second;
-  }
-  // Asks whichever of two processes the other, stopped meanwhile, leaves the door to.
-  std::optional<standin::Answered> ask_beside(const std::string& stopped, const Asked& asked) {
-    pause(stopped);
-    auto answer = Caller(door()).ask(asked);
-    resume(stopped);
-    return answer;
-  }
-  bool says(const std::string& name, const std::string& line) const {
-    return log(name).find(line) != std::string::npos;
-  }
-  void ends_in_order(const std::string& name) {
-    ASSERT_TRUE(until([&] { return ended(name); }, kLong)) << log(name);
-    EXPECT_EQ(status(name), 0) << log(name);
-    EXPECT_TRUE(says(name, "left: all answered")) << log(name);
-  }
-};
-constexpr char kHandsOver[] = "the door is another process's";
-bool served(const std::optional<standin::Answered>& a) { return a && a->code == 0; }
+// ---- Handing over ----
+
+TEST(HotRestart, ARunningRequestIsAnsweredAndTheSuccessorAcceptsNewOnes) {
+  auto options = hot_restart_options();
+  options.run_cost = 400ms;
+  ServerProcesses servers(options);
+  servers.start_healthy();
+  Caller client(servers.client_port());
+  client.tell(keyed_request(kKey, 400));
+  ASSERT_TRUE(servers.until([&] { return servers.run_count(kServer, kKey) == 1; }, kPatience));
+  const auto successor = servers.start_successor();
+  servers.end(kServer);
+  ASSERT_TRUE(servers.wait_for_log(kServer, kHandsOver)) << servers.log(kServer);
+  EXPECT_TRUE(is_served(client.hear())) << servers.log(kServer);
+  EXPECT_TRUE(is_served(servers.ask())) << servers.log(successor);
+  EXPECT_EQ(Caller(servers.client_port()).check(), true);
+  servers.expect_graceful_shutdown(kServer);
+  EXPECT_FALSE(servers.ended(successor));
+  EXPECT_EQ(total_run_count(servers, successor, kKey), 1);
+}
 
-TEST(Door, AnswersWhileDescriptorsAreFullAndCallersSayNothing) {
-  auto o = options();
-  o.sockets = 96;
-  Trial f(o);
-  f.up();
-  std::list<Caller> idle;
-  for (int i = 0; i < 120; ++i) idle.emplace_back(f.door()).check();
-  boost::asio::io_context io;
-  std::list<boost::asio::ip::tcp::socket> silent;
-  for (int i = 0; i < 40; ++i) {
-    silent.emplace_back(io).connect({boost::asio::ip::address_v4::loopback(), f.admin_port("n0")});
-    if (i % 2) boost::asio::write(silent.back(), boost::asio::buffer("heal", 4));
-  }
-  EXPECT_EQ(f.admin("n0", "health"), "OK serving");
-  for (const auto* bad : {"", "Health", "health now", "\x01\xff", "quiescent"})
-    EXPECT_TRUE(f.admin("n0", bad).starts_with("ERR ")) << bad;
-  EXPECT_EQ(f.admin("n0", std::string(5000, 'x')), "ERR line too long");
-  EXPECT_EQ(f.admin("n0", "health\r"), "OK serving");  // nothing of that changed a thing
+TEST(HotRestart, ARequestHalfReadAtTheShutdownIsAnsweredByTheProcessThatReadIt) {
+  ServerProcesses servers(hot_restart_options());
+  servers.start_healthy();
+  Caller idle_client(servers.client_port()), half_client(servers.client_port());
+  EXPECT_TRUE(is_served(idle_client.ask(kTile)));
+  half_client.tell_begin(kTile, 20);
+  EXPECT_TRUE(is_served(idle_client.ask(kTile)));  // by now the half has been read
+  const auto successor = servers.start_successor();
+  servers.end(kServer);
+  ASSERT_TRUE(servers.wait_for_log(kServer, kHandsOver));
+  half_client.tell_rest();
+  EXPECT_TRUE(is_served(half_client.hear())) << servers.log(kServer);
+  // A request that crosses the notice to reconnect, on a connection that was idle.
+  EXPECT_TRUE(is_served(idle_client.ask(kTile))) << servers.log(kServer);
+  EXPECT_EQ(idle_client.check(), true);  // a failed check would count against the successor too
+  servers.expect_graceful_shutdown(kServer);
+  EXPECT_FALSE(servers.ended(successor));
 }
 
-TEST(Door, QuiesceTurnsChecksBadAndServesOnAndResumeTurnsThemBack) {
-  Trial f;
-  f.up();
-  Caller checks(f.door()), asks(f.door());
-  EXPECT_EQ(checks.check(), true);
-  for (int twice = 0; twice < 2; ++twice) {
-    EXPECT_EQ(f.admin("n0", "quiesce"), "OK quiesced");
-    EXPECT_EQ(checks.check(), false);
-    EXPECT_TRUE(served(asks.ask(kTile)));
-    EXPECT_TRUE(served(Caller(f.door()).ask(kTile)));
-  }
-  EXPECT_EQ(f.admin("n0", "health"), "OK quiesced");
-  ::kill(f.pid("n0"), SIGHUP);  // keeps the state
-  ASSERT_TRUE(f.until([&] { return f.says("n0", "reload: kernel at"); }, kLong));
-  EXPECT_EQ(checks.check(), false);
-  EXPECT_EQ(f.admin("n0", "resume"), "OK serving");
-  EXPECT_EQ(f.admin("n0", "resume"), "OK serving");
-  EXPECT_EQ(checks.check(), true);
+TEST(HotRestart, WithoutASuccessorThatServesTheBacklogIsAnswered) {
+  ServerProcesses servers(hot_restart_options());
+  servers.start_healthy();
+  const auto starting = servers.start_twin(kServer, false);
+  ASSERT_TRUE(servers.until([&] { return servers.admin_port(starting) != 0; }, kPatience));
+  EXPECT_TRUE(servers.admin(starting, "health").starts_with("ERR starting"));
+  servers.pause(starting);  // it shares the socket and accepts nothing
+  EXPECT_TRUE(is_served(servers.ask()));
+  servers.pause(kServer);
+  Caller client(servers.client_port());
+  client.tell(kTile);
+  servers.end(kServer);
+  servers.resume(kServer);
+  EXPECT_TRUE(is_served(client.hear())) << servers.log(kServer);
+  servers.expect_graceful_shutdown(kServer);
+  EXPECT_FALSE(servers.has_logged(kServer, kHandsOver));
 }
 
-TEST(Door, NothingLeadsBackFromANotice) {
-  Trial f;
-  f.up();
-  EXPECT_EQ(f.admin("n0", "quiesce"), "OK quiesced");
-  Caller asks(f.door());
-  f.end("n0");
-  ASSERT_TRUE(f.until([&] { return f.says("n0", "notice to leave"); }, kLong));
-  EXPECT_EQ(f.admin("n0", "resume"), "ERR stopping: nothing leads back");
-  EXPECT_EQ(f.admin("n0", "health"), "ERR stopping");
-  EXPECT_EQ(asks.check(), false);
-  f.ends_in_order("n0");
+// The successor is told to shut down while the old process is still draining: it hands over to nobody.
+TEST(HotRestart, ADrainingProcessIsNobodysSuccessor) {
+  ServerProcesses servers(hot_restart_options());
+  servers.start_healthy();
+  Caller idle_client(servers.client_port());
+  EXPECT_TRUE(is_served(idle_client.ask(kTile)));  // keeps the old process from ending early
+  const auto successor = servers.start_successor();
+  servers.end(kServer);
+  ASSERT_TRUE(servers.wait_for_log(kServer, kHandsOver));
+  servers.pause(successor);
+  servers.pause(kServer);  // still alive, however fast the machine is
+  Caller client(servers.client_port());
+  client.tell(kTile);
+  servers.end(successor);
+  servers.resume(successor);
+  EXPECT_TRUE(is_served(client.hear())) << servers.log(successor);
+  EXPECT_FALSE(servers.has_logged(successor, kHandsOver)) << servers.log(successor);
+  servers.expect_graceful_shutdown(successor);
+  servers.resume(kServer);
 }
 
-TEST(Upgrade, WhatRunsIsAnsweredAndTheDoorIsTheSuccessors) {
-  auto o = options();
-  o.run_cost = 400ms;
-  Trial f(o);
-  f.up();
-  Caller open(f.door());
-  open.tell(Trial::report(kToken, 400));
-  ASSERT_TRUE(f.until([&] { return f.ran("n0", kToken) == 1; }, kLong));
-  const auto fresh = f.upgrade();
-  f.end("n0");
-  ASSERT_TRUE(f.until([&] { return f.says("n0", kHandsOver); }, kLong)) << f.log("n0");
-  EXPECT_TRUE(served(open.hear())) << f.log("n0");
-  EXPECT_TRUE(served(Caller(f.door()).ask(kTile))) << f.log(fresh);
-  EXPECT_EQ(Caller(f.door()).check(), true);
-  f.ends_in_order("n0");
-  EXPECT_FALSE(f.ended(fresh));
-  EXPECT_EQ(f.ran("n0", kToken) + f.ran(fresh, kToken), 1);
+TEST(HotRestart, TwoInARowHandOverAndTheThirdKnowsTheFirstsKeys) {
+  ServerProcesses servers(hot_restart_options());
+  servers.start_healthy();
+  EXPECT_TRUE(is_served(servers.ask(keyed_request(kKey))));
+  const auto second = servers.start_successor();
+  EXPECT_EQ(servers.admin(kServer, "quiesce"), "OK quiesced");
+  servers.end(kServer);
+  servers.expect_graceful_shutdown(kServer);
+  EXPECT_TRUE(servers.has_logged(kServer, kHandsOver));
+  EXPECT_EQ(Caller(servers.client_port()).check(), true);
+  servers.start_healthy();  // the third, with the first one's directory
+  servers.end(second);
+  servers.expect_graceful_shutdown(second);
+  EXPECT_TRUE(servers.has_logged(second, kHandsOver));
+  EXPECT_TRUE(is_served(servers.ask()));
+  EXPECT_TRUE(is_rejected(servers.ask(keyed_request(kKey))));
+  EXPECT_EQ(servers.run_count(kServer, kKey), 1);
 }
 
-TEST(Upgrade, HalfARequestAtTheNoticeIsAnsweredByWhoeverReadTheFirstHalf) {
-  Trial f;
-  f.up();
-  Caller resting(f.door()), half(f.door());
-  EXPECT_TRUE(served(resting.ask(kTile)));
-  half.tell_begin(kTile, 20);
-  EXPECT_TRUE(served(resting.ask(kTile)));  // by now the half has been read
-  const auto fresh = f.upgrade();
-  f.end("n0");
-  ASSERT_TRUE(f.until([&] { return f.says("n0", kHandsOver); }, kLong));
-  half.tell_rest();
-  EXPECT_TRUE(served(half.hear())) << f.log("n0");
-  // A request that crosses the word to go, on a connection that rested.
-  EXPECT_TRUE(served(resting.ask(kTile))) << f.log("n0");
-  EXPECT_EQ(resting.check(), true);  // bad would be said of the successor too
-  f.ends_in_order("n0");
-  EXPECT_FALSE(f.ended(fresh));
+// ---- Leases on idempotency keys ----
+
+TEST(HotRestart, AKeyRunsOnceWhicheverProcessItsAttemptsReach) {
+  ServerProcesses servers(hot_restart_options());
+  servers.start_healthy();
+  const auto successor = servers.start_successor();
+  EXPECT_TRUE(is_served(servers.ask_while_stopped(successor, keyed_request(kKey))));
+  EXPECT_TRUE(is_rejected(servers.ask_while_stopped(kServer, keyed_request(kKey))));
+  EXPECT_TRUE(is_served(servers.ask_while_stopped(kServer, keyed_request(kOtherKey))));
+  EXPECT_TRUE(is_rejected(servers.ask_while_stopped(successor, keyed_request(kOtherKey))));
+  for (const auto* key : {kKey, kOtherKey}) EXPECT_EQ(total_run_count(servers, successor, key), 1) << key;
 }
 
-TEST(Upgrade, OneTokenRunsOnceWhicheverProcessItsTriesReach) {
-  Trial f;
-  f.up();
-  const auto fresh = f.upgrade();
-  EXPECT_TRUE(served(f.ask_beside(fresh, Trial::report(kToken))));
-  const auto again = f.ask_beside("n0", Trial::report(kToken));
-  ASSERT_TRUE(again);
-  EXPECT_EQ(again->code, 1);
-  EXPECT_TRUE(served(f.ask_beside("n0", Trial::report(kOther))));
-  const auto back = f.ask_beside(fresh, Trial::report(kOther));
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->code, 1);
-  for (const auto* token : {kToken, kOther}) EXPECT_EQ(f.ran("n0", token) + f.ran(fresh, token), 1) << token;
+// One of two processes is killed between the lease and the result: the other never runs the key.
+void expect_key_of_killed_process_is_not_run(ServerProcesses& servers, const std::string& successor,
+                                             const std::string& killed, const std::string& survivor) {
+  servers.pause(survivor);
+  Caller client(servers.client_port());
+  client.tell(keyed_request(kKey));
+  ASSERT_TRUE(servers.until([&] { return servers.run_count(killed, kKey) == 1; }, kPatience));
+  servers.kill(killed);
+  servers.resume(survivor);
+  EXPECT_TRUE(is_rejected(servers.ask(keyed_request(kKey)))) << servers.log(survivor);
+  EXPECT_EQ(total_run_count(servers, successor, kKey), 1);
 }
 
-// Killed between the claim and the result, either of the two: the other never runs it.
-TEST(Upgrade, ATokenOfAKilledProcessIsNotRunByTheOther) {
-  for (const bool old_dies : {true, false}) {
-    auto o = options();
-    o.run_cost = 20s;
-    Trial f(o);
-    f.up();
-    const auto fresh = f.upgrade();
-    const auto dies = old_dies ? std::string("n0") : fresh, lives = old_dies ? fresh : std::string("n0");
-    f.pause(lives);
-    Caller c(f.door());
-    c.tell(Trial::report(kToken));
-    ASSERT_TRUE(f.until([&] { return f.ran(dies, kToken) == 1; }, kLong));
-    f.kill(dies);
-    f.resume(lives);
-    const auto again = Caller(f.door()).ask(Trial::report(kToken));
-    ASSERT_TRUE(again) << f.log(lives);
-    EXPECT_EQ(again->code, 1);
-    EXPECT_EQ(f.ran("n0", kToken) + f.ran(fresh, kToken), 1);
-    if (old_dies) continue;
-    // Its successor is gone: the old one's notice is a drain as ever.
-    f.end(lives);
-    f.ends_in_order(lives);
-    EXPECT_FALSE(f.says(lives, kHandsOver));
-  }
+Options slow_run_options() {
+  auto options = hot_restart_options();
+  options.run_cost = 20s;
+  return options;
 }
 
-TEST(Upgrade, WithoutASuccessorThatServesTheBacklogIsAnswered) {
-  Trial f;
-  f.up();
-  const auto fresh = f.start_twin("n0", false);
-  ASSERT_TRUE(f.until([&] { return f.admin_port(fresh) != 0; }, kLong));
-  EXPECT_TRUE(f.admin(fresh, "health").starts_with("ERR starting"));
-  f.pause(fresh);  // stays at the door and takes nobody
-  EXPECT_TRUE(served(Caller(f.door()).ask(kTile)));
-  f.pause("n0");
-  Caller waits(f.door());
-  waits.tell(kTile);
-  f.end("n0");
-  f.resume("n0");
-  EXPECT_TRUE(served(waits.hear())) << f.log("n0");
-  f.ends_in_order("n0");
-  EXPECT_FALSE(f.says("n0", kHandsOver));
+TEST(HotRestart, AKeyOfAKilledOldProcessIsNotRunByItsSuccessor) {
+  ServerProcesses servers(slow_run_options());
+  servers.start_healthy();
+  const auto successor = servers.start_successor();
+  expect_key_of_killed_process_is_not_run(servers, successor, kServer, successor);
 }
 
-// The new one is told to go while the old one is still on its way out: it leaves the door to nobody.
-TEST(Upgrade, OneThatIsLeavingIsNobodysSuccessor) {
-  Trial f;
-  f.up();
-  Caller resting(f.door());
-  EXPECT_TRUE(served(resting.ask(kTile)));  // keeps the old one from ending early
-  const auto fresh = f.upgrade();
-  f.end("n0");
-  ASSERT_TRUE(f.until([&] { return f.says("n0", kHandsOver); }, kLong));
-  f.pause(fresh);
-  f.pause("n0");  // there, whatever the machine's pace
-  Caller waits(f.door());
-  waits.tell(kTile);
-  f.end(fresh);
-  f.resume(fresh);
-  EXPECT_TRUE(served(waits.hear())) << f.log(fresh);
-  EXPECT_FALSE(f.says(fresh, kHandsOver)) << f.log(fresh);
-  f.ends_in_order(fresh);
-  f.resume("n0");
+TEST(HotRestart, AKeyOfAKilledSuccessorIsNotRunByTheOldProcessWhichThenDrainsAlone) {
+  ServerProcesses servers(slow_run_options());
+  servers.start_healthy();
+  const auto successor = servers.start_successor();
+  expect_key_of_killed_process_is_not_run(servers, successor, successor, kServer);
+  servers.end(kServer);
+  servers.expect_graceful_shutdown(kServer);
+  EXPECT_FALSE(servers.has_logged(kServer, kHandsOver));
 }
 
-TEST(Upgrade, TwoInARowAndQuiescedOnTheWay) {
-  Trial f;
-  f.up();
-  EXPECT_TRUE(served(Caller(f.door()).ask(Trial::report(kToken))));
-  const auto second = f.upgrade();
-  EXPECT_EQ(f.admin("n0", "quiesce"), "OK quiesced");
-  f.end("n0");
-  f.ends_in_order("n0");
-  EXPECT_TRUE(f.says("n0", kHandsOver));
-  EXPECT_EQ(Caller(f.door()).check(), true);
-  f.up("n0");  // the third, in the folder as it was left
-  f.end(second);
-  f.ends_in_order(second);
-  EXPECT_TRUE(f.says(second, kHandsOver));
-  EXPECT_TRUE(served(Caller(f.door()).ask(kTile)));
-  // What the first one ran is not run by the third.
-  const auto again = Caller(f.door()).ask(Trial::report(kToken));
-  ASSERT_TRUE(again);
-  EXPECT_EQ(again->code, 1);
-  EXPECT_EQ(f.ran("n0", kToken), 1);
+TEST(HotRestart, WithoutASharedDirectoryNoKeyedRequestRunsAndReadsAreServed) {
+  auto options = hot_restart_options();
+  options.shared_folder = false;
+  ServerProcesses servers(options);
+  servers.start_healthy();
+  EXPECT_TRUE(is_served(servers.ask()));
+  const auto rejected = servers.ask(keyed_request(kKey));
+  ASSERT_TRUE(is_rejected(rejected));
+  EXPECT_EQ(rejected->backoff, 0ms);  // only this request is rejected: the server is healthy
+  EXPECT_EQ(servers.run_count(kServer, kKey), 0);
+  EXPECT_TRUE(servers.has_logged(kServer, "no keyed request runs"));
 }
 
-TEST(Upgrade, WithoutASharedFolderNothingKeyedRunsAndReadsDo) {
-  auto o = options();
-  o.shared_folder = false;
-  Trial f(o);
-  f.up();
-  EXPECT_TRUE(served(Caller(f.door()).ask(kTile)));
-  const auto refused = Caller(f.door()).ask(Trial::report(kToken));
-  ASSERT_TRUE(refused);
-  EXPECT_EQ(refused->code, 1);
-  EXPECT_EQ(refused->backoff, 0ms);  // only this request: the server is well
-  EXPECT_EQ(f.ran("n0", kToken), 0);
-  EXPECT_TRUE(f.says("n0", "no keyed request runs"));
+// ---- The environment ----
+
+struct CommandResult {
+  int status = -1;
+  std::string output;
+};
+
+// Runs the program with further environment variables.
+CommandResult run_program(const ServerProcesses& servers, const std::string& environment) {
+  const auto config = (servers.folder(kServer).parent_path() / "config.json").string();
+  const auto command =
+      "env -u EDGE_FD -u EDGE_ADMIN_ADDR EDGE_CONFIG=" + config + " " + environment + " " PROGRAM " 2>&1";
+  CommandResult result;
+  auto* pipe = ::popen(command.c_str(), "r");
+  char chunk[256];
+  for (std::size_t size; (size = ::fread(chunk, 1, sizeof chunk, pipe)) > 0;)
+    result.output.append(chunk, size);
+  result.status = WEXITSTATUS(::pclose(pipe));
+  return result;
 }
 
-// What the environment names and can't be used: one line and exit status 2.
-TEST(Upgrade, UnusableDoorsAreOneLineAndStatusTwo) {
-  Trial f;
-  f.up();
-  const auto config = (f.folder("n0").parent_path() / "config.json").string();
-  const auto run = [&](const std::string& environment) {
-    const auto command =
-        "env -u EDGE_FD -u EDGE_ADMIN_ADDR EDGE_CONFIG=" + config + " " + environment + " " PROGRAM " 2>&1";
-    std::string said;
-    auto* pipe = ::popen(command.c_str(), "r");
-    char chunk[256];
-    for (std::size_t n; (n = ::fread(chunk, 1, sizeof chunk, pipe)) > 0;) said.append(chunk, n);
-    return std::pair(WEXITSTATUS(::pclose(pipe)), said);
-  };
-  const auto taken = "EDGE_ADMIN_ADDR=127.0.0.1:" + std::to_string(f.admin_port("n0"));
-  for (const std::string& bad :
-       {std::string("EDGE_FD=x"), std::string("EDGE_FD=99"), std::string("EDGE_FD=0"),
-        std::string("EDGE_ADMIN_ADDR=nowhere"), std::string("EDGE_ADMIN_ADDR=host:99"), taken}) {
-    const auto [status, said] = run(bad);
-    EXPECT_EQ(status, 2) << bad << ": " << said;
-    EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << bad << ": " << said;
+TEST(HotRestart, AnUnusableSocketOrAdminAddressIsOneLineAndExitStatusTwo) {
+  ServerProcesses servers(hot_restart_options());
+  servers.start_healthy();
+  const auto taken = "EDGE_ADMIN_ADDR=127.0.0.1:" + std::to_string(servers.admin_port(kServer));
+  const std::string environments[] = {
+      "EDGE_FD=x", "EDGE_FD=99", "EDGE_FD=0", "EDGE_ADMIN_ADDR=nowhere", "EDGE_ADMIN_ADDR=host:99", taken};
+  for (const auto& environment : environments) {
+    const auto [status, output] = run_program(servers, environment);
+    EXPECT_EQ(status, 2) << environment << ": " << output;
+    EXPECT_EQ(std::count(output.begin(), output.end(), '\n'), 1) << environment << ": " << output;
   }
 }
 
--- a/tests/shutdown_race_test.cpp
+++ b/tests/shutdown_race_test.cpp
@@ -1,136 +1,121 @@
-// What is still owed in the instant in which something ends, between real processes: each crossing is forced
-// by stopping the process (SIGSTOP), by halves of a message, or by two signals at once. Answers and the runs
-// that the kernel counts decide, never times.
-#include <gtest/gtest.h>
-
+// Graceful shutdown of a real process that crosses with a connection, a request, a reload or its own start.
+// Each crossing is forced by stopping the process (SIGSTOP), by halves of a message, or by two signals at
+// once.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/udp.hpp>
-#include <csignal>
+#include <chrono>
 #include <list>
-#include <thread>
 
-#include "fleet/process_fleet.h"
-#include "standin/caller.h"
+#include "server_process.h"
 
 namespace granitegap::fleet {
 namespace {
 
 using namespace std::chrono_literals;
 using boost::asio::ip::udp;
-using standin::Asked;
 using standin::Caller;
 
-constexpr auto kLong = 60s;
-const Asked kTile{"tile", "x", {}, {}, 20};
+constexpr char kShutdownNotice[] = "notice to leave";
 
-Options options() {
-  Options o;
-  o.program = PROGRAM;
-  o.size = 1;
-  o.in_fleet = o.declared = false;  // as on the platform
-  return o;
+TEST(ShutdownRace, ARequestOnAConnectionAcceptedBeforeTheSignalIsAnswered) {
+  ServerProcesses server(platform_options());
+  server.start_serving();
+  Caller client(server.client_port());
+  server.send_signal(SIGTERM);
+  ASSERT_TRUE(server.wait_for_log(kServer, kShutdownNotice));
+  EXPECT_TRUE(client.ask(kTile)) << server.log(kServer);
+  server.expect_graceful_shutdown(kServer);
 }
 
-struct Trial : Fleet {
-  explicit Trial(Options o = options()) : Fleet(std::move(o)) {}
-  void up() {
-    start("n0");
-    ASSERT_TRUE(until([&] { return port("n0") != 0 && served(Caller(port("n0")).ask(kTile)); }, kLong))
-        << log("n0");
-  }
-  static bool served(const std::optional<standin::Answered>& a) { return a && a->code == 0; }
-  void signal(int number) { ::kill(pid("n0"), number); }
-  bool says(const std::string& line) { return log("n0").find(line) != std::string::npos; }
-  void left_in_order() {
-    ASSERT_TRUE(until([&] { return ended("n0"); }, kLong)) << log("n0");
-    EXPECT_EQ(status("n0"), 0);
-    EXPECT_TRUE(says("left: all answered")) << log("n0");
-  }
-};
-
-TEST(ShutdownRace, ANoticeBetweenTheAcceptAndTheFirstByteLeavesTheAnswerOwed) {
-  Trial f;
-  f.up();
-  Caller c(f.port("n0"));
-  f.signal(SIGTERM);
-  ASSERT_TRUE(f.until([&] { return f.says("notice to leave"); }, kLong));
-  EXPECT_TRUE(c.ask(kTile)) << f.log("n0");
-  f.left_in_order();
+TEST(ShutdownRace, ARequestInTheBacklogAtTheSignalIsAnswered) {
+  ServerProcesses server(platform_options());
+  server.start_serving();
+  server.pause(kServer);
+  Caller client(server.client_port());
+  client.tell(kTile);
+  server.send_signal(SIGTERM);
+  server.resume(kServer);
+  EXPECT_TRUE(client.hear()) << server.log(kServer);
+  server.expect_graceful_shutdown(kServer);
 }
 
-TEST(ShutdownRace, ARequestInTheBacklogAtTheNoticeIsAnswered) {
-  Trial f;
-  f.up();
-  f.pause("n0");
-  Caller c(f.port("n0"));
-  c.tell(kTile);
-  f.signal(SIGTERM);
-  f.resume("n0");
-  EXPECT_TRUE(c.hear()) << f.log("n0");
-  f.left_in_order();
+TEST(ShutdownRace, ARequestHalfSentAtTheSignalIsAnsweredOnceItIsComplete) {
+  ServerProcesses server(platform_options());
+  server.start_serving();
+  Caller client(server.client_port());
+  client.tell_begin(kTile, 20);
+  server.send_signal(SIGTERM);
+  ASSERT_TRUE(server.wait_for_log(kServer, kShutdownNotice));
+  client.tell_rest();
+  EXPECT_TRUE(client.hear()) << server.log(kServer);
+  server.expect_graceful_shutdown(kServer);
 }
 
-TEST(ShutdownRace, HalfALineAtTheNoticeAndTheRestAfterItIsOneRequest) {
-  Trial f;
-  f.up();
-  Caller c(f.port("n0"));
-  c.tell_begin(kTile, 20);
-  f.signal(SIGTERM);
-  ASSERT_TRUE(f.until([&] { return f.says("notice to leave"); }, kLong));
-  c.tell_rest();
-  EXPECT_TRUE(c.hear()) << f.log("n0");
-  f.left_in_order();
+TEST(ShutdownRace, ASignalDirectlyAfterAReloadLetsTheRunningRequestFinish) {
+  auto options = platform_options();
+  options.run_cost = 300ms;
+  ServerProcesses server(options);
+  server.start_serving();
+  Caller client(server.client_port());
+  client.tell(keyed_request(kKey, 300));
+  ASSERT_TRUE(server.until([&] { return server.run_count(kServer, kKey) == 1; }, kPatience));
+  server.pause(kServer);  // so that both signals are pending together
+  server.send_signal(SIGHUP);
+  server.send_signal(SIGTERM);
+  server.resume(kServer);
+  EXPECT_TRUE(is_served(client.hear())) << server.log(kServer);
+  server.expect_graceful_shutdown(kServer);
+  EXPECT_EQ(server.run_count(kServer, kKey), 1);
 }
 
-TEST(ShutdownRace, ANoticeDirectlyAfterAReloadEndsInOrderWithWhatRuns) {
-  auto o = options();
-  o.run_cost = 300ms;
-  Trial f(o);
-  f.up();
-  Caller c(f.port("n0"));
-  c.tell({"trail-report", "report", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", {}, 300});
-  ASSERT_TRUE(f.until([&] { return f.runs("n0").contains({"trail-report", "report"}); }, kLong));
-  f.pause("n0");  // so that both wait for it together
-  f.signal(SIGHUP);
-  f.signal(SIGTERM);
-  f.resume("n0");
-  EXPECT_TRUE(Trial::served(c.hear())) << f.log("n0");
-  f.left_in_order();
-  EXPECT_EQ((f.runs("n0").at({"trail-report", "report"})), 1);
+TEST(ShutdownRace, ASignalAsSoonAsTheListenerIsOpenEndsTheProcessGracefully) {
+  ServerProcesses server(platform_options());
+  server.start(kServer);
+  ASSERT_TRUE(server.wait_for_log(kServer, "listening on"));
+  server.send_signal(SIGTERM);
+  server.expect_graceful_shutdown(kServer);
 }
 
-// A notice in the first instants: whatever has been built by then, it is heeded and nothing is cut off.
-TEST(ShutdownRace, ANoticeAsSoonAsTheDoorIsOpenIsHeeded) {
-  Trial f;
-  f.start("n0");
-  ASSERT_TRUE(f.until([&] { return f.says("listening on"); }, kLong));
-  f.signal(SIGTERM);
-  f.left_in_order();
-}
+// The receiver of load reports: a UDP port that is reserved first, and opened later.
+class ReportReceiver {
+ public:
+  ReportReceiver() : socket_(io_, udp::endpoint(boost::asio::ip::address_v4::loopback(), 0)) {
+    endpoint_ = socket_.local_endpoint();
+    socket_.close();
+  }
+  std::uint16_t port() const { return endpoint_.port(); }
+  void open() {
+    socket_.open(udp::v4());
+    socket_.bind(endpoint_);
+  }
+  std::string receive() {
+    char report[64];
+    const auto size = socket_.receive(boost::asio::buffer(report));
+    return {report, size};
+  }
+
+ private:
+  boost::asio::io_context io_;
+  udp::socket socket_;
+  udp::endpoint endpoint_;
+};
 
-TEST(ShutdownRace, IdleClientsFillTheDescriptorsWhileTheListIsAway) {
-  boost::asio::io_context io;
-  udp::socket list(io, udp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
-  const auto at = list.local_endpoint();
-  list.close();
-  auto o = options();
-  o.sockets = 64;
-  o.list_port = at.port();
-  Trial f(o);
-  f.up();
-  std::list<Caller> idle;
-  for (int i = 0; i < 100; ++i) idle.emplace_back(f.port("n0")).check();
-  EXPECT_TRUE(f.until([&] { return Trial::served(Caller(f.port("n0")).ask(kTile)); }, kLong)) << f.log("n0");
-  // The list is back, late: it hears that this one serves, though all descriptors are taken.
-  list.open(udp::v4());
-  list.bind(at);
-  char report[64];
-  const auto size = list.receive(boost::asio::buffer(report));
-  EXPECT_EQ(std::string(report, size), "announce n0 true");
-  f.signal(SIGTERM);
+TEST(ShutdownRace, ReportsReachALateReceiverWhileIdleClientsUseUpTheDescriptors) {
+  ReportReceiver receiver;
+  auto options = platform_options();
+  options.sockets = 64;
+  options.list_port = receiver.port();
+  ServerProcesses server(options);
+  server.start_serving();
+  std::list<Caller> idle_clients;
+  for (int k = 0; k < 100; ++k) idle_clients.emplace_back(server.client_port()).check();
+  EXPECT_TRUE(server.until([&] { return is_served(server.ask()); }, kPatience)) << server.log(kServer);
+  receiver.open();
+  EXPECT_EQ(receiver.receive(), "announce n0 true");
+  server.send_signal(SIGTERM);
   std::string last;
-  while (last != "announce n0 false") last.assign(report, list.receive(boost::asio::buffer(report)));
-  f.left_in_order();
+  while (last != "announce n0 false") last = receiver.receive();
+  server.expect_graceful_shutdown(kServer);
 }
 
 }  // namespace
