--- a/tools/standin/fault_injector.cpp
+++ b/tools/standin/fault_injector.cpp
@@ -14,7 +14,7 @@
 
 std::set<std::string> names_of(const Value& list) {
   std::set<std::string> names;
-  for (const auto& name : list.as_list()) names.insert(name.as_text());
+  for (const auto& name : list.as_list()) names.insert(name.as_string());
   return names;
 }
 
@@ -30,20 +30,20 @@
   rule.to = names_of(v["to"]);
   rule.both = v["both"].as_bool();
   rule.blocked = v["cut"].as_bool();
-  rule.begins = v["begins"].as_span();
-  rule.ends = v["ends"].as_span();
-  rule.loss = v["loss"].as_number();
-  rule.burst_loss = v["burst_loss"].as_number();
-  rule.good_for = v["good_for"].as_span();
-  rule.bad_for = v["bad_for"].as_span();
-  rule.delay = v["delay"].as_span();
-  rule.distribution = distribution_of(v["shape"].as_text());
-  rule.spread = v["spread"].as_number();
-  rule.reorder = v["reorder"].as_number();
-  rule.reorder_delay = v["hold"].as_span();
-  rule.duplicate = v["duplicate"].as_number();
-  rule.corrupt = v["corrupt"].as_number();
-  rule.max_bytes_per_s = v["rate"].as_size();
+  rule.begins = v["begins"].as_duration();
+  rule.ends = v["ends"].as_duration();
+  rule.loss = v["loss"].as_double();
+  rule.burst_loss = v["burst_loss"].as_double();
+  rule.good_for = v["good_for"].as_duration();
+  rule.bad_for = v["bad_for"].as_duration();
+  rule.delay = v["delay"].as_duration();
+  rule.distribution = distribution_of(v["shape"].as_string());
+  rule.spread = v["spread"].as_double();
+  rule.reorder = v["reorder"].as_double();
+  rule.reorder_delay = v["hold"].as_duration();
+  rule.duplicate = v["duplicate"].as_double();
+  rule.corrupt = v["corrupt"].as_double();
+  rule.max_bytes_per_s = v["rate"].as_byte_size();
   return rule;
 }
 
@@ -56,7 +56,7 @@
   for (const auto& value : std::get<Value>(checked)["rules"].as_list()) {
     auto rule = rule_of(value);
     if (rule.ends.count() > 0 && rule.ends <= rule.begins)
-      return Errors{{document.file, value.at, "rules.ends", "expected after begins, or 0s for ever"}};
+      return Errors{{document.file, value.position, "rules.ends", "expected after begins, or 0s for ever"}};
     rules.push_back(std::move(rule));
   }
   return rules;
--- a/tools/standin/script.cpp
+++ b/tools/standin/script.cpp
@@ -29,19 +29,19 @@
 
 Phase phase_of(const Value& v) {
   Phase phase;
-  phase.from = v["from"].as_span();
+  phase.from = v["from"].as_duration();
   if (const auto* endpoint = v.find("endpoint")) phase.endpoint = int(endpoint->as_int());
-  phase.distribution = distribution_of(v["shape"].as_text());
-  phase.latency = v["latency"].as_span();
-  phase.spread = v["spread"].as_number();
-  phase.ramp = v["ramp"].as_span();
-  phase.ramp_from = v["ramp_from"].as_number();
+  phase.distribution = distribution_of(v["shape"].as_string());
+  phase.latency = v["latency"].as_duration();
+  phase.spread = v["spread"].as_double();
+  phase.ramp = v["ramp"].as_duration();
+  phase.ramp_from = v["ramp_from"].as_double();
   for (const auto& f : v["faults"].as_list()) {
-    Fault fault{named(kFaults, f["kind"].as_text()), f["share"].as_number(), {}};
-    if (const auto* after = f.find("retry_after")) fault.retry_after = after->as_span();
+    Fault fault{named(kFaults, f["kind"].as_string()), f["share"].as_double(), {}};
+    if (const auto* after = f.find("retry_after")) fault.retry_after = after->as_duration();
     phase.faults.push_back(fault);
   }
-  phase.body = v["body"].as_size();
+  phase.body = v["body"].as_byte_size();
   phase.capacity = std::uint32_t(v["capacity"].as_int());
   return phase;
 }
@@ -49,7 +49,7 @@
 Script script_of(const Value& v) {
   Script script;
   for (const auto& phase : v["phases"].as_list()) script.phases.push_back(phase_of(phase));
-  script.repeat = v["repeat"].as_span();
+  script.repeat = v["repeat"].as_duration();
   return script;
 }
 
@@ -125,21 +125,21 @@
   if (auto* errors = std::get_if<Errors>(&checked)) return std::move(*errors);
   const auto& v = std::get<Value>(checked);
   Scenario scenario;
-  scenario.name = v["name"].as_text();
-  scenario.length = v["seconds"].as_span();
-  scenario.fault_from = v["fault_from"].as_span();
-  scenario.fault_to = v["fault_to"].as_span();
-  scenario.budget = v["budget"].as_span();
-  scenario.fresh_for = v["fresh_for"].as_span();
-  scenario.stale_for = v["stale_for"].as_span();
-  scenario.rate = v["rate"].as_number();
+  scenario.name = v["name"].as_string();
+  scenario.length = v["seconds"].as_duration();
+  scenario.fault_from = v["fault_from"].as_duration();
+  scenario.fault_to = v["fault_to"].as_duration();
+  scenario.budget = v["budget"].as_duration();
+  scenario.fresh_for = v["fresh_for"].as_duration();
+  scenario.stale_for = v["stale_for"].as_duration();
+  scenario.rate = v["rate"].as_double();
   scenario.cores = int(v["cores"].as_int());
   scenario.endpoints = int(v["endpoints"].as_int());
   scenario.keys = std::uint64_t(v["keys"].as_int());
   scenario.elevation = script_of(v["elevation"]);
   scenario.names = script_of(v["names"]);
   if (scenario.fault_from > scenario.fault_to || scenario.fault_to > scenario.length)
-    return Errors{{document.file, v.at, "fault_to", "expected fault_from <= fault_to <= seconds"}};
+    return Errors{{document.file, v.position, "fault_to", "expected fault_from <= fault_to <= seconds"}};
   return scenario;
 }
 
