--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -75,11 +75,11 @@
 class Watch {
  public:
   Watch(Fleet& f, std::size_t threads) : f_(f), threads_(threads) {}
-  std::map<std::string, membership_udp::Reply> look() {
-    std::map<std::string, membership_udp::Reply> views;
+  std::map<std::string, membership_udp::StatusReply> look() {
+    std::map<std::string, membership_udp::StatusReply> views;
     const auto names = f_.running();
     std::vector<std::string> list(names.begin(), names.end());
-    std::vector<std::optional<membership_udp::Reply>> got(list.size());
+    std::vector<std::optional<membership_udp::StatusReply>> got(list.size());
     std::vector<std::thread> pool;
     for (std::size_t t = 0; t < threads_; ++t)
       pool.emplace_back([&, t] {
@@ -109,8 +109,8 @@
     const auto views = watch.look();
     if (views.size() < f.running().size()) return false;
     for (const auto& [who, v] : views)
-      if (v.lines.size() < size ||
-          std::any_of(v.lines.begin(), v.lines.end(), [](auto& l) { return l.status != Status::alive; }))
+      if (v.members.size() < size ||
+          std::any_of(v.members.begin(), v.members.end(), [](auto& l) { return l.status != Status::alive; }))
         return false;
     return true;
   };
@@ -191,13 +191,13 @@
     bool majority_right = done, edge_shown = done;
     for (const auto& [who, v] : views) {
       const bool who_struck = struck.contains(who) && done;
-      if (s.deed == Deed::cut_halves && v.majority) majority_right = false;
+      if (s.deed == Deed::cut_halves && v.has_quorum) majority_right = false;
       if (s.deed == Deed::cut_output && who_struck && knows_ms < 0 &&
-          v.local_connectivity == LocalConnectivity::unheard)
+          v.local_connectivity == LocalConnectivity::outbound_broken)
         knows_ms = ms(at - deed);
       if (s.deed == Deed::cut_pair && (who == order[0] || who == order[1])) {
         bool unheard = false, not_reaching = false;
-        for (const auto& l : v.lines) {
+        for (const auto& l : v.members) {
           if (l.name == order[1])
             unheard =
                 std::find(l.unheard_from.begin(), l.unheard_from.end(), order[0]) != l.unheard_from.end();
@@ -207,7 +207,7 @@
         }
         if (!unheard && !not_reaching) edge_shown = false;
       }
-      for (const auto& l : v.lines) {
+      for (const auto& l : v.members) {
         if (l.name == who) continue;
         auto& last = held.try_emplace({who, l.name}, Status::alive).first->second;
         const auto change = std::exchange(last, l.status);
--- a/bench/membership_sim.cpp
+++ b/bench/membership_sim.cpp
@@ -58,7 +58,7 @@
   if (p.scenario == "probers") return probers(p);
   const auto wall = std::chrono::steady_clock::now();
   membership::Options options;
-  options.plain = p.plain;
+  options.baseline_mode = p.plain;
   SimulatedFleet f(options, p.seed, p.size);
   std::vector<TimePoint> known(p.size);  // when each first held the killed one other than alive
   std::vector<std::size_t> killed;
@@ -80,13 +80,13 @@
   const auto formed_from = f.now();
   const auto alive_everywhere = [&] {
     for (std::size_t n = 0; n < p.size; ++n)
-      if (f.lives(n) && f.member(n).roster().alive() + 1 < p.size - killed.size()) return false;
+      if (f.is_running(n) && f.member(n).roster().alive() + 1 < p.size - killed.size()) return false;
     return true;
   };
   const bool formed = f.run_until(alive_everywhere, 300s);
   const double form_ms = ms(f.now() - formed_from);
   f.run_for(10s);
-  f.reset_figures();
+  f.reset_stats();
   const auto began = f.now();
   double agree_ms = -1;
   std::mt19937_64 random(p.seed);
@@ -105,7 +105,7 @@
     const bool agreed = f.run_until(
         [&] {
           for (std::size_t n = 0; n < p.size; ++n)
-            if (f.lives(n) && f.member(n).roster().present() + 1 > p.size - killed.size()) return false;
+            if (f.is_running(n) && f.member(n).roster().present() + 1 > p.size - killed.size()) return false;
           return true;
         },
         120s);
@@ -135,7 +135,7 @@
   const double seconds = ms(f.now() - began) / 1000;
   rusage usage{};
   ::getrusage(RUSAGE_SELF, &usage);
-  const auto& g = f.figures();
+  const auto& g = f.stats();
   const double each = seconds * double(p.size) / 2;  // both ways together
   return Json{{"scenario", p.scenario},
               {"policy", p.plain ? "plain" : "guarded"},
--- a/bench/recovery.cpp
+++ b/bench/recovery.cpp
@@ -217,7 +217,7 @@
   // that lacks them.
   const auto settled = [&] {
     return std::all_of(names.begin(), names.end(), [&](auto& n) {
-      const auto r = membership_udp::ask(f.bound(n), 2s, true);
+      const auto r = membership_udp::query_status(f.bound(n), 2s, true);
       return r && r->recovery_report && r->recovery_report->phase == "full" &&
              r->recovery_report->keyed_wait_ms == 0;
     });
--- a/src/deps/cache_fill.cpp
+++ b/src/deps/cache_fill.cpp
@@ -38,13 +38,13 @@
 
 void KeyOwners::see(const membership::View& view) {
   own_ = view.own_hash;
-  sure_ = membership::can_rely(view) && !view.duplicate;
+  sure_ = membership::is_reliable(view) && !view.name_conflict;
   std::vector<Other> fresh;
   for (const auto& p : view.peers) {
-    if (!membership::serves(p) || p.metadata.fill_port == 0) continue;
+    if (!membership::is_available(p) || p.metadata.cache_fill_port == 0) continue;
     char host[INET6_ADDRSTRLEN];
     if (!::inet_ntop(p.address.v6 ? AF_INET6 : AF_INET, p.address.ip.data(), host, sizeof host)) continue;
-    Other o{{p.hash, p.boot_id, {host, p.metadata.fill_port}}, {}, 0};
+    Other o{{p.hash, p.boot_id, {host, p.metadata.cache_fill_port}}, {}, 0};
     // Of another life nothing is held against it.
     if (const auto* known = find(p.hash); known && known->owner.boot_id == p.boot_id)
       o.until = known->until, o.in_a_row = known->in_a_row;
@@ -64,10 +64,10 @@
 std::optional<KeyOwner> KeyOwners::of(std::uint64_t key, TimePoint now) const {
   if (!sure_) return std::nullopt;
   const Other* best = nullptr;
-  std::uint64_t most = membership::score(own_, key), whose = own_;
+  std::uint64_t most = membership::rendezvous_score(own_, key), whose = own_;
   for (const auto& o : others_) {
     if (now < o.until) continue;
-    const auto s = membership::score(o.owner.hash, key);
+    const auto s = membership::rendezvous_score(o.owner.hash, key);
     if (s < most || (s == most && o.owner.hash < whose)) continue;
     best = &o, most = s, whose = o.owner.hash;
   }
--- a/src/deps/scatter_gather_fleet.cpp
+++ b/src/deps/scatter_gather_fleet.cpp
@@ -39,11 +39,11 @@
     const auto i = (d.next_probed + k) % n;
     if (d.endpoints.gone(i)) continue;
     const auto key = d.fleet_keys[i];
-    if (membership::told_back(*fleet_, key)) {
+    if (membership::reported_recovered(*fleet_, key)) {
       mine = i;
       break;
     }
-    if (!mine && membership::probes_itself(*fleet_, key)) mine = i;
+    if (!mine && membership::should_health_check(*fleet_, key)) mine = i;
   }
   if (mine) d.next_probed = *mine + 1;
   return mine;
@@ -55,11 +55,10 @@
 void ScatterGather::share_limits() {
   std::uint32_t members = 0;
   if (fleet_) {
-    const auto there = 1 + std::count_if(fleet_->peers.begin(), fleet_->peers.end(), [](const auto& p) {
-                         return p.present == membership::Status::alive;
-                       });
-    const bool sure = fleet_->majority && !fleet_->uncertain;
-    members = std::uint32_t(sure ? there : std::max<std::size_t>(std::size_t(there), fleet_->agreed));
+    const auto there = 1 + std::count_if(fleet_->peers.begin(), fleet_->peers.end(),
+                                         [](const auto& p) { return p.status == membership::Status::alive; });
+    const bool sure = fleet_->has_quorum && !fleet_->uncertain;
+    members = std::uint32_t(sure ? there : std::max<std::size_t>(std::size_t(there), fleet_->fleet_size));
   }
   for (auto& d : deps_) {
     if (d.spec.fleet_open == 0)
@@ -77,7 +76,8 @@
   for (std::uint32_t d = 0; d < deps_.size(); ++d) pump(d, now);
   for (auto& d : deps_)
     for (std::uint32_t i = 0; d.outage.out() && i < d.endpoints.places(); ++i)
-      if (!d.endpoints.gone(i) && membership::told_back(*fleet_, d.fleet_keys[i])) d.outage.probe_now(now);
+      if (!d.endpoints.gone(i) && membership::reported_recovered(*fleet_, d.fleet_keys[i]))
+        d.outage.probe_now(now);
 }
 
 std::vector<membership::EndpointHealth> ScatterGather::endpoint_health(TimePoint now) const {
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -501,8 +501,8 @@
                                            std::uniform_real_distribution<double>(0, 1)(spread_)));
   }
   if (!fleet_ || fleet_->missing <= 0) return advised;
-  return membership::spread_backoff(advised, most, fleet_->missing,
-                                    std::uniform_real_distribution<double>(0, 1)(fleet_->random));
+  return membership::jittered_backoff(advised, most, fleet_->missing,
+                                      std::uniform_real_distribution<double>(0, 1)(fleet_->random));
 }
 
 void Edge::apply(const Fail& a) {
@@ -609,7 +609,7 @@
   if (!news.view) return;
   if (!fleet_) fleet_ = std::make_unique<Fleet>(Fleet{0, std::mt19937_64(seed_)});
   // Without a majority the missing may be this one: its advice stays as it is.
-  fleet_->missing = news.view->majority ? membership::missing_share(*news.view) : 0;
+  fleet_->missing = news.view->has_quorum ? membership::missing_fraction(*news.view) : 0;
   if (course_) course_->fleet(recovery::fleet_status_of(*news.view), now_.steady);
   if (lost_memory_) lost_memory_->another_lives(news.view->duplicate, now_.steady);
   if (gatherer_) gatherer_->fleet(news.view, now_.steady);
@@ -632,7 +632,7 @@
   s.warmth = std::uint8_t(100 * std::clamp(part, 0.0, 1.0));
   const bool going = drain_from_ || lifecycle_.phase() == lifecycle::Phase::quiesced;
   s.stage = going            ? membership::Stage::draining
-            : s.warmth < 100 ? membership::Stage::warming
+            : s.warmth < 100 ? membership::Stage::warming_up
                              : membership::Stage::serving;
   return s;
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -143,7 +143,7 @@
     return kUnusable;
   }
   for (;;) {
-    const auto reply = membership_udp::ask(*address, std::chrono::seconds(2), recovery_report);
+    const auto reply = membership_udp::query_status(*address, std::chrono::seconds(2), recovery_report);
     if (!reply) {
       std::fprintf(stderr, "granitegap: no answer from %s within 2 s\n", text.c_str());
       return 1;
--- a/src/membership/datagram.h
+++ b/src/membership/datagram.h
@@ -24,8 +24,8 @@
 struct Ping {
   std::uint32_t nonce = 0;
   std::string target;
-  std::string asker;
-  bool second = false;  // it came by the second path, and is answered by that
+  std::string origin;
+  bool secondary_path = false;  // it came by the second path, and is answered by that
   bool operator==(const Ping&) const = default;
 };
 // `heard_ms`: since the answering one last heard the asker itself, without a relay; unknown: the most.
@@ -33,7 +33,7 @@
 struct Ack {
   std::uint32_t nonce = 0;
   std::uint32_t heard_ms = kNeverHeard;
-  bool second = false;  // as the ping's
+  bool secondary_path = false;  // as the ping's
   bool operator==(const Ack&) const = default;
 };
 // PingRequest `target` for me.
@@ -86,13 +86,13 @@
   Sender from;
   Body body;
   std::vector<Record> updates;
-  std::uint16_t filler = 0;  // bytes: what is sent to a stranger may be no more than came from it
+  std::uint16_t padding = 0;  // bytes: what is sent to a stranger may be no more than came from it
   bool operator==(const Datagram&) const = default;
 };
 
 inline constexpr std::size_t kMaxDatagram = 1200;  // bytes, with the envelope
 // Upper bounds of what the codec makes of them, the envelope included: checked against it by a test.
-std::size_t max_bytes(const Record& record);
-std::size_t max_bytes(const Datagram& datagram);
+std::size_t max_encoded_size(const Record& record);
+std::size_t max_encoded_size(const Datagram& datagram);
 
 }  // namespace granitegap::membership
--- a/src/membership/digest.cpp
+++ b/src/membership/digest.cpp
@@ -15,15 +15,16 @@
   std::array<std::uint64_t, 7> what{
       name, std::uint64_t(boot_id), incarnation, std::uint64_t(status) << 48, 0, 0, 0};
   if (metadata) {
-    what[3] |= std::uint64_t(metadata->stage) | std::uint64_t(metadata->duplicate.port) << 8 |
-               std::uint64_t(metadata->second.port) << 24;
+    what[3] |= std::uint64_t(metadata->stage) | std::uint64_t(metadata->conflicting_address.port) << 8 |
+               std::uint64_t(metadata->secondary_address.port) << 24;
     // Not what is offered: it is told in steps, and the last one brings the phase with it.
     what[6] = std::uint64_t(metadata->recovery_status.phase) |
               std::uint64_t(metadata->recovery_status.donor_port) << 8 |
-              std::uint64_t(metadata->recovery_status.full_ms) << 24;
-    what[4] = metadata->fill_port;
-    for (const auto& l : metadata->links) what[4] += (l.peer ^ l.inward) * 0x9e3779b97f4a7c15ull;
-    for (const auto& f : metadata->endpoint_health) what[5] += (f.endpoint ^ f.out) * 0x9e3779b97f4a7c15ull;
+              std::uint64_t(metadata->recovery_status.full_service_ms) << 24;
+    what[4] = metadata->cache_fill_port;
+    for (const auto& l : metadata->links) what[4] += (l.peer ^ l.inbound) * 0x9e3779b97f4a7c15ull;
+    for (const auto& f : metadata->endpoint_health)
+      what[5] += (f.endpoint ^ f.unavailable) * 0x9e3779b97f4a7c15ull;
   }
   return std::uint32_t(XXH3_64bits_withSeed(what.data(), sizeof what, seed));
 }
@@ -44,14 +45,14 @@
   if (own.status == Status::alive)
     add(name_hash(own.name), own.boot_id, own.incarnation, own.status,
         own.metadata ? &*own.metadata : nullptr);
-  for (auto i = roster.oldest_contact(); i != kNobody; i = roster.next_contact(i)) {
+  for (auto i = roster.oldest_contact(); i != kNoMember; i = roster.next_contact(i)) {
     const auto& e = roster.at(i);
     add(e.hash, e.boot_id, e.incarnation, e.status, e.metadata.version ? &e.metadata : nullptr);
   }
   return sums;
 }
 
-Buckets differing(const std::vector<std::uint32_t>& mine, const std::vector<std::uint32_t>& theirs) {
+Buckets differing_buckets(const std::vector<std::uint32_t>& mine, const std::vector<std::uint32_t>& theirs) {
   Buckets b;
   if (mine.size() != theirs.size() || mine.size() > kMaxBuckets) return b.set();
   for (std::size_t i = 0; i < mine.size(); ++i) b[i] = mine[i] != theirs[i];
--- a/src/membership/digest.h
+++ b/src/membership/digest.h
@@ -28,6 +28,6 @@
 std::vector<std::uint32_t> digest_of(const Roster& roster, const Record& own, std::size_t buckets,
                                      std::uint32_t seed);
 // All of them where the two are not of one size, as with a member that knows nothing yet.
-Buckets differing(const std::vector<std::uint32_t>& mine, const std::vector<std::uint32_t>& theirs);
+Buckets differing_buckets(const std::vector<std::uint32_t>& mine, const std::vector<std::uint32_t>& theirs);
 
 }  // namespace granitegap::membership
--- a/src/membership/dissemination_queue.cpp
+++ b/src/membership/dissemination_queue.cpp
@@ -24,7 +24,7 @@
       record.metadata = std::move(item.record.metadata);
   }
   item = Item{std::move(record), now, 0, next_++, 0};
-  item.bytes = max_bytes(item.record);
+  item.bytes = max_encoded_size(item.record);
   queue_.insert({0, item.order, member});
 }
 
@@ -71,11 +71,11 @@
 }
 
 Duration dissemination_time(const Options& options, std::size_t fleet) {
-  return options.period * std::int64_t(options.spread * whole_log(fleet));
+  return options.period * std::int64_t(options.retransmit_multiplier * whole_log(fleet));
 }
 
 unsigned retransmit_limit(const Options& options, std::size_t fleet, std::size_t waiting) {
-  const auto times = options.spread * whole_log(fleet);
+  const auto times = options.retransmit_multiplier * whole_log(fleet);
   return waiting <= kCrowd ? times : std::max(2u, unsigned(times * kCrowd / waiting));
 }
 
--- a/src/membership/local_health.cpp
+++ b/src/membership/local_health.cpp
@@ -17,9 +17,9 @@
   switch (local_connectivity) {
     case LocalConnectivity::ok:
       return "ok";
-    case LocalConnectivity::unheard:
+    case LocalConnectivity::outbound_broken:
       return "unheard";
-    case LocalConnectivity::deaf:
+    case LocalConnectivity::inbound_broken:
       return "deaf";
   }
   return "?";
@@ -27,10 +27,10 @@
 
 LocalHealth::LocalHealth(const Options& options, TimePoint now) : options_(options), heard_at_(now) {}
 
-void LocalHealth::worse(unsigned by) { worse_ = std::min(worse_ + by, options_.max_health); }
+void LocalHealth::worse(unsigned by) { worse_ = std::min(worse_ + by, options_.max_health_multiplier); }
 
 std::optional<Duration> LocalHealth::woke(TimePoint now, TimePoint due) {
-  if (options_.plain || now - due <= options_.period / 2) return std::nullopt;
+  if (options_.baseline_mode || now - due <= options_.period / 2) return std::nullopt;
   const auto late = now - due;
   const auto periods = late / options_.period;
   worse(unsigned(std::clamp<std::int64_t>(periods, 1, 3)));
@@ -49,7 +49,7 @@
   in_a_row_ = 0;
   evidence_ = 0;
   if (worse_) --worse_;
-  if (local_connectivity_ == LocalConnectivity::unheard) local_connectivity_ = LocalConnectivity::ok;
+  if (local_connectivity_ == LocalConnectivity::outbound_broken) local_connectivity_ = LocalConnectivity::ok;
 }
 
 // Whoever is silent itself says nothing of my own path: guards against the smaller part of a fleet that was
@@ -61,15 +61,17 @@
   fails_ = std::min(kFailsMost, fails_ + (1 - fails_) * kFailsGain);
 }
 
-void LocalHealth::refuted_in_vain() {
+void LocalHealth::refutation_lost() {
   if (in_a_row_ > 0) evidence_ += kEvidence / 3;
 }
 
 void LocalHealth::judge(TimePoint now, std::size_t others) {
-  if (options_.plain || others == 0) return void(local_connectivity_ = LocalConnectivity::ok);
-  if (now - heard_at_ > options_.deaf_after()) return void(local_connectivity_ = LocalConnectivity::deaf);
-  if (local_connectivity_ == LocalConnectivity::deaf) local_connectivity_ = LocalConnectivity::ok;
-  if (in_a_row_ >= kMinInARow && evidence_ >= kEvidence) local_connectivity_ = LocalConnectivity::unheard;
+  if (options_.baseline_mode || others == 0) return void(local_connectivity_ = LocalConnectivity::ok);
+  if (now - heard_at_ > options_.inbound_silence_timeout())
+    return void(local_connectivity_ = LocalConnectivity::inbound_broken);
+  if (local_connectivity_ == LocalConnectivity::inbound_broken) local_connectivity_ = LocalConnectivity::ok;
+  if (in_a_row_ >= kMinInARow && evidence_ >= kEvidence)
+    local_connectivity_ = LocalConnectivity::outbound_broken;
 }
 
 }  // namespace granitegap::membership
--- a/src/membership/local_health.h
+++ b/src/membership/local_health.h
@@ -14,7 +14,7 @@
 
 namespace granitegap::membership {
 
-enum class LocalConnectivity : std::uint8_t { ok, unheard, deaf };
+enum class LocalConnectivity : std::uint8_t { ok, outbound_broken, inbound_broken };
 const char* text_of(LocalConnectivity local_connectivity);
 
 class LocalHealth {
@@ -33,17 +33,17 @@
   void probe_failed(bool helpers_silent, bool target_heard);
   void refuted() { worse(1); }
   // Somebody still says what was refuted a while ago: that did not arrive.
-  void refuted_in_vain();
+  void refutation_lost();
   // Probes in a row that nobody answered.
-  unsigned failed_in_a_row() const { return in_a_row_; }
+  unsigned consecutive_failures() const { return in_a_row_; }
   // Brings LocalConnectivity up to date. `others`: members alive that could be heard.
   void judge(TimePoint now, std::size_t others);
 
   LocalConnectivity local_connectivity() const { return local_connectivity_; }
   unsigned multiplier() const { return 1 + worse_; }
-  bool listening(TimePoint now) const { return now < listen_until_; }
+  bool in_grace_period(TimePoint now) const { return now < listen_until_; }
   // Anything came from others since then.
-  TimePoint last_heard() const { return heard_at_; }  // of any member
+  TimePoint last_received_at() const { return heard_at_; }  // of any member
   bool heard_since(TimePoint t) const { return heard_at_ >= t; }
 
  private:
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -27,22 +27,22 @@
     : options_(std::move(options)),
       self_(std::move(self)),
       own_hash_(name_hash(self_.name)),
-      incarnation_(std::max<Incarnation>(self_.first, 1)),
+      incarnation_(std::max<Incarnation>(self_.first_incarnation, 1)),
       random_(seed),
       started_(now),
       now_(now),
       next_period_(now),
       roster_(options_),
       health_(options_, now),
-      guard_(options_),
+      partition_detector_(options_),
       next_exchange_(now),
       last_heal_(now) {
   metadata_.version = 1;
   metadata_.zone = self_.zone;
-  metadata_.second = self_.second;
-  metadata_.fill_port = self_.fill_port;
-  metadata_.generation = incarnation_;
-  spread_.add(own_record(true), now);
+  metadata_.secondary_address = self_.secondary_address;
+  metadata_.cache_fill_port = self_.cache_fill_port;
+  metadata_.boot_incarnation = incarnation_;
+  dissemination_queue_.add(own_record(true), now);
 }
 
 Record Member::own_record(bool with_metadata) const {
@@ -52,13 +52,13 @@
   return r;
 }
 
-void Member::change(const Options& options) {
-  const bool plain = options_.plain;
+void Member::update_options(const Options& options) {
+  const bool plain = options_.baseline_mode;
   options_ = options;
-  options_.plain = plain;
+  options_.baseline_mode = plain;
 }
 
-void Member::introduce(const std::vector<Record>& known, TimePoint now) {
+void Member::add_known_members(const std::vector<Record>& known, TimePoint now) {
   now_ = std::max(now_, now);
   const bool joined = std::exchange(joined_, false);
   for (const auto& r : known)
@@ -72,8 +72,8 @@
   auto at = next_period_;
   for (const auto& p : probes_) at = std::min(at, std::min(p.late_at, p.verdict_at));
   for (const auto i : suspects_)  // those whose time is over wait until removals are allowed
-    if (const auto& e = roster_.at(i); e.status == Status::suspect && e.deadline > now_)
-      at = std::min(at, e.deadline);
+    if (const auto& e = roster_.at(i); e.status == Status::suspect && e.suspicion_deadline > now_)
+      at = std::min(at, e.suspicion_deadline);
   for (const auto& r : relays_) at = std::min(at, r.until);
   for (const auto& x : exchanges_) at = std::min(at, x.at);
   if (leaving_ && !has_left()) at = std::min(at, leave_next_);
@@ -94,8 +94,8 @@
   ++counters_.pauses;
   probes_.clear();
   relays_.clear();
-  guard_.excuse();
-  for (const auto i : suspects_) roster_.at(i).deadline += late;
+  partition_detector_.excuse();
+  for (const auto i : suspects_) roster_.at(i).suspicion_deadline += late;
   next_period_ = std::max(next_period_, now_);
 }
 
@@ -118,7 +118,7 @@
       ++i;
       continue;
     }
-    send(relays_[i].asker, Nack{relays_[i].theirs}, now_);
+    send(relays_[i].origin, Nack{relays_[i].theirs}, now_);
     relays_[i] = std::move(relays_.back());
     relays_.pop_back();
   }
@@ -136,34 +136,35 @@
   ++periods_;
   std::erase_if(strangers_, [&](const auto& s) { return now >= s.until; });
   judge(now);
-  roster_.bury(now, guard_.majority() && !guard_.uncertain(), [&](Index i) {
-    spread_.drop(roster_.at(i).hash);
-    say(ChangeKind::forgotten, roster_.at(i).name);
-  });
-  if (guard_.majority() || agreed() <= options_.expected) {
+  roster_.prune_tombstones(now, partition_detector_.has_quorum() && !partition_detector_.uncertain(),
+                           [&](Index i) {
+                             dissemination_queue_.drop(roster_.at(i).hash);
+                             say(ChangeKind::removed, roster_.at(i).name);
+                           });
+  if (partition_detector_.has_quorum() || fleet_size() <= options_.min_fleet_size) {
     for (const auto i : std::exchange(uncounted_, {}))
-      if (roster_.is_present(i)) roster_.set_counted(i, true);
+      if (roster_.is_present(i)) roster_.set_counts_for_quorum(i, true);
   }
-  if (duplicate_ && now >= duplicate_until_) {
-    duplicate_.reset();
-    if (std::exchange(yielding_, false)) go_beyond(std::max(incarnation_, duplicate_incarnation_), now);
+  if (conflicting_address_ && now >= conflict_expires_at_) {
+    conflicting_address_.reset();
+    if (std::exchange(yielding_, false)) go_beyond(std::max(incarnation_, conflicting_incarnation_), now);
     retell(now);
-    say(ChangeKind::duplicate, self_.name, true);
+    say(ChangeKind::name_conflict, self_.name, true);
   }
-  if (yielding_ && now >= name_conflict_) {
-    send(*duplicate_, NameConflict{duplicate_boot_id_}, now);
-    name_conflict_ = now + 2 * options_.period;
+  if (yielding_ && now >= next_conflict_notice_) {
+    send(*conflicting_address_, NameConflict{conflicting_boot_id_}, now);
+    next_conflict_notice_ = now + 2 * options_.period;
   }
   if (leaving_) return;
   call_absent(now);
-  if (const auto target = next_in_round(); target != kNobody) begin_probe(target, now);
+  if (const auto target = next_in_round(); target != kNoMember) begin_probe(target, now);
   probe_more(now);
   for (const auto i : checked_links_)  // until it is sure, every period; then its own turn is enough
     if (roster_.is_present(i) && !roster_.at(i).link_broken &&
         std::none_of(probes_.begin(), probes_.end(), [&](auto& p) { return p.target == i; }))
       begin_probe(i, now);
   std::erase_if(checked_links_, [&](Index i) {
-    return !roster_.is_present(i) || (!roster_.at(i).link_broken && roster_.at(i).link_checks == 0);
+    return !roster_.is_present(i) || (!roster_.at(i).link_broken && roster_.at(i).link_fault_count == 0);
   });
   const bool due = now >= next_exchange_;
   if (due || (!joined_ && periods_ % 2 == 0)) {
@@ -171,7 +172,7 @@
     // joining. It costs little where views are alike, so that its rate need not fall with the fleet's size.
     const auto every = std::min(kExchangeEvery, std::size_t(2) << std::min(joins_++, 20u));
     next_exchange_ = now + options_.period * std::int64_t(joined_ ? every : 2);
-    if (const auto with = random_present(true); with != kNobody) ask_exchange(with, now);
+    if (const auto with = random_present(true); with != kNoMember) ask_exchange(with, now);
   }
 }
 
@@ -179,15 +180,15 @@
 // link that fails one way is noticed and costs small fleets nothing. While the view is uncertain, those not
 // heard since that began, many at once: whether most are there must be known soon.
 void Member::probe_more(TimePoint now) {
-  if (options_.plain) return;
+  if (options_.baseline_mode) return;
   const auto sweep = std::clamp(roster_.present() / 8, kSweepLeast, kSweepMost);
-  const std::size_t more = guard_.uncertain() ? sweep : 1;
+  const std::size_t more = partition_detector_.uncertain() ? sweep : 1;
   auto at = roster_.oldest_contact();
-  for (std::size_t k = 0; k < more && at != kNobody; at = roster_.next_contact(at)) {
+  for (std::size_t k = 0; k < more && at != kNoMember; at = roster_.next_contact(at)) {
     const auto& e = roster_.at(at);
-    if (guard_.uncertain()) {
-      if (e.status != Status::alive || e.heard >= guard_.uncertain_since()) continue;
-    } else if (now - std::max(e.heard, e.since) < 4 * options_.period) {
+    if (partition_detector_.uncertain()) {
+      if (e.status != Status::alive || e.last_heard_at >= partition_detector_.uncertain_since()) continue;
+    } else if (now - std::max(e.last_heard_at, e.status_since) < 4 * options_.period) {
       break;
     }
     if (std::any_of(probes_.begin(), probes_.end(), [&](auto& p) { return p.target == at; })) continue;
@@ -195,8 +196,8 @@
     ++k;
   }
   // Nobody answers: is it me? Whoever was heard last tells.
-  if (health_.failed_in_a_row() >= 2 && last_heard_ != kNobody && roster_.is_present(last_heard_) &&
-      now - roster_.at(last_heard_).heard <= 2 * options_.period)
+  if (health_.consecutive_failures() >= 2 && last_heard_ != kNoMember && roster_.is_present(last_heard_) &&
+      now - roster_.at(last_heard_).last_heard_at <= 2 * options_.period)
     begin_probe(last_heard_, now);
 }
 
@@ -210,36 +211,38 @@
     say(ChangeKind::local_connectivity, self_.name, true);
     if (was_hearing_ == LocalConnectivity::ok) next_exchange_ = now;
   }
-  guard_.judge(now, {roster_.agreed() + 1, roster_.agreed_alive() + 1},
-               health_.local_connectivity() != LocalConnectivity::ok || yielding_,
-               2 * options_.period * std::min(health_.multiplier(), 3u));
-  if (std::exchange(was_uncertain_, guard_.uncertain()) != guard_.uncertain()) {
+  partition_detector_.judge(now, {roster_.quorum_base() + 1, roster_.quorum_base_alive() + 1},
+                            health_.local_connectivity() != LocalConnectivity::ok || yielding_,
+                            2 * options_.period * std::min(health_.multiplier(), 3u));
+  if (std::exchange(was_uncertain_, partition_detector_.uncertain()) != partition_detector_.uncertain()) {
     if (was_uncertain_) {
       for (const auto i : suspects_)
-        if (guard_.fell_silent_lately(roster_.at(i).hash)) roster_.at(i).certain = Status::alive;
+        if (partition_detector_.recently_silent(roster_.at(i).hash))
+          roster_.at(i).certain_status = Status::alive;
     } else {
-      for (Index i = 0; i < roster_.places(); ++i) roster_.at(i).certain = roster_.at(i).status;
+      for (Index i = 0; i < roster_.slot_count(); ++i) roster_.at(i).certain_status = roster_.at(i).status;
       next_exchange_ = std::min(next_exchange_, now);
     }
-    say(ChangeKind::certainty, self_.name, true);
+    say(ChangeKind::view_certainty, self_.name, true);
   }
-  if (std::exchange(had_majority_, guard_.majority()) != guard_.majority())
-    say(ChangeKind::majority, self_.name, true);
+  if (std::exchange(had_majority_, partition_detector_.has_quorum()) != partition_detector_.has_quorum())
+    say(ChangeKind::quorum, self_.name, true);
 }
 
 bool Member::may_remove(TimePoint now) const {
-  if (options_.plain) return true;
-  return guard_.majority() && !guard_.uncertain() && health_.local_connectivity() == LocalConnectivity::ok &&
-         !health_.listening(now) && now - guard_.certain_since() >= options_.period;
+  if (options_.baseline_mode) return true;
+  return partition_detector_.has_quorum() && !partition_detector_.uncertain() &&
+         health_.local_connectivity() == LocalConnectivity::ok && !health_.in_grace_period(now) &&
+         now - partition_detector_.certain_since() >= options_.period;
 }
 
 void Member::set_deadline(Index i) {
   auto& e = roster_.at(i);
   const auto times = suspicion_times(options_, roster_.present() + 1);
-  auto time = suspicion_time(times, e.accusers.confirmed(), options_.confirmations);
+  auto time = suspicion_time(times, e.confirmations.confirmed(), options_.confirmations);
   // Whose own health is poor gives others more time.
-  if (!options_.plain) time *= health_.multiplier();
-  e.deadline = e.since + time;
+  if (!options_.baseline_mode) time *= health_.multiplier();
+  e.suspicion_deadline = e.status_since + time;
 }
 
 void Member::judge_suspects(TimePoint now) {
@@ -249,19 +252,19 @@
   const auto suspects = suspects_;
   for (const auto i : suspects) {
     auto& e = roster_.at(i);
-    if (e.status != Status::suspect || now < e.deadline) continue;
-    if (!e.last_asked && !options_.plain) {
-      e.last_asked = true;
-      e.deadline = now + std::max(2 * late_after(e), options_.period / 4);
+    if (e.status != Status::suspect || now < e.suspicion_deadline) continue;
+    if (!e.final_probe_sent && !options_.baseline_mode) {
+      e.final_probe_sent = true;
+      e.suspicion_deadline = now + std::max(2 * late_after(e), options_.period / 4);
       const auto n = nonce();
       send(e.address, Ping{n, e.name, {}}, now, i);
-      ping_by_second(i, n, now);
+      ping_via_secondary(i, n, now);
       continue;
     }
     ++counters_.deaths;
     auto record = roster_.record_of(i, false);
     record.status = Status::dead;
-    record.suspector = own_hash_;
+    record.suspected_by = own_hash_;
     apply(record, now, true);
   }
 }
@@ -270,41 +273,42 @@
   auto record = roster_.record_of(i, false);
   if (record.status == Status::alive) ++counters_.suspicions;
   record.status = Status::suspect;
-  record.suspector = own_hash_;
+  record.suspected_by = own_hash_;
   apply(record, now, true);
   // A suspect is told first of all: what is sent to it begins with what is held of it.
-  if (!options_.plain) send(roster_.at(i).address, Ping{nonce(), roster_.at(i).name, {}}, now, i);
+  if (!options_.baseline_mode) send(roster_.at(i).address, Ping{nonce(), roster_.at(i).name, {}}, now, i);
 }
 
 // Found cut off oneself: whom nobody else has found silent either is not suspect any more.
 void Member::withdraw_own_accusations(TimePoint now) {
-  guard_.excuse();
+  partition_detector_.excuse();
   for (const auto i : std::vector<Index>(suspects_)) {
     auto& e = roster_.at(i);
-    if (e.status != Status::suspect || e.accusers.first() != own_hash_ || e.accusers.confirmed()) continue;
+    if (e.status != Status::suspect || e.confirmations.first() != own_hash_ || e.confirmations.confirmed())
+      continue;
     roster_.set_status(i, Status::alive, now);
-    spread_.drop(e.hash);
+    dissemination_queue_.drop(e.hash);
     mirror_certain(i);
   }
 }
 
 void Member::mirror_certain(Index i) {
-  if (!guard_.uncertain()) roster_.at(i).certain = roster_.at(i).status;
+  if (!partition_detector_.uncertain()) roster_.at(i).certain_status = roster_.at(i).status;
 }
 
 void Member::apply(const Record& record, TimePoint now, bool own, bool in_exchange) {
   if (record.name == self_.name) return about_self(record, now);
-  if (milliseconds(record.age_ms) > options_.believe_for) {
+  if (milliseconds(record.age_ms) > options_.max_message_age) {
     ++counters_.late;
     return;
   }
-  Index i = kNobody;
+  Index i = kNoMember;
   const auto known = roster_.find(record.name);
-  const auto before = known == kNobody ? Status::alive : roster_.at(known).status;
+  const auto before = known == kNoMember ? Status::alive : roster_.at(known).status;
   const auto merged = roster_.merge(record, now, i);
-  if (merged == MergeResult::nothing) return;
-  if (merged == MergeResult::full) {
-    ++counters_.full;
+  if (merged == MergeResult::ignored) return;
+  if (merged == MergeResult::roster_full) {
+    ++counters_.roster_full;
     return;
   }
   auto& e = roster_.at(i);
@@ -312,13 +316,13 @@
     case MergeResult::joined:
     case MergeResult::restarted:
     case MergeResult::refuted:
-      guard_.heard(e.hash);
+      partition_detector_.heard(e.hash);
       if (merged != MergeResult::refuted || before != Status::alive)
         say(merged == MergeResult::joined      ? ChangeKind::joined
             : merged == MergeResult::restarted ? ChangeKind::restarted
                                                : ChangeKind::refuted,
             e.name, own);
-      if (!e.counted) add_once(uncounted_, i);
+      if (!e.counts_for_quorum) add_once(uncounted_, i);
       if (merged == MergeResult::joined || before == Status::dead || before == Status::left) {
         round_.insert(round_.begin() + std::ptrdiff_t(random_() % (round_.size() + 1)), i);
         // Guards against halves that have met again and know only what gossip happens to bring.
@@ -336,38 +340,38 @@
       say(ChangeKind::suspected, e.name, own);
       add_once(suspects_, i);
       set_deadline(i);
-      guard_.silent(e.hash, now);
+      partition_detector_.silent(e.hash, now);
       break;
-    case MergeResult::confirmed:
+    case MergeResult::suspicion_confirmed:
       set_deadline(i);
       break;
     case MergeResult::died:
       say(ChangeKind::died, e.name, own);
       break;
-    case MergeResult::departed:
-      guard_.heard(e.hash);
-      say(ChangeKind::departed, e.name, own);
+    case MergeResult::left:
+      partition_detector_.heard(e.hash);
+      say(ChangeKind::left, e.name, own);
       break;
-    case MergeResult::metadata:
-      say(ChangeKind::metadata, e.name, own);
+    case MergeResult::metadata_updated:
+      say(ChangeKind::metadata_updated, e.name, own);
       break;
-    case MergeResult::nothing:
-    case MergeResult::full:
+    case MergeResult::ignored:
+    case MergeResult::roster_full:
       break;
   }
   // What it says of its link with me is as good as my own checks.
   if (record.metadata && !e.link_broken)
     for (const auto& l : e.metadata.links)
       if (l.peer == own_hash_) {
-        e.link_checks = 1;
-        set_link(i, true, !l.inward, now);
+        e.link_fault_count = 1;
+        set_link(i, true, !l.inbound, now);
         break;
       }
-  if (merged != MergeResult::metadata && e.status != Status::suspect) mirror_certain(i);
-  if (e.status == Status::suspect && !guard_.uncertain()) e.certain = Status::suspect;
+  if (merged != MergeResult::metadata_updated && e.status != Status::suspect) mirror_certain(i);
+  if (e.status == Status::suspect && !partition_detector_.uncertain()) e.certain_status = Status::suspect;
   // What a newcomer learns of the fleet is no news to the fleet.
   if (merged == MergeResult::joined && !joined_ && in_exchange) return;
-  spread_.add(record, now);
+  dissemination_queue_.add(record, now);
 }
 
 // ---- What is said of me ----
@@ -385,10 +389,10 @@
         if (!yielding_) go_beyond(record.incarnation, now);
         return;
       }
-      duplicate_incarnation_ = std::max(duplicate_incarnation_, record.incarnation);
-      duplicate_boot_id_ = record.boot_id;
-      if (!std::exchange(yielding_, true)) name_conflict_ = now;
-      return note_duplicate(record.address, now);
+      conflicting_incarnation_ = std::max(conflicting_incarnation_, record.incarnation);
+      conflicting_boot_id_ = record.boot_id;
+      if (!std::exchange(yielding_, true)) next_conflict_notice_ = now;
+      return note_name_conflict(record.address, now);
     }
     if (yielding_ || record.incarnation < incarnation_) return;
     metadata_.superseded_boot_id = record.boot_id;
@@ -397,10 +401,10 @@
   if (record.status == Status::alive || leaving_) return;
   if (record.incarnation < incarnation_) {
     if (now - refuted_at_ >= 2 * options_.period && record.age_ms < ms_of(now - refuted_at_))
-      health_.refuted_in_vain();
+      health_.refutation_lost();
     return;
   }
-  if (options_.plain && record.status == Status::suspect) return;
+  if (options_.baseline_mode && record.status == Status::suspect) return;
   ++counters_.refutations;
   health_.refuted();
   refuted_at_ = now;
@@ -410,67 +414,68 @@
 // Some hear it at once; the rest by what goes round.
 void Member::go_beyond(Incarnation seen, TimePoint now) {
   incarnation_ = seen + 1;
-  if (metadata_.generation <= seen && metadata_.superseded_boot_id != BootId{})
-    metadata_.generation = incarnation_;
+  if (metadata_.boot_incarnation <= seen && metadata_.superseded_boot_id != BootId{})
+    metadata_.boot_incarnation = incarnation_;
   ++metadata_.version;
-  spread_.add(own_record(true), now);
-  for (unsigned k = 0; k < options_.indirect; ++k)
-    if (const auto i = random_present(true); i != kNobody)
+  dissemination_queue_.add(own_record(true), now);
+  for (unsigned k = 0; k < options_.indirect_probes; ++k)
+    if (const auto i = random_present(true); i != kNoMember)
       send(roster_.at(i).address, Ping{nonce(), roster_.at(i).name, {}}, now, i);
 }
 
-void Member::note_duplicate(const Address& where, TimePoint now) {
-  duplicate_until_ = now + options_.period * std::int64_t(kTwinSilence);
-  if (duplicate_ == where) return;
-  duplicate_ = where;
+void Member::note_name_conflict(const Address& where, TimePoint now) {
+  conflict_expires_at_ = now + options_.period * std::int64_t(kTwinSilence);
+  if (conflicting_address_ == where) return;
+  conflicting_address_ = where;
   retell(now);
-  say(ChangeKind::duplicate, self_.name, true);
+  say(ChangeKind::name_conflict, self_.name, true);
 }
 
-void Member::tell(Stage stage, std::uint8_t warmth, std::uint8_t pressed,
-                  std::vector<EndpointHealth> endpoint_health, TimePoint now) {
+void Member::update_metadata(Stage stage, std::uint8_t warmup_percent, std::uint8_t pressure_percent,
+                             std::vector<EndpointHealth> endpoint_health, TimePoint now) {
   if (leaving_) stage = Stage::leaving;
   if (endpoint_health.size() > kMaxEndpointHealth) endpoint_health.resize(kMaxEndpointHealth);
-  if (fine_change(stage, warmth, pressed, endpoint_health, now)) return;
+  if (fine_change(stage, warmup_percent, pressure_percent, endpoint_health, now)) return;
   told_at_ = now;
   metadata_.stage = stage;
-  metadata_.warmth = warmth;
-  metadata_.pressed = pressed;
+  metadata_.warmup_percent = warmup_percent;
+  metadata_.pressure_percent = pressure_percent;
   metadata_.endpoint_health = std::move(endpoint_health);
   ++metadata_.version;
-  spread_.add(own_record(true), now);
+  dissemination_queue_.add(own_record(true), now);
 }
 
 // Guards against a fleet of hundreds that fills its datagrams with each other's last hundredth of load:
 // whoever takes requests changes that in every period.
-bool Member::fine_change(Stage stage, std::uint8_t warmth, std::uint8_t pressed,
+bool Member::fine_change(Stage stage, std::uint8_t warmup_percent, std::uint8_t pressure_percent,
                          const std::vector<EndpointHealth>& endpoint_health, TimePoint now) const {
   if (metadata_.stage != stage || metadata_.endpoint_health != endpoint_health) return false;
-  const auto apart = std::max(std::abs(int(metadata_.warmth) - int(warmth)),
-                              std::abs(int(metadata_.pressed) - int(pressed)));
+  const auto apart = std::max(std::abs(int(metadata_.warmup_percent) - int(warmup_percent)),
+                              std::abs(int(metadata_.pressure_percent) - int(pressure_percent)));
   return apart == 0 || apart < kFine || now - told_at_ < options_.period * std::int64_t(kFineEvery);
 }
 
-void Member::tell(const RecoveryStatus& recovery_status, TimePoint now) {
+void Member::update_metadata(const RecoveryStatus& recovery_status, TimePoint now) {
   auto same = metadata_.recovery_status;
-  same.offered = recovery_status.offered;
-  const int apart = std::abs(int(metadata_.recovery_status.offered) - int(recovery_status.offered));
-  if (same == recovery_status &&
-      (apart == 0 || ((apart < kFine || now - told_at_ < options_.period) && recovery_status.offered < 100)))
+  same.offered_percent = recovery_status.offered_percent;
+  const int apart =
+      std::abs(int(metadata_.recovery_status.offered_percent) - int(recovery_status.offered_percent));
+  if (same == recovery_status && (apart == 0 || ((apart < kFine || now - told_at_ < options_.period) &&
+                                                 recovery_status.offered_percent < 100)))
     return;
   metadata_.recovery_status = recovery_status;
   ++metadata_.version;
-  spread_.add(own_record(true), now);
+  dissemination_queue_.add(own_record(true), now);
 }
 
 void Member::retell(TimePoint now) {
-  metadata_.duplicate = duplicate_.value_or(Address{});
+  metadata_.conflicting_address = conflicting_address_.value_or(Address{});
   metadata_.links.clear();
   for (const auto i : checked_links_)
     if (const auto& e = roster_.at(i); e.known && e.link_broken && metadata_.links.size() < kMaxLinkFaults)
-      metadata_.links.push_back({e.hash, e.link_in});
+      metadata_.links.push_back({e.hash, e.link_inbound});
   ++metadata_.version;
-  spread_.add(own_record(true), now);
+  dissemination_queue_.add(own_record(true), now);
 }
 
 void Member::leave(TimePoint now) {
@@ -479,7 +484,7 @@
   metadata_.stage = Stage::leaving;
   ++metadata_.version;
   probes_.clear();
-  spread_.add(own_record(true), now_);
+  dissemination_queue_.add(own_record(true), now_);
   send_leave(now_);
 }
 
@@ -487,7 +492,7 @@
   ++leave_rounds_;
   leave_next_ = now + options_.period / 4;
   if (leave_rounds_ > kLeaveRounds) return;
-  for (const auto i : helpers_for(kNobody, 2 + options_.indirect)) {
+  for (const auto i : helpers_for(kNoMember, 2 + options_.indirect_probes)) {
     const auto n = nonce();
     leave_nonces_.push_back(n);
     send(roster_.at(i).address, Ping{n, roster_.at(i).name, {}}, now, i, 0, {own_record(true)});
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -42,43 +42,43 @@
 struct Identity {
   std::string name, zone;
   Address address;  // advertised
-  Address second;   // the same of a second path, where there is one
+  Address secondary_address;  // advertised for a second network path; no port: there is none
   BootId boot_id{};
-  Incarnation first = 1;        // of this life; beyond it where an earlier life is heard of
-  std::uint16_t fill_port = 0;  // MemberMetadata::fill_port
+  Incarnation first_incarnation = 1;  // of this life; beyond it where an earlier life is heard of
+  std::uint16_t cache_fill_port = 0;  // MemberMetadata::fill_port
 };
 
-struct Send {
+struct OutgoingDatagram {
   Address to;
   Datagram datagram;
-  bool second = false;  // by the second path
+  bool via_secondary = false;  // from the socket of the secondary path
 };
 
 enum class ChangeKind : std::uint8_t {
   joined,
-  restarted,
+  restarted,  // another incarnation of the process under the same name
   suspected,
   refuted,
   died,
-  departed,
-  forgotten,
-  metadata,
-  link_broken,
-  link_mended,
-  local_connectivity,  // own: unheard, deaf, ok
-  certainty,           // own: the view is uncertain, or certain again
-  majority,            // own: most of the agreed fleet is seen, or is not
-  duplicate            // another process lives under the own name, or no longer does
+  left,     // announced a graceful leave
+  removed,  // its tombstone was pruned
+  metadata_updated,
+  link_broken,     // one direction of the direct link fails
+  link_recovered,
+  local_connectivity,  // of this member
+  view_certainty,      // the view became uncertain, or certain again
+  quorum,              // this member gained or lost the quorum
+  name_conflict        // another process uses this member's name, or no longer does
 };
 struct Change {
   ChangeKind kind{};
   std::string name;  // whom it is about
-  bool own = false;  // found here, not heard
+  bool detected_locally = false;  // by this member, not learned by gossip
 };
 
 struct Counters {
-  std::uint64_t stale_boot_id = 0, late = 0, strangers = 0, not_mine = 0, full = 0, suspicions = 0,
-                deaths = 0, refutations = 0, pauses = 0, exchanges = 0;
+  std::uint64_t stale_boot_id = 0, late = 0, unverified_peers = 0, misaddressed = 0, roster_full = 0,
+                suspicions = 0, deaths = 0, refutations = 0, pauses = 0, sync_requests = 0;
 };
 
 class Member {
@@ -94,47 +94,49 @@
   TimePoint next_wake() const;
 
   // What is to be sent and what has changed since the last call, in order.
-  std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
+  std::vector<OutgoingDatagram> take_outgoing() { return std::exchange(outgoing_, {}); }
   std::vector<Change> take_changes() { return std::exchange(changes_, {}); }
 
   // What this member says of itself; version, generation, zone, twin and links are its own.
-  void tell(Stage stage, std::uint8_t warmth, std::uint8_t pressed,
-            std::vector<EndpointHealth> endpoint_health, TimePoint now);
+  void update_metadata(Stage stage, std::uint8_t warmup_percent, std::uint8_t pressure_percent,
+                       std::vector<EndpointHealth> endpoint_health, TimePoint now);
   // The same of how it comes back; small changes of what it offers wait as those of load do.
-  void tell(const RecoveryStatus& recovery_status, TimePoint now);
+  void update_metadata(const RecoveryStatus& recovery_status, TimePoint now);
   // Orderly: told to some until enough acknowledge it, or three times.
   void leave(TimePoint now);
   bool has_left() const { return leaving_ && (leave_rounds_ >= 3 || leave_acks_ >= 2); }
 
   // Whom an earlier look at the fleet has shown: probed like others, and no news to anybody.
-  void introduce(const std::vector<Record>& known, TimePoint now);
+  void add_known_members(const std::vector<Record>& known, TimePoint now);
 
   // Addresses to call while nobody is there, beside the seeds: of members that an earlier life knew.
-  void also_call(std::vector<Address> addresses) { also_call_ = std::move(addresses); }
+  void set_join_addresses(std::vector<Address> addresses) { join_addresses_ = std::move(addresses); }
 
   // Fresh times and seeds; identity stays.
-  void change(const Options& options);
+  void update_options(const Options& options);
 
   const Identity& self() const { return self_; }
   Incarnation incarnation() const { return incarnation_; }
   const MemberMetadata& metadata() const { return metadata_; }
   const Roster& roster() const { return roster_; }
   LocalConnectivity local_connectivity() const { return health_.local_connectivity(); }
-  TimePoint last_heard() const { return health_.last_heard(); }
-  bool uncertain() const { return guard_.uncertain(); }
-  bool majority() const { return guard_.majority(); }
+  TimePoint last_received_at() const { return health_.last_received_at(); }
+  bool uncertain() const { return partition_detector_.uncertain(); }
+  bool has_quorum() const { return partition_detector_.has_quorum(); }
   // The agreed fleet, this one included.
-  std::size_t agreed() const { return std::max(roster_.agreed() + 1, options_.expected); }
-  const std::optional<Address>& duplicate() const { return duplicate_; }
+  std::size_t fleet_size() const { return std::max(roster_.quorum_base() + 1, options_.min_fleet_size); }
+  const std::optional<Address>& conflicting_address() const { return conflicting_address_; }
   unsigned health_multiplier() const { return health_.multiplier(); }
   const Counters& counters() const { return counters_; }
   // A bound of what the state takes besides the roster.
-  std::size_t pending() const { return probes_.size() + relays_.size() + strangers_.size() + spread_.size(); }
+  std::size_t pending_items() const {
+    return probes_.size() + relays_.size() + strangers_.size() + dissemination_queue_.size();
+  }
 
  private:
   struct Probe {
     std::uint32_t nonce = 0;
-    Index target = kNobody;
+    Index target = kNoMember;
     TimePoint sent, late_at, verdict_at;
     std::uint8_t stage = 0;  // pings sent
     bool asked = false;
@@ -144,7 +146,7 @@
   struct Relay {  // asked for somebody else
     std::uint32_t nonce = 0, theirs = 0;
     std::string target;
-    Address asker;
+    Address origin;
     TimePoint until;
   };
   struct UnverifiedPeer {  // whose address has not yet been proven
@@ -185,10 +187,10 @@
     if (std::find(to.begin(), to.end(), i) == to.end()) to.push_back(i);
   }
   void retell(TimePoint now);
-  void note_duplicate(const Address& where, TimePoint now);
+  void note_name_conflict(const Address& where, TimePoint now);
   bool may_remove(TimePoint now) const;
   Record own_record(bool with_metadata) const;
-  bool fine_change(Stage stage, std::uint8_t warmth, std::uint8_t pressed,
+  bool fine_change(Stage stage, std::uint8_t warmup_percent, std::uint8_t pressure_percent,
                    const std::vector<EndpointHealth>& endpoint_health, TimePoint now) const;
 
   // ---- probing.cpp: probes, links, exchanges, strangers ----
@@ -206,7 +208,7 @@
   void ask_helpers(Probe& probe, TimePoint now);
   void link_answered(Index i, TimePoint now);
   void link_relayed(Index i, const Probe& probe, std::uint32_t heard_ms, TimePoint now);
-  void set_link(Index i, bool broken, bool inward, TimePoint now);
+  void set_link(Index i, bool broken, bool inbound, TimePoint now);
   Index next_in_round();
   std::vector<Index> helpers_for(Index target, unsigned most);
   void ask_exchange(Index with, TimePoint now);
@@ -214,14 +216,14 @@
   void meet(const Datagram& datagram, std::size_t room, TimePoint now);
   void call_absent(TimePoint now);
   void send_leave(TimePoint now);
-  void send(const Address& to, Body body, TimePoint now, Index about = kNobody, std::size_t filler_to = 0,
+  void send(const Address& to, Body body, TimePoint now, Index about = kNoMember, std::size_t filler_to = 0,
             std::vector<Record> first = {});
   // By the second path, where both ends have one.
-  void send_by_second(Index to, Body body, TimePoint now);
-  void ping_by_second(Index target, std::uint32_t nonce, TimePoint now);
+  void send_via_secondary(Index to, Body body, TimePoint now);
+  void ping_via_secondary(Index target, std::uint32_t nonce, TimePoint now);
   Index random_present(bool alive_only);
   std::uint32_t nonce() { return std::uint32_t(random_()) | 1; }
-  Duration late_after(const Entry& e) const;
+  Duration late_after(const MemberState& e) const;
 
   Options options_;
   Identity self_;
@@ -233,8 +235,8 @@
   std::uint64_t periods_ = 0;
   Roster roster_;
   LocalHealth health_;
-  PartitionDetector guard_;
-  DisseminationQueue spread_;
+  PartitionDetector partition_detector_;
+  DisseminationQueue dissemination_queue_;
   std::vector<Probe> probes_;
   std::vector<Relay> relays_;
   std::vector<UnverifiedPeer> strangers_;
@@ -244,23 +246,23 @@
   std::vector<Index> uncounted_;      // joined; in the agreed fleet once most are seen
   std::vector<Index> round_;
   std::size_t round_at_ = 0;
-  std::vector<Address> also_call_;
+  std::vector<Address> join_addresses_;
   TimePoint next_exchange_, last_heal_, refuted_at_, told_at_;
-  Index last_heard_ = kNobody;
+  Index last_heard_ = kNoMember;
   bool joined_ = false;  // a full exchange has come in
   unsigned joins_ = 0;   // exchanges asked for since the start
   bool was_uncertain_ = false, had_majority_ = true;
   LocalConnectivity was_hearing_ = LocalConnectivity::ok;
-  std::optional<Address> duplicate_;
-  BootId duplicate_boot_id_{};
-  Incarnation duplicate_incarnation_ = 0;  // the highest that it was heard of with
-  TimePoint duplicate_until_, name_conflict_;
+  std::optional<Address> conflicting_address_;
+  BootId conflicting_boot_id_{};
+  Incarnation conflicting_incarnation_ = 0;  // the highest that it was heard of with
+  TimePoint conflict_expires_at_, next_conflict_notice_;
   bool yielding_ = false;  // the twin holds the name
   bool leaving_ = false;
   unsigned leave_rounds_ = 0, leave_acks_ = 0;
   TimePoint leave_next_;
   std::vector<std::uint32_t> leave_nonces_;
-  std::vector<Send> sends_;
+  std::vector<OutgoingDatagram> outgoing_;
   std::vector<Change> changes_;
   Counters counters_;
 };
--- a/src/membership/partition_detector.h
+++ b/src/membership/partition_detector.h
@@ -26,7 +26,8 @@
   // The fault was mine: nothing that fell silent meanwhile counts.
   void excuse() { silent_.clear(); }
   struct Counts {
-    std::size_t agreed = 1, seen = 1;  // members of the agreed fleet; those of them alive, this one included
+    std::size_t fleet_size = 1,
+                seen = 1;  // members of the agreed fleet; those of them alive, this one included
   };
   // `cut_off`: this process knows itself unheard or deaf. `patience`: how long nobody more may have fallen
   // silent before those that have are judged.
@@ -34,16 +35,16 @@
 
   bool uncertain() const { return uncertain_; }
   TimePoint uncertain_since() const { return uncertain_since_; }
-  bool majority() const { return majority_; }
+  bool has_quorum() const { return has_quorum_; }
   // The moment it last became certain.
   TimePoint certain_since() const { return certain_since_; }
-  bool fell_silent_lately(std::uint64_t member) const { return silent_.contains(member); }
+  bool recently_silent(std::uint64_t member) const { return silent_.contains(member); }
 
  private:
   const Options& options_;
   std::unordered_map<std::uint64_t, TimePoint> silent_;
   TimePoint uncertain_since_{}, newest_{}, certain_since_{};
-  bool uncertain_ = false, majority_ = true;
+  bool uncertain_ = false, has_quorum_ = true;
 };
 
 }  // namespace granitegap::membership
--- a/src/membership/probing.cpp
+++ b/src/membership/probing.cpp
@@ -27,49 +27,50 @@
             std::uint32_t(std::clamp<std::int64_t>(ms(now - started_), 0, 0xfffffff0))};
   d.body = std::move(body);
   d.updates = std::move(first);
-  if (about != kNobody && roster_.at(about).known && roster_.at(about).status != Status::alive) {
+  if (about != kNoMember && roster_.at(about).known && roster_.at(about).status != Status::alive) {
     d.updates.push_back(roster_.record_of(about, false));
-    if (roster_.at(about).accusers.has(own_hash_)) d.updates.back().suspector = own_hash_;
+    if (roster_.at(about).confirmations.has(own_hash_)) d.updates.back().suspected_by = own_hash_;
   }
-  const auto used = max_bytes(d);
+  const auto used = max_encoded_size(d);
   if (used > kMaxDatagram) return;
   const bool stranger = filler_to > 0;
   if (!stranger && !std::holds_alternative<SyncChunk>(d.body))
-    spread_.fill(d.updates, kMaxDatagram - used,
-                 retransmit_limit(options_, roster_.present() + 1, spread_.size()),
-                 dissemination_time(options_, roster_.present() + 1), now);
-  if (filler_to > used + 3) d.filler = std::uint16_t(filler_to - used - 3);
-  sends_.push_back({to, std::move(d)});
+    dissemination_queue_.fill(d.updates, kMaxDatagram - used,
+                              retransmit_limit(options_, roster_.present() + 1, dissemination_queue_.size()),
+                              dissemination_time(options_, roster_.present() + 1), now);
+  if (filler_to > used + 3) d.padding = std::uint16_t(filler_to - used - 3);
+  outgoing_.push_back({to, std::move(d)});
 }
 
-void Member::send_by_second(Index to, Body body, TimePoint now) {
+void Member::send_via_secondary(Index to, Body body, TimePoint now) {
   const auto& e = roster_.at(to);
-  if (!self_.second || !e.metadata.second) return;  // only where the other end itself has told of it
-  const auto before = sends_.size();
-  send(e.metadata.second, std::move(body), now, to);
-  if (sends_.size() > before) sends_.back().second = true;
+  if (!self_.secondary_address || !e.metadata.secondary_address)
+    return;  // only where the other end itself has told of it
+  const auto before = outgoing_.size();
+  send(e.metadata.secondary_address, std::move(body), now, to);
+  if (outgoing_.size() > before) outgoing_.back().via_secondary = true;
 }
 
-void Member::ping_by_second(Index target, std::uint32_t n, TimePoint now) {
-  if (!options_.plain) send_by_second(target, Ping{n, roster_.at(target).name, {}, true}, now);
+void Member::ping_via_secondary(Index target, std::uint32_t n, TimePoint now) {
+  if (!options_.baseline_mode) send_via_secondary(target, Ping{n, roster_.at(target).name, {}, true}, now);
 }
 
-Duration Member::late_after(const Entry& e) const {
-  if (options_.plain) return options_.period / 2;
+Duration Member::late_after(const MemberState& e) const {
+  if (options_.baseline_mode) return options_.period / 2;
   const auto most = options_.period / 5;
-  return e.round_trip.late_after(std::min(options_.min_late, most), most) * health_.multiplier();
+  return e.round_trip.late_after(std::min(options_.min_probe_timeout, most), most) * health_.multiplier();
 }
 
 Index Member::random_present(bool alive_only) {
-  if (roster_.present() == 0) return kNobody;
+  if (roster_.present() == 0) return kNoMember;
   for (int tries = 0; tries < 32; ++tries) {
     if (round_.empty()) break;
     const auto i = round_[random_() % round_.size()];
     if (roster_.is_present(i) && (!alive_only || roster_.at(i).status == Status::alive)) return i;
   }
-  for (auto i = roster_.oldest_contact(); i != kNobody; i = roster_.next_contact(i))
+  for (auto i = roster_.oldest_contact(); i != kNoMember; i = roster_.next_contact(i))
     if (!alive_only || roster_.at(i).status == Status::alive) return i;
-  return kNobody;
+  return kNoMember;
 }
 
 // A shuffled round: whoever falls silent is probed within so many periods as there are members, twice that
@@ -83,11 +84,11 @@
       return i;
     }
     round_.clear();
-    for (auto i = roster_.oldest_contact(); i != kNobody; i = roster_.next_contact(i)) round_.push_back(i);
+    for (auto i = roster_.oldest_contact(); i != kNoMember; i = roster_.next_contact(i)) round_.push_back(i);
     std::shuffle(round_.begin(), round_.end(), random_);
     round_at_ = 0;
   }
-  return kNobody;
+  return kNoMember;
 }
 
 // By chance, of different zones as far as there are enough, and none whose link with us is broken.
@@ -95,8 +96,8 @@
   std::vector<Index> picked;
   const auto good = [&](Index i) {
     const auto& e = roster_.at(i);
-    return i != kNobody && i != target && e.status == Status::alive && !e.link_broken && e.link_checks == 0 &&
-           std::find(picked.begin(), picked.end(), i) == picked.end();
+    return i != kNoMember && i != target && e.status == Status::alive && !e.link_broken &&
+           e.link_fault_count == 0 && std::find(picked.begin(), picked.end(), i) == picked.end();
   };
   const auto new_zone = [&](Index i) {
     return std::none_of(picked.begin(), picked.end(),
@@ -104,7 +105,7 @@
   };
   for (unsigned tries = 0; tries < 6 * most && picked.size() < most; ++tries) {
     const auto i = random_present(true);
-    if (i == kNobody) break;
+    if (i == kNoMember) break;
     if (good(i) && (tries >= 3 * most || new_zone(i))) picked.push_back(i);
   }
   return picked;
@@ -120,13 +121,13 @@
   p.sent = now;
   p.stage = 1;
   const auto& e = roster_.at(target);
-  p.late_at = options_.plain ? kNever : now + late_after(e);
-  p.verdict_at = now + options_.period * (options_.plain ? 1u : health_.multiplier());
+  p.late_at = options_.baseline_mode ? kNever : now + late_after(e);
+  p.verdict_at = now + options_.period * (options_.baseline_mode ? 1u : health_.multiplier());
   send(e.address, Ping{p.nonce, e.name, {}}, now, target);
   probes_.push_back(std::move(p));
   // Routed round at once where the straight way is known not to carry.
   if (!e.link_broken) return;
-  ping_by_second(target, probes_.back().nonce, now);
+  ping_via_secondary(target, probes_.back().nonce, now);
   ask_helpers(probes_.back(), now);
 }
 
@@ -136,7 +137,7 @@
     p.stage = 2;
     p.late_at = now + late_after(e);
     send(e.address, Ping{p.nonce, e.name, {}}, now, p.target);
-    ping_by_second(p.target, p.nonce, now);
+    ping_via_secondary(p.target, p.nonce, now);
     return;
   }
   p.late_at = kNever;
@@ -146,7 +147,7 @@
 void Member::ask_helpers(Probe& p, TimePoint now) {
   p.asked = true;
   const auto& e = roster_.at(p.target);
-  for (const auto i : helpers_for(p.target, options_.indirect))
+  for (const auto i : helpers_for(p.target, options_.indirect_probes))
     send(roster_.at(i).address, PingRequest{p.nonce, e.name, e.address}, now, i);
 }
 
@@ -160,11 +161,11 @@
     return;
   }
   e.reachable = false;
-  const bool heard = e.heard >= p.sent - 2 * options_.period;
+  const bool heard = e.last_heard_at >= p.sent - 2 * options_.period;
   health_.probe_failed(p.asked && p.helpers_heard == 0, heard);
   judge(now);
-  if (options_.plain) return accuse(p.target, now);
-  if (health_.listening(now) || health_.local_connectivity() != LocalConnectivity::ok) return;
+  if (options_.baseline_mode) return accuse(p.target, now);
+  if (health_.in_grace_period(now) || health_.local_connectivity() != LocalConnectivity::ok) return;
   // Silence from all sides while the probe was out says more of me than of the one probed.
   if (roster_.alive() >= 2 && !health_.heard_since(p.sent)) return;
   accuse(p.target, now);
@@ -175,7 +176,7 @@
 void Member::link_answered(Index i, TimePoint now) {
   auto& e = roster_.at(i);
   if (e.link_broken) set_link(i, false, false, now);
-  e.link_checks = 0;
+  e.link_fault_count = 0;
 }
 
 // The straight way failed and a way round did not: which direction is it? `heard_ms` tells whether my pings
@@ -184,22 +185,22 @@
   auto& e = roster_.at(i);
   if (e.link_broken) return;
   const bool arrives = heard_ms != kNeverHeard && heard_ms <= std::uint64_t(ms(now - p.sent));
-  if (e.link_checks == 0 || e.link_in != arrives) {
-    if (e.link_checks == 0) add_once(checked_links_, i);
-    e.link_checks = 1;
-    e.link_in = arrives;
+  if (e.link_fault_count == 0 || e.link_inbound != arrives) {
+    if (e.link_fault_count == 0) add_once(checked_links_, i);
+    e.link_fault_count = 1;
+    e.link_inbound = arrives;
     return;
   }
-  if (++e.link_checks >= kLinkChecks) set_link(i, true, arrives, now);
+  if (++e.link_fault_count >= kLinkChecks) set_link(i, true, arrives, now);
 }
 
-void Member::set_link(Index i, bool broken, bool inward, TimePoint now) {
+void Member::set_link(Index i, bool broken, bool inbound, TimePoint now) {
   auto& e = roster_.at(i);
   if (broken) add_once(checked_links_, i);
   e.link_broken = broken;
-  e.link_in = inward;
-  if (!broken) e.link_checks = 0;
-  say(broken ? ChangeKind::link_broken : ChangeKind::link_mended, e.name, true);
+  e.link_inbound = inbound;
+  if (!broken) e.link_fault_count = 0;
+  say(broken ? ChangeKind::link_broken : ChangeKind::link_recovered, e.name, true);
   retell(now);
 }
 
@@ -215,36 +216,38 @@
     if (from.boot_id == self_.boot_id || !notice || notice->to != self_.boot_id) return;
     // It lives: it names a life that began while it was there. Whoever holds the name answers.
     if (!yielding_) send(from.address, NameConflict{from.boot_id}, now);
-    duplicate_boot_id_ = from.boot_id;
-    return note_duplicate(from.address, now);
+    conflicting_boot_id_ = from.boot_id;
+    return note_name_conflict(from.address, now);
   }
   auto i = roster_.find(from.name);
   bool known = false;
-  if (i != kNobody) {
+  if (i != kNoMember) {
     auto& e = roster_.at(i);
     if (from.boot_id == e.boot_id) {
       // Guards against datagrams held up or played again: by the sender's own clock, as clocks don't agree.
       const auto offset = ms(now - started_) - std::int64_t(from.sent_ms);
-      if (e.timely == TimePoint{} || offset < e.clock_offset_ms) e.clock_offset_ms = offset;
+      if (e.last_timely_at == TimePoint{} || offset < e.clock_offset_ms) e.clock_offset_ms = offset;
       const auto held_up = offset - e.clock_offset_ms;
-      if (milliseconds(held_up) > options_.believe_for && now - e.timely <= options_.believe_for) {
+      if (milliseconds(held_up) > options_.max_message_age &&
+          now - e.last_timely_at <= options_.max_message_age) {
         ++counters_.late;
         return;
       }
-      if (milliseconds(held_up) > options_.believe_for) e.clock_offset_ms = offset;  // its clock stood still
-      e.clock_offset_ms += held_up / 256;                                            // clocks drift
-      e.timely = now;
+      if (milliseconds(held_up) > options_.max_message_age)
+        e.clock_offset_ms = offset;        // its clock stood still
+      e.clock_offset_ms += held_up / 256;  // clocks drift
+      e.last_timely_at = now;
       known = roster_.is_present(i) || from.incarnation > e.incarnation;
     } else if (from.incarnation <= e.incarnation) {
       // An earlier life, or a new one whose clock went back: it learns of what is known, and goes beyond it.
       ++counters_.stale_boot_id;
       if (const auto* ping = std::get_if<Ping>(&d.body); ping && bytes >= kKnock / 2)
-        send(from.address, Ack{ping->nonce, kNeverHeard}, now, kNobody, 1, {roster_.record_of(i, true)});
+        send(from.address, Ack{ping->nonce, kNeverHeard}, now, kNoMember, 1, {roster_.record_of(i, true)});
       return;
     }
   }
   if (!known) {
-    ++counters_.strangers;
+    ++counters_.unverified_peers;
     if (const auto* ack = std::get_if<Ack>(&d.body)) {
       const auto it = std::find_if(strangers_.begin(), strangers_.end(), [&](const auto& s) {
         return s.nonce == ack->nonce &&
@@ -255,7 +258,7 @@
       apply({from.name, from.address, from.boot_id, from.incarnation, Status::alive, 0, 0, std::nullopt}, now,
             true);
       i = roster_.find(from.name);
-      const bool member = i != kNobody && roster_.is_present(i);
+      const bool member = i != kNoMember && roster_.is_present(i);
       // Each held the other dead: what it says of me is heeded, so that both can refute.
       for (const auto& r : d.updates)
         if (member || r.name == self_.name) apply(r, now);
@@ -263,18 +266,18 @@
       return;
     }
     if (const auto* ping = std::get_if<Ping>(&d.body)) {
-      if (ping->second || (!ping->target.empty() && ping->target != self_.name)) return;
+      if (ping->secondary_path || (!ping->target.empty() && ping->target != self_.name)) return;
       std::vector<Record> about;
-      if (i != kNobody) about.push_back(roster_.record_of(i, false));
-      const auto sends_before = sends_.size();
-      send(from.address, Ack{ping->nonce, kNeverHeard}, now, kNobody, 1, std::move(about));
-      if (sends_.size() == sends_before) return;
-      const auto used = max_bytes(sends_.back().datagram);
-      if (used > bytes && i == kNobody) {  // never more to an unknown address than came from it
-        sends_.pop_back();
+      if (i != kNoMember) about.push_back(roster_.record_of(i, false));
+      const auto sends_before = outgoing_.size();
+      send(from.address, Ack{ping->nonce, kNeverHeard}, now, kNoMember, 1, std::move(about));
+      if (outgoing_.size() == sends_before) return;
+      const auto used = max_encoded_size(outgoing_.back().datagram);
+      if (used > bytes && i == kNoMember) {  // never more to an unknown address than came from it
+        outgoing_.pop_back();
         return;
       }
-      meet(d, i == kNobody ? bytes - used : kMaxDatagram, now);
+      meet(d, i == kNoMember ? bytes - used : kMaxDatagram, now);
     }
     return;
   }
@@ -284,7 +287,7 @@
   // By the second path it is there, but that says nothing of the straight one.
   const auto* by_ping = std::get_if<Ping>(&d.body);
   const auto* by_ack = std::get_if<Ack>(&d.body);
-  if (!(by_ping && by_ping->second) && !(by_ack && by_ack->second)) e.heard = now;
+  if (!(by_ping && by_ping->secondary_path) && !(by_ack && by_ack->secondary_path)) e.last_heard_at = now;
   if (from.incarnation > e.incarnation)
     apply({from.name, from.address, from.boot_id, from.incarnation, Status::alive, 0, 0, std::nullopt}, now);
   const bool in_exchange = std::holds_alternative<SyncChunk>(d.body);
@@ -301,15 +304,16 @@
 void Member::on(const Ping& ping, const Datagram& d, Index from, TimePoint now) {
   // Guards against an address taken over: whoever is there now does not vouch for the one before.
   if (!ping.target.empty() && ping.target != self_.name) {
-    ++counters_.not_mine;
+    ++counters_.misaddressed;
     return;
   }
   std::uint32_t heard_ms = kNeverHeard;
-  const auto asker = ping.asker.empty() ? from : roster_.find(ping.asker);
-  if (asker != kNobody && roster_.at(asker).known)
-    heard_ms = std::uint32_t(std::clamp<std::int64_t>(ms(now - roster_.at(asker).heard), 0, 0xfffffff0));
-  if (ping.second) return send_by_second(from, Ack{ping.nonce, heard_ms, true}, now);
-  if (ping.asker.empty()) roster_.contact(from);
+  const auto asker = ping.origin.empty() ? from : roster_.find(ping.origin);
+  if (asker != kNoMember && roster_.at(asker).known)
+    heard_ms =
+        std::uint32_t(std::clamp<std::int64_t>(ms(now - roster_.at(asker).last_heard_at), 0, 0xfffffff0));
+  if (ping.secondary_path) return send_via_secondary(from, Ack{ping.nonce, heard_ms, true}, now);
+  if (ping.origin.empty()) roster_.record_contact(from);
   send(d.from.address, Ack{ping.nonce, heard_ms}, now, from);
 }
 
@@ -317,7 +321,7 @@
   if (std::erase(leave_nonces_, ack.nonce)) ++leave_acks_;
   const auto probe = std::find_if(probes_.begin(), probes_.end(),
                                   [&](auto& p) { return p.nonce == ack.nonce && p.target == from; });
-  if (probe != probes_.end() && ack.second) {  // a way round, like a helper's
+  if (probe != probes_.end() && ack.secondary_path) {  // a way round, like a helper's
     if (!probe->relayed || ack.heard_ms < *probe->relayed) probe->relayed = ack.heard_ms;
     return;
   }
@@ -325,7 +329,7 @@
     auto& e = roster_.at(from);
     if (probe->stage == 1) e.round_trip.sample(now - probe->sent);  // Karn: not where it was sent twice
     e.reachable = true;
-    roster_.contact(from);
+    roster_.record_contact(from);
     health_.probe_answered();
     link_answered(from, now);
     probes_.erase(probe);
@@ -334,7 +338,7 @@
   const auto relay = std::find_if(relays_.begin(), relays_.end(),
                                   [&](auto& r) { return r.nonce == ack.nonce && r.target == d.from.name; });
   if (relay == relays_.end()) return;
-  send(relay->asker, IndirectAck{relay->theirs, relay->target, ack.heard_ms}, now);
+  send(relay->origin, IndirectAck{relay->theirs, relay->target, ack.heard_ms}, now);
   relays_.erase(relay);
 }
 
@@ -342,7 +346,7 @@
   if (relays_.size() >= kMaxRelays || ask.target == self_.name) return;
   const auto target = roster_.find(ask.target);
   // Only whom I know myself, at the address that I know: guards against being used to send to anybody.
-  if (target == kNobody) return send(d.from.address, Nack{ask.nonce}, now);
+  if (target == kNoMember) return send(d.from.address, Nack{ask.nonce}, now);
   Relay r{nonce(), ask.nonce, ask.target, d.from.address, now + options_.period / 4};
   send(roster_.at(target).address, Ping{r.nonce, ask.target, d.from.name}, now, target);
   relays_.push_back(std::move(r));
@@ -370,9 +374,9 @@
                                [&](auto& s) { return s.name == d.from.name && s.boot_id == d.from.boot_id; });
   if (met || strangers_.size() >= kMaxStrangers) return;
   UnverifiedPeer s{d.from.name, d.from.address, d.from.boot_id, nonce(), now + 4 * options_.period};
-  send(s.address, Ping{s.nonce, s.name, {}}, now, kNobody, 1);
-  if (max_bytes(sends_.back().datagram) > room) {
-    sends_.pop_back();
+  send(s.address, Ping{s.nonce, s.name, {}}, now, kNoMember, 1);
+  if (max_encoded_size(outgoing_.back().datagram) > room) {
+    outgoing_.pop_back();
     return;
   }
   strangers_.push_back(std::move(s));
@@ -382,23 +386,23 @@
 // together, and a process that started alone finds the others. One each few periods, all while alone.
 void Member::call_absent(TimePoint now) {
   const bool alone = roster_.present() == 0;
-  const bool unanswered = health_.failed_in_a_row() >= 2 && periods_ % 2 == 0;
+  const bool unanswered = health_.consecutive_failures() >= 2 && periods_ % 2 == 0;
   if (!alone && !unanswered && periods_ % kCallAbsentEvery != 0) return;
   std::vector<Address> seeds;
   for (const auto& s : options_.seeds) {
     bool there = s == self_.address;
-    for (auto i = roster_.oldest_contact(); i != kNobody && !there; i = roster_.next_contact(i))
+    for (auto i = roster_.oldest_contact(); i != kNoMember && !there; i = roster_.next_contact(i))
       there = roster_.at(i).address == s;
     if (!there) seeds.push_back(s);
   }
   const auto knock = [&](const Address& to) {
     if (strangers_.size() >= kMaxStrangers) return;
     UnverifiedPeer s{{}, to, {}, nonce(), now + 4 * options_.period};
-    send(to, Ping{s.nonce, {}, {}}, now, kNobody, kKnock);
+    send(to, Ping{s.nonce, {}, {}}, now, kNoMember, kKnock);
     strangers_.push_back(std::move(s));
   };
   if (alone)
-    for (const auto& a : also_call_)
+    for (const auto& a : join_addresses_)
       if (a != self_.address) seeds.push_back(a);
   std::shuffle(seeds.begin(), seeds.end(), random_);
   if (alone) {
@@ -408,10 +412,10 @@
   // Others may hold another life under this name: what they know of it comes with the answer, if there is
   // room.
   if (unanswered)
-    if (const auto i = random_present(false); i != kNobody) knock(roster_.at(i).address);
+    if (const auto i = random_present(false); i != kNoMember) knock(roster_.at(i).address);
   if (periods_ % kCallAbsentEvery != 0) return;
   std::vector<Index> dead;
-  for (const auto i : roster_.tombs())
+  for (const auto i : roster_.tombstones())
     if (roster_.at(i).known && roster_.at(i).status == Status::dead) dead.push_back(i);
   if (!dead.empty()) {
     const auto i = dead[random_() % dead.size()];
@@ -424,7 +428,7 @@
 }
 
 void Member::ask_exchange(Index with, TimePoint now) {
-  ++counters_.exchanges;
+  ++counters_.sync_requests;
   const auto n = nonce();
   auto sums = digest_of(roster_, own_record(true), buckets_for(roster_.present()), n);
   send(roster_.at(with).address, SyncRequest{n, true, std::move(sums)}, now, with);
@@ -434,7 +438,7 @@
   if (exchanges_.size() >= kMaxExchanges) return;
   const auto buckets = ask.sums.empty() ? kMinBuckets : ask.sums.size();
   auto mine = digest_of(roster_, own_record(true), buckets, ask.nonce);
-  const auto wanted = differing(mine, ask.sums);
+  const auto wanted = differing_buckets(mine, ask.sums);
   // Alike: one piece says so, and that is all.
   if (wanted.none()) {
     if (ask.push) send(d.from.address, SyncChunk{ask.nonce, 0, true}, now);
@@ -454,9 +458,10 @@
   for (auto& x : exchanges_) {
     if (now < x.at) continue;
     std::vector<Record> records;
-    std::size_t room = kMaxDatagram - max_bytes(Datagram{{self_.name, {}, {}, 0, 0}, SyncChunk{}, {}, 0});
+    std::size_t room =
+        kMaxDatagram - max_encoded_size(Datagram{{self_.name, {}, {}, 0, 0}, SyncChunk{}, {}, 0});
     const auto take = [&](Record r) {
-      const auto bytes = max_bytes(r);
+      const auto bytes = max_encoded_size(r);
       if (bytes > room) return false;
       room -= bytes;
       records.push_back(std::move(r));
@@ -464,12 +469,12 @@
     };
     const auto wants = [&](std::uint64_t hash) { return x.wanted[bucket_of(hash, x.buckets)]; };
     if (x.index == 0 && wants(own_hash_)) take(own_record(true));
-    for (; x.next < roster_.places(); ++x.next) {
+    for (; x.next < roster_.slot_count(); ++x.next) {
       const auto& e = roster_.at(x.next);
       if (e.known && wants(e.hash) && !take(roster_.record_of(x.next, true))) break;
     }
-    const bool last = x.next >= roster_.places();
-    send(x.to, SyncChunk{x.nonce, x.index, last}, now, kNobody, 0, std::move(records));
+    const bool last = x.next >= roster_.slot_count();
+    send(x.to, SyncChunk{x.nonce, x.index, last}, now, kNoMember, 0, std::move(records));
     ++x.index;
     x.at = last ? kNever : now + options_.period / 8;
   }
--- a/src/membership/suspicion.cpp
+++ b/src/membership/suspicion.cpp
@@ -7,9 +7,9 @@
 
 SuspicionTimes suspicion_times(const Options& o, std::size_t fleet) {
   const double scale = std::max(1.0, std::log10(double(std::max<std::size_t>(fleet, 1))));
-  const auto least = Duration(std::int64_t(o.suspicion * scale * double(o.period.count())));
-  if (o.plain) return {least, least};
-  return {least, Duration(std::int64_t(double(least.count()) * std::max(o.max_suspicion, 1.0)))};
+  const auto least = Duration(std::int64_t(o.suspicion_multiplier * scale * double(o.period.count())));
+  if (o.baseline_mode) return {least, least};
+  return {least, Duration(std::int64_t(double(least.count()) * std::max(o.max_suspicion_multiplier, 1.0)))};
 }
 
 Duration suspicion_time(const SuspicionTimes& times, unsigned confirmed, unsigned wanted) {
@@ -19,13 +19,13 @@
   return std::max(times.least, times.most - Duration(std::int64_t(span * part)));
 }
 
-bool SuspicionConfirmations::has(std::uint64_t suspector) const {
-  return std::find(by_.begin(), by_.begin() + count_, suspector) != by_.begin() + count_;
+bool SuspicionConfirmations::has(std::uint64_t suspected_by) const {
+  return std::find(by_.begin(), by_.begin() + count_, suspected_by) != by_.begin() + count_;
 }
 
-bool SuspicionConfirmations::add(std::uint64_t suspector) {
-  if (!suspector || count_ == kMax || has(suspector)) return false;
-  by_[count_++] = suspector;
+bool SuspicionConfirmations::add(std::uint64_t suspected_by) {
+  if (!suspected_by || count_ == kMax || has(suspected_by)) return false;
+  by_[count_++] = suspected_by;
   return true;
 }
 
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -21,12 +21,12 @@
  public:
   static constexpr std::size_t kMax = 6;
   // True where it is a new one and there is room: worth being passed on.
-  bool add(std::uint64_t suspector);
+  bool add(std::uint64_t suspected_by);
   void clear() { count_ = 0; }
   // Beyond the first.
   unsigned confirmed() const { return count_ ? unsigned(count_ - 1) : 0; }
   std::uint64_t first() const { return count_ ? by_[0] : 0; }
-  bool has(std::uint64_t suspector) const;
+  bool has(std::uint64_t suspected_by) const;
 
  private:
   std::array<std::uint64_t, kMax> by_{};
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -34,12 +34,12 @@
 // What is held of a member. The order is that of precedence within one incarnation.
 enum class Status : std::uint8_t { alive, suspect, dead, left };
 // What a member says of itself.
-enum class Stage : std::uint8_t { starting, warming, serving, draining, leaving };
+enum class Stage : std::uint8_t { starting, warming_up, serving, draining, leaving };
 
 // A direction that does not carry, between whoever tells it and `peer`.
 struct LinkFault {
   std::uint64_t peer = 0;  // name_hash()
-  bool inward = false;     // true: what the peer sends does not arrive
+  bool inbound = false;    // true: what the peer sends does not arrive
   bool operator==(const LinkFault&) const = default;
 };
 
@@ -47,21 +47,21 @@
 // back.
 struct EndpointHealth {
   std::uint64_t endpoint = 0;  // name_hash() of the dependency's name and the address
-  bool out = false;
+  bool unavailable = false;
   bool operator==(const EndpointHealth&) const = default;
 };
 
-inline constexpr std::size_t kMaxName = 64, kMaxZone = 32;  // bytes
-inline constexpr std::uint8_t kMaxCourse = 4;
+inline constexpr std::size_t kMaxNameBytes = 64, kMaxZoneBytes = 32;  // bytes
+inline constexpr std::uint8_t kMaxRecoveryPhase = 4;
 inline constexpr std::size_t kMaxLinkFaults = 4, kMaxEndpointHealth = 8;
 
 // How a member comes back from a restart, where it says so (recovery/recovery_controller.h).
 struct RecoveryStatus {
-  std::uint8_t phase = 0;      // 0 where it does not, else its phase and one
-  std::uint8_t offered = 100;  // hundredths of what it would announce
+  std::uint8_t phase = 0;              // 0 where it does not, else its phase and one
+  std::uint8_t offered_percent = 100;  // hundredths of what it would announce
   std::uint16_t donor_port =
       0;  // TCP, on the address it advertises: tells others what it has learned; 0: nowhere
-  std::uint32_t full_ms = 0;  // that its last way to full service took; 0: it is on its way
+  std::uint32_t full_service_ms = 0;  // that its last way to full service took; 0: it is on its way
   bool operator==(const RecoveryStatus&) const = default;
 };
 
@@ -69,13 +69,14 @@
 struct MemberMetadata {
   std::uint32_t version = 0;
   Stage stage = Stage::starting;
-  std::uint8_t warmth = 0, pressed = 0;  // in 100
-  std::uint64_t generation = 0;          // the incarnation with which this life began
+  std::uint8_t warmup_percent = 0, pressure_percent = 0;  // in 100
+  std::uint64_t boot_incarnation = 0;                     // the incarnation with which this life began
   std::string zone;
-  Address duplicate;  // another live process under its name, where there is one
-  Address second;     // where it is reached by another path, should it have one
+  Address conflicting_address;  // another live process under its name, where there is one
+  Address secondary_address;               // where it is reached by another path, should it have one
   RecoveryStatus recovery_status;
-  std::uint16_t fill_port = 0;  // TCP, on the address it advertises: fills keys for others; 0: it does not
+  std::uint16_t cache_fill_port =
+      0;                        // TCP, on the address it advertises: fills keys for others; 0: it does not
   BootId superseded_boot_id{};  // an earlier life that this one has superseded
   std::vector<LinkFault> links;
   std::vector<EndpointHealth> endpoint_health;
@@ -89,8 +90,8 @@
   BootId boot_id{};
   Incarnation incarnation = 0;
   Status status = Status::alive;
-  std::uint64_t suspector = 0;  // of a suspect or dead one: name_hash() of who found it silent
-  std::uint32_t age_ms = 0;     // since it was first said, as far as those who passed it on can tell
+  std::uint64_t suspected_by = 0;  // of a suspect or dead one: name_hash() of who found it silent
+  std::uint32_t age_ms = 0;        // since it was first said, as far as those who passed it on can tell
   std::optional<MemberMetadata> metadata;
   bool operator==(const Record&) const = default;
 };
--- a/src/membership/views.cpp
+++ b/src/membership/views.cpp
@@ -11,7 +11,7 @@
 
 // What the chosen prober says of it; null where that is this one, or it says nothing.
 const EndpointHealth* word_of_prober(const View& v, std::uint64_t endpoint) {
-  const auto prober = prober_of(v, endpoint);
+  const auto prober = health_checker_of(v, endpoint);
   for (const auto& p : v.peers)
     if (p.hash == prober)
       for (const auto& f : p.metadata.endpoint_health)
@@ -21,67 +21,68 @@
 
 }  // namespace
 
-bool can_rely(const View& v) {
-  return v.majority && !v.uncertain && v.local_connectivity == LocalConnectivity::ok;
+bool is_reliable(const View& v) {
+  return v.has_quorum && !v.uncertain && v.local_connectivity == LocalConnectivity::ok;
 }
 
-bool serves(const View::Peer& p) {
-  return p.certain == Status::alive && p.present == Status::alive &&
-         (p.metadata.stage == Stage::serving || p.metadata.stage == Stage::warming);
+bool is_available(const View::Peer& p) {
+  return p.certain_status == Status::alive && p.status == Status::alive &&
+         (p.metadata.stage == Stage::serving || p.metadata.stage == Stage::warming_up);
 }
 
-std::uint64_t score(std::uint64_t member, std::uint64_t key) {
+std::uint64_t rendezvous_score(std::uint64_t member, std::uint64_t key) {
   return XXH3_64bits_withSeed(&member, sizeof member, key);
 }
 
-View view_of(const Member& member, TimePoint now) {
+View make_view(const Member& member, TimePoint now) {
   View v;
   v.own_hash = name_hash(member.self().name);
   const auto& roster = member.roster();
-  v.peers.reserve(roster.known());
-  for (Index i = 0; i < roster.places(); ++i)
+  v.peers.reserve(roster.size());
+  for (Index i = 0; i < roster.slot_count(); ++i)
     if (const auto& e = roster.at(i); e.known)
-      v.peers.push_back({e.name, e.hash, e.status, e.certain, e.metadata, e.address, e.boot_id});
-  v.agreed = member.agreed();
-  v.majority = member.majority();
+      v.peers.push_back({e.name, e.hash, e.status, e.certain_status, e.metadata, e.address, e.boot_id});
+  v.fleet_size = member.fleet_size();
+  v.has_quorum = member.has_quorum();
   v.uncertain = member.uncertain();
   v.local_connectivity = member.local_connectivity();
-  v.duplicate = member.duplicate().has_value();
+  v.name_conflict = member.conflicting_address().has_value();
   v.at = now;
   return v;
 }
 
-double missing_share(const View& v) {
+double missing_fraction(const View& v) {
   const auto there = 1 + std::count_if(v.peers.begin(), v.peers.end(),
-                                       [](const auto& p) { return p.present == Status::alive; });
-  return std::clamp(1 - double(there) / double(std::max<std::size_t>(v.agreed, 1)), 0.0, 1.0);
+                                       [](const auto& p) { return p.status == Status::alive; });
+  return std::clamp(1 - double(there) / double(std::max<std::size_t>(v.fleet_size, 1)), 0.0, 1.0);
 }
 
-Duration spread_backoff(Duration base, Duration most, double missing, double random) {
+Duration jittered_backoff(Duration base, Duration most, double missing, double random) {
   if (base.count() <= 0 || base >= most || missing <= 0) return base;
   const auto window = std::min(double((most - base).count()), double(base.count()) * kWiden * missing);
   return base + Duration(std::int64_t(window * std::clamp(random, 0.0, 1.0)));
 }
 
-std::uint64_t prober_of(const View& v, std::uint64_t endpoint) {
-  std::uint64_t best = v.own_hash, best_score = score(v.own_hash, endpoint);
+std::uint64_t health_checker_of(const View& v, std::uint64_t endpoint) {
+  std::uint64_t best = v.own_hash, best_score = rendezvous_score(v.own_hash, endpoint);
   for (const auto& p : v.peers) {
-    if (!serves(p)) continue;
-    if (const auto s = score(p.hash, endpoint); s > best_score || (s == best_score && p.hash > best))
+    if (!is_available(p)) continue;
+    if (const auto s = rendezvous_score(p.hash, endpoint);
+        s > best_score || (s == best_score && p.hash > best))
       best = p.hash, best_score = s;
   }
   return best;
 }
 
-bool probes_itself(const View& v, std::uint64_t endpoint) {
-  if (!can_rely(v)) return true;
+bool should_health_check(const View& v, std::uint64_t endpoint) {
+  if (!is_reliable(v)) return true;
   const auto* word = word_of_prober(v, endpoint);
-  return !word || !word->out;  // back for the prober: now each sees for itself
+  return !word || !word->unavailable;  // back for the prober: now each sees for itself
 }
 
-bool told_back(const View& v, std::uint64_t endpoint) {
-  const auto* word = can_rely(v) ? word_of_prober(v, endpoint) : nullptr;
-  return word && !word->out;
+bool reported_recovered(const View& v, std::uint64_t endpoint) {
+  const auto* word = is_reliable(v) ? word_of_prober(v, endpoint) : nullptr;
+  return word && !word->unavailable;
 }
 
 }  // namespace granitegap::membership
--- a/src/membership_udp/actor.cpp
+++ b/src/membership_udp/actor.cpp
@@ -36,20 +36,20 @@
       hooks_(std::move(hooks)),
       log_(log),
       member_(settings_.options,
-              Identity{std::move(name), settings_.zone, settings_.advertise, settings_.second_advertise,
-                       BootId(boot_id), first, settings_.fill_port},
+              Identity{std::move(name), settings_.zone, settings_.advertise, settings_.secondary_advertise,
+                       BootId(boot_id), first, settings_.cache_fill_port},
               seed, hooks_.clock()),
       socket_(executor),
-      second_(executor),
+      secondary_socket_(executor),
       timer_(executor) {
   open(socket_, settings_.bind);
-  if (settings_.second_bind) open(second_, settings_.second_bind);
+  if (settings_.secondary_bind) open(secondary_socket_, settings_.secondary_bind);
   log_.line("membership: cluster " + settings_.cluster + ", bound to " + text_of(settings_.bind) +
                 ", reached at " + text_of(settings_.advertise),
             {{"event", "membership"}, {"cluster", settings_.cluster}});
-  if (has_second())
-    log_.line("membership: a second path, bound to " + text_of(settings_.second_bind) + ", reached at " +
-                  text_of(settings_.second_advertise),
+  if (has_secondary())
+    log_.line("membership: a second path, bound to " + text_of(settings_.secondary_bind) + ", reached at " +
+                  text_of(settings_.secondary_advertise),
               {{"event", "membership_second"}});
 }
 
@@ -71,7 +71,7 @@
     co_await socket.async_wait(udp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
     if (error) co_return;
     take_waiting(socket);
-    pass_on();
+    dispatch_outputs();
     co_await asio::post(asio::use_awaitable);
   }
 }
@@ -85,14 +85,15 @@
     if (!socket_.is_open()) co_return;
     if (woken) continue;  // a datagram has moved the wake-up
     take_waiting(socket_);
-    if (has_second()) take_waiting(second_);
-    if (hooks_.own && !leaving_) {
-      auto own = hooks_.own();
-      member_.tell(own.stage, own.warmth, own.pressed, std::move(own.endpoint_health), now());
-      member_.tell(own.recovery_status, now());
+    if (has_secondary()) take_waiting(secondary_socket_);
+    if (hooks_.local_state && !leaving_) {
+      auto own = hooks_.local_state();
+      member_.update_metadata(own.stage, own.warmup_percent, own.pressure_percent,
+                              std::move(own.endpoint_health), now());
+      member_.update_metadata(own.recovery_status, now());
     }
     member_.wake(now());
-    pass_on();
+    dispatch_outputs();
   }
 }
 
@@ -107,12 +108,12 @@
 
 void Actor::take(std::size_t bytes, udp::socket& from) {
   const auto decoded = decode({buffer_.data(), bytes}, settings_.cluster);
-  if (const auto* bad = std::get_if<Bad>(&decoded)) return count(*bad);
-  if (const auto* query = std::get_if<Query>(&decoded)) return answer(*query, from);
+  if (const auto* bad = std::get_if<DecodeError>(&decoded)) return count(*bad);
+  if (const auto* query = std::get_if<StatusQuery>(&decoded)) return answer(*query, from);
   if (const auto* datagram = std::get_if<Datagram>(&decoded)) member_.receive(*datagram, bytes, now());
 }
 
-void Actor::count(Bad bad) {
+void Actor::count(DecodeError bad) {
   ++bad_[std::size_t(bad)];
   const auto at = now();
   if (bad_told_ != TimePoint{} && at - bad_told_ < kBadTold) return;
@@ -122,13 +123,14 @@
             {{"event", "membership_bad_datagram"}, {"why", text_of(bad)}});
 }
 
-void Actor::pass_on() {
-  for (const auto& s : member_.take_sends())
-    send(s.second ? second_ : socket_, endpoint_of(s.to), encode(s.datagram, settings_.cluster));
+void Actor::dispatch_outputs() {
+  for (const auto& s : member_.take_outgoing())
+    send(s.via_secondary ? secondary_socket_ : socket_, endpoint_of(s.to),
+         encode(s.datagram, settings_.cluster));
   const auto changes = member_.take_changes();
   for (const auto& change : changes) metadata(change);
   if (!changes.empty() || std::exchange(changed_, false))
-    if (hooks_.view) hooks_.view(std::make_shared<const View>(view_of(member_, now())));
+    if (hooks_.view) hooks_.view(std::make_shared<const View>(make_view(member_, now())));
   timer_.cancel();
 }
 
@@ -147,11 +149,12 @@
   note(fresh.cluster == settings_.cluster, "cluster");
   note(fresh.bind == settings_.bind, "bind");
   note(fresh.advertise == settings_.advertise, "advertise");
-  note(fresh.second_bind == settings_.second_bind && fresh.second_advertise == settings_.second_advertise,
+  note(fresh.secondary_bind == settings_.secondary_bind &&
+           fresh.secondary_advertise == settings_.secondary_advertise,
        "second");
   note(fresh.zone == settings_.zone, "zone");
   settings_.options = std::move(fresh.options);
-  member_.change(settings_.options);
+  member_.update_options(settings_.options);
   if (!kept.empty())
     log_.line("reload: changed but kept until a restart: membership " + kept,
               {{"event", "reload_kept"}, {"kept", kept}});
@@ -160,7 +163,7 @@
 void Actor::leave() {
   if (std::exchange(leaving_, true)) return;
   member_.leave(now());
-  pass_on();
+  dispatch_outputs();
 }
 
 void Actor::metadata(const Change& c) {
@@ -179,34 +182,35 @@
       return line(c.name + " is alive", "member_alive");
     case ChangeKind::died:
       return line(c.name + " is held dead", "member_dead");
-    case ChangeKind::departed:
+    case ChangeKind::left:
       return line(c.name + " has left", "member_left");
-    case ChangeKind::forgotten:
-    case ChangeKind::metadata:
+    case ChangeKind::removed:
+    case ChangeKind::metadata_updated:
       return;
     case ChangeKind::link_broken:
-      if (i != kNobody)
-        line(member_.roster().at(i).link_in ? "nothing arrives straight from " + c.name
-                                            : "nothing arrives straight at " + c.name,
+      if (i != kNoMember)
+        line(member_.roster().at(i).link_inbound ? "nothing arrives straight from " + c.name
+                                                 : "nothing arrives straight at " + c.name,
              "link_broken");
       return;
-    case ChangeKind::link_mended:
+    case ChangeKind::link_recovered:
       return line("straight link with " + c.name + " works again", "link_mended");
     case ChangeKind::local_connectivity:
       return line(std::string("this process is ") + (member_.local_connectivity() == LocalConnectivity::ok
                                                          ? "heard and hears again"
                                                          : text_of(member_.local_connectivity())),
                   "hearing");
-    case ChangeKind::certainty:
+    case ChangeKind::view_certainty:
       return line(member_.uncertain() ? "view uncertain: many silent at once, nobody is removed"
                                       : "view certain again",
                   "certainty");
-    case ChangeKind::majority:
-      return line(member_.majority() ? "most of the fleet is seen again" : "no majority of the fleet is seen",
-                  "majority");
-    case ChangeKind::duplicate:
-      return line(member_.duplicate()
-                      ? "another process lives under this name at " + text_of(*member_.duplicate())
+    case ChangeKind::quorum:
+      return line(
+          member_.has_quorum() ? "most of the fleet is seen again" : "no majority of the fleet is seen",
+          "majority");
+    case ChangeKind::name_conflict:
+      return line(member_.conflicting_address()
+                      ? "another process lives under this name at " + text_of(*member_.conflicting_address())
                       : "no other process under this name any more",
                   "twin");
   }
@@ -214,23 +218,23 @@
 
 // ---- The question of `granitegap members` ----
 
-bool Actor::may_ask(const asio::ip::address& who) const {
+bool Actor::is_authorized(const asio::ip::address& who) const {
   if (who.is_loopback()) return true;
   const auto& roster = member_.roster();
-  for (Index i = 0; i < roster.places(); ++i)
+  for (Index i = 0; i < roster.slot_count(); ++i)
     if (roster.at(i).known && endpoint_of(roster.at(i).address).address() == who) return true;
   return false;
 }
 
-Line Actor::line_of(Index i) const {
+MemberStatusLine Actor::line_of(Index i) const {
   const auto& roster = member_.roster();
-  Line l;
+  MemberStatusLine l;
   const MemberMetadata* t = nullptr;
-  if (i == kNobody) {
+  if (i == kNoMember) {
     l.name = member_.self().name;
     l.address = text_of(member_.self().address);
     l.incarnation = member_.incarnation();
-    l.status = l.certain = leaving_ ? Status::left : Status::alive;
+    l.status = l.certain_status = leaving_ ? Status::left : Status::alive;
     t = &member_.metadata();
   } else {
     const auto& e = roster.at(i);
@@ -238,40 +242,40 @@
     l.address = text_of(e.address);
     l.incarnation = e.incarnation;
     l.status = e.status;
-    l.certain = e.certain;
+    l.certain_status = e.certain_status;
     l.reachable = e.reachable && (e.status == Status::alive);
     l.since_ms = std::uint64_t(
-        std::max<std::int64_t>(std::chrono::duration_cast<milliseconds>(now() - e.since).count(), 0));
+        std::max<std::int64_t>(std::chrono::duration_cast<milliseconds>(now() - e.status_since).count(), 0));
     t = &e.metadata;
   }
   l.zone = t->zone;
   l.stage = t->stage;
-  l.warmth = t->warmth;
-  l.pressed = t->pressed;
+  l.warmup_percent = t->warmup_percent;
+  l.pressure_percent = t->pressure_percent;
   l.recovery_status = t->recovery_status;
-  if (t->duplicate) l.duplicate = text_of(t->duplicate);
+  if (t->conflicting_address) l.conflicting_address = text_of(t->conflicting_address);
   for (const auto& fault : t->links) {
     std::string peer;
     if (fault.peer == name_hash(member_.self().name)) peer = member_.self().name;
-    for (Index k = 0; k < roster.places() && peer.empty(); ++k)
+    for (Index k = 0; k < roster.slot_count() && peer.empty(); ++k)
       if (roster.at(k).known && roster.at(k).hash == fault.peer) peer = roster.at(k).name;
-    if (!peer.empty()) (fault.inward ? l.unheard_from : l.not_reaching).push_back(peer);
+    if (!peer.empty()) (fault.inbound ? l.unheard_from : l.not_reaching).push_back(peer);
   }
   return l;
 }
 
-void Actor::answer(const Query& query, udp::socket& by) {
-  if (!may_ask(from_.address())) return;
-  Reply r;
+void Actor::answer(const StatusQuery& query, udp::socket& by) {
+  if (!is_authorized(from_.address())) return;
+  StatusReply r;
   r.nonce = query.nonce;
   r.cluster = settings_.cluster;
   r.name = member_.self().name;
   r.incarnation = member_.incarnation();
   r.stage = member_.metadata().stage;
   r.local_connectivity = member_.local_connectivity();
-  r.majority = member_.majority();
+  r.has_quorum = member_.has_quorum();
   r.uncertain = member_.uncertain();
-  r.agreed = std::uint32_t(member_.agreed());
+  r.fleet_size = std::uint32_t(member_.fleet_size());
   if (query.recovery_report) {
     if (hooks_.recovery_report) r.recovery_report = hooks_.recovery_report();
     r.last = true;
@@ -282,17 +286,17 @@
   // By place, so that a list which changes between two questions names nobody twice.
   const auto& roster = member_.roster();
   auto next = query.from;
-  for (; next <= roster.places(); ++next) {
+  for (; next <= roster.slot_count(); ++next) {
     if (next > 0 && !roster.at(next - 1).known) continue;
-    r.lines.push_back(line_of(next == 0 ? kNobody : next - 1));
+    r.members.push_back(line_of(next == 0 ? kNoMember : next - 1));
     r.next = next + 1;
     if (encode(r).size() > kMaxDatagram) {
-      r.lines.pop_back();
+      r.members.pop_back();
       break;
     }
   }
   r.next = next;
-  r.last = next > roster.places();
+  r.last = next > roster.slot_count();
   send(by, from_, encode(r));
 }
 
--- a/src/membership_udp/actor.h
+++ b/src/membership_udp/actor.h
@@ -28,14 +28,14 @@
 class Actor {
  public:
   // What the program says of itself, asked for once a period.
-  struct Own {
+  struct LocalState {
     membership::Stage stage{};
-    std::uint8_t warmth = 0, pressed = 0;
+    std::uint8_t warmup_percent = 0, pressure_percent = 0;
     std::vector<membership::EndpointHealth> endpoint_health;
     membership::RecoveryStatus recovery_status;
   };
   struct Hooks {
-    std::function<Own()> own;
+    std::function<LocalState()> local_state;
     std::function<void(std::shared_ptr<const membership::View>)> view;  // a fresh one, at most once a wake-up
     std::function<TimePoint()> clock;
     std::function<std::optional<RecoveryReport>()>
@@ -46,8 +46,8 @@
         std::uint64_t boot_id, membership::Incarnation first, std::uint64_t seed, Hooks hooks, Logger& log);
   // One for each of its sockets.
   boost::asio::awaitable<void> receive() { return receive(socket_); }
-  boost::asio::awaitable<void> receive_second() { return receive(second_); }
-  bool has_second() const { return second_.is_open(); }
+  boost::asio::awaitable<void> receive_secondary() { return receive(secondary_socket_); }
+  bool has_secondary() const { return secondary_socket_.is_open(); }
   boost::asio::awaitable<void> run();
   // Fresh seeds and times; what waits for a restart is named in a line.
   void change(Settings settings);
@@ -57,34 +57,36 @@
   boost::asio::ip::udp::endpoint local() const { return socket_.local_endpoint(); }
   const membership::Member& member() const { return member_; }
   // Whether whoever is at this address may ask about the fleet: loopback and members.
-  bool may_ask(const boost::asio::ip::address& who) const;
+  bool is_authorized(const boost::asio::ip::address& who) const;
   // Since the last datagram of a member that was believed.
-  Duration silence() const { return now() - std::min(member_.last_heard(), now()); }
-  void also_call(std::vector<membership::Address> addresses) { member_.also_call(std::move(addresses)); }
+  Duration time_since_last_received() const { return now() - std::min(member_.last_received_at(), now()); }
+  void set_join_addresses(std::vector<membership::Address> addresses) {
+    member_.set_join_addresses(std::move(addresses));
+  }
 
  private:
   boost::asio::awaitable<void> receive(boost::asio::ip::udp::socket& socket);
   void open(boost::asio::ip::udp::socket& socket, const membership::Address& bind);
   void take_waiting(boost::asio::ip::udp::socket& socket);
   void take(std::size_t bytes, boost::asio::ip::udp::socket& from);
-  void answer(const Query& query, boost::asio::ip::udp::socket& from);
-  void pass_on();
+  void answer(const StatusQuery& query, boost::asio::ip::udp::socket& from);
+  void dispatch_outputs();
   void send(boost::asio::ip::udp::socket& by, const boost::asio::ip::udp::endpoint& to,
             const std::string& bytes);
   void metadata(const membership::Change& change);
-  void count(Bad bad);
-  Line line_of(membership::Index i) const;
+  void count(DecodeError bad);
+  MemberStatusLine line_of(membership::Index i) const;
   TimePoint now() const { return hooks_.clock(); }
 
   Settings settings_;
   Hooks hooks_;
   Logger& log_;
   membership::Member member_;
-  boost::asio::ip::udp::socket socket_, second_;
+  boost::asio::ip::udp::socket socket_, secondary_socket_;
   boost::asio::steady_timer timer_;
   boost::asio::ip::udp::endpoint from_;
   std::array<char, 2048> buffer_{};
-  std::array<std::uint64_t, kKindsOfBad> bad_{};
+  std::array<std::uint64_t, kDecodeErrorCount> bad_{};
   std::uint64_t unsent_ = 0;
   TimePoint bad_told_{};
   bool leaving_ = false, changed_ = true;
--- a/src/membership_udp/codec.cpp
+++ b/src/membership_udp/codec.cpp
@@ -31,9 +31,9 @@
 }
 void put(const RecoveryStatus& c, wire::RecoveryStatus* to) {
   to->set_phase(c.phase);
-  to->set_offered(c.offered);
+  to->set_offered_percent(c.offered_percent);
   to->set_donor_port(c.donor_port);
-  to->set_full_ms(c.full_ms);
+  to->set_full_service_ms(c.full_service_ms);
 }
 
 void put(const RecoveryReport& w, wire::RecoveryReport* to) {
@@ -57,24 +57,24 @@
 void put(const MemberMetadata& t, wire::MemberMetadata* to) {
   to->set_version(t.version);
   to->set_stage(std::uint32_t(t.stage));
-  to->set_warmth(t.warmth);
-  to->set_pressed(t.pressed);
-  to->set_generation(t.generation);
+  to->set_warmup_percent(t.warmup_percent);
+  to->set_pressure_percent(t.pressure_percent);
+  to->set_boot_incarnation(t.boot_incarnation);
   to->set_zone(t.zone);
-  if (t.duplicate) put(t.duplicate, to->mutable_duplicate());
-  if (t.second) put(t.second, to->mutable_second());
+  if (t.conflicting_address) put(t.conflicting_address, to->mutable_conflicting_address());
+  if (t.secondary_address) put(t.secondary_address, to->mutable_secondary_address());
   if (t.recovery_status != RecoveryStatus{}) put(t.recovery_status, to->mutable_recovery_status());
-  to->set_fill_port(t.fill_port);
+  to->set_cache_fill_port(t.cache_fill_port);
   to->set_superseded_boot_id(std::uint64_t(t.superseded_boot_id));
   for (const auto& l : t.links) {
     auto* link = to->add_links();
     link->set_peer(l.peer);
-    link->set_inward(l.inward);
+    link->set_inbound(l.inbound);
   }
   for (const auto& f : t.endpoint_health) {
     auto* finding = to->add_endpoint_health();
     finding->set_endpoint(f.endpoint);
-    finding->set_out(f.out);
+    finding->set_unavailable(f.unavailable);
   }
 }
 void put(const Record& r, wire::Record* to) {
@@ -83,7 +83,7 @@
   to->set_boot_id(std::uint64_t(r.boot_id));
   to->set_incarnation(r.incarnation);
   to->set_status(std::uint32_t(r.status));
-  to->set_suspector(r.suspector);
+  to->set_suspected_by(r.suspected_by);
   to->set_age_ms(r.age_ms);
   if (r.metadata) put(*r.metadata, to->mutable_metadata());
 }
@@ -92,13 +92,13 @@
   void operator()(const Ping& b) const {
     to.mutable_ping()->set_nonce(b.nonce);
     to.mutable_ping()->set_target(b.target);
-    to.mutable_ping()->set_asker(b.asker);
-    to.mutable_ping()->set_second(b.second);
+    to.mutable_ping()->set_origin(b.origin);
+    to.mutable_ping()->set_secondary_path(b.secondary_path);
   }
   void operator()(const Ack& b) const {
     to.mutable_ack()->set_nonce(b.nonce);
     to.mutable_ack()->set_heard_ms(b.heard_ms);
-    to.mutable_ack()->set_second(b.second);
+    to.mutable_ack()->set_secondary_path(b.secondary_path);
   }
   void operator()(const PingRequest& b) const {
     to.mutable_ping_request()->set_nonce(b.nonce);
@@ -130,7 +130,7 @@
   bool good = true;
   void need(bool that) { good = good && that; }
   std::string name_of(const std::string& s, bool may_be_empty = false) {
-    need(s.size() <= kMaxName && (may_be_empty || !s.empty()));
+    need(s.size() <= kMaxNameBytes && (may_be_empty || !s.empty()));
     for (const char c : s) need(c > ' ' && c < 127);
     return s;
   }
@@ -144,35 +144,37 @@
     return to;
   }
   RecoveryStatus recovery_status_of(const wire::RecoveryStatus& c) {
-    need(c.phase() <= kMaxCourse && c.offered() <= 100 && c.donor_port() <= 65535);
-    return {std::uint8_t(c.phase()), std::uint8_t(c.offered()), std::uint16_t(c.donor_port()), c.full_ms()};
+    need(c.phase() <= kMaxRecoveryPhase && c.offered_percent() <= 100 && c.donor_port() <= 65535);
+    return {std::uint8_t(c.phase()), std::uint8_t(c.offered_percent()), std::uint16_t(c.donor_port()),
+            c.full_service_ms()};
   }
   MemberMetadata told_of(const wire::MemberMetadata& t) {
-    need(t.stage() <= std::uint32_t(Stage::leaving) && t.warmth() <= 100 && t.pressed() <= 100);
-    need(t.fill_port() <= 65535);
-    need(t.zone().size() <= kMaxZone && t.links_size() <= int(kMaxLinkFaults) &&
+    need(t.stage() <= std::uint32_t(Stage::leaving) && t.warmup_percent() <= 100 &&
+         t.pressure_percent() <= 100);
+    need(t.cache_fill_port() <= 65535);
+    need(t.zone().size() <= kMaxZoneBytes && t.links_size() <= int(kMaxLinkFaults) &&
          t.endpoint_health_size() <= int(kMaxEndpointHealth));
     for (const char c : t.zone()) need(c > ' ' && c < 127);
     MemberMetadata to;
     to.version = t.version();
     to.stage = Stage(t.stage());
-    to.warmth = std::uint8_t(t.warmth());
-    to.pressed = std::uint8_t(t.pressed());
-    to.generation = t.generation();
+    to.warmup_percent = std::uint8_t(t.warmup_percent());
+    to.pressure_percent = std::uint8_t(t.pressure_percent());
+    to.boot_incarnation = t.boot_incarnation();
     to.zone = t.zone();
-    if (t.has_duplicate()) to.duplicate = address_of(t.duplicate());
-    if (t.has_second()) to.second = address_of(t.second());
+    if (t.has_conflicting_address()) to.conflicting_address = address_of(t.conflicting_address());
+    if (t.has_secondary_address()) to.secondary_address = address_of(t.secondary_address());
     if (t.has_recovery_status()) to.recovery_status = recovery_status_of(t.recovery_status());
-    to.fill_port = std::uint16_t(t.fill_port());
+    to.cache_fill_port = std::uint16_t(t.cache_fill_port());
     to.superseded_boot_id = BootId(t.superseded_boot_id());
-    for (const auto& l : t.links()) to.links.push_back({l.peer(), l.inward()});
-    for (const auto& f : t.endpoint_health()) to.endpoint_health.push_back({f.endpoint(), f.out()});
+    for (const auto& l : t.links()) to.links.push_back({l.peer(), l.inbound()});
+    for (const auto& f : t.endpoint_health()) to.endpoint_health.push_back({f.endpoint(), f.unavailable()});
     return to;
   }
   Record record_of(const wire::Record& r) {
     need(r.status() <= std::uint32_t(Status::left) && r.has_address());
     Record to{name_of(r.name()),  address_of(r.address()), BootId(r.boot_id()), r.incarnation(),
-              Status(r.status()), r.suspector(),           r.age_ms(),          std::nullopt};
+              Status(r.status()), r.suspected_by(),        r.age_ms(),          std::nullopt};
     // Guards against a number from which no refutation could rise.
     need(r.incarnation() < (std::uint64_t(1) << 62));
     if (r.has_metadata()) to.metadata = told_of(r.metadata());
@@ -188,10 +190,10 @@
   Body body_of(const wire::Packet& p) {
     switch (p.body_case()) {
       case wire::Packet::kPing:
-        return Ping{p.ping().nonce(), name_of(p.ping().target(), true), name_of(p.ping().asker(), true),
-                    p.ping().second()};
+        return Ping{p.ping().nonce(), name_of(p.ping().target(), true), name_of(p.ping().origin(), true),
+                    p.ping().secondary_path()};
       case wire::Packet::kAck:
-        return Ack{p.ack().nonce(), p.ack().heard_ms(), p.ack().second()};
+        return Ack{p.ack().nonce(), p.ack().heard_ms(), p.ack().secondary_path()};
       case wire::Packet::kPingRequest:
         return PingRequest{p.ping_request().nonce(), name_of(p.ping_request().target()),
                            address_of(p.ping_request().address())};
@@ -232,8 +234,8 @@
     for (const auto& s : w.sources()) to.sources.push_back({s.name(), s.age_ms()});
     return to;
   }
-  Reply reply_of(const wire::Reply& r) {
-    Reply to;
+  StatusReply reply_of(const wire::StatusReply& r) {
+    StatusReply to;
     to.nonce = r.nonce();
     to.last = r.last();
     to.next = r.next();
@@ -241,33 +243,35 @@
     to.name = r.name();
     to.incarnation = r.incarnation();
     need(r.stage() <= std::uint32_t(Stage::leaving) &&
-         r.local_connectivity() <= std::uint32_t(LocalConnectivity::deaf));
+         r.local_connectivity() <= std::uint32_t(LocalConnectivity::inbound_broken));
     to.stage = Stage(r.stage());
     to.local_connectivity = LocalConnectivity(r.local_connectivity());
-    to.majority = r.majority();
+    to.has_quorum = r.has_quorum();
     to.uncertain = r.uncertain();
-    to.agreed = r.agreed();
-    for (const auto& l : r.lines()) {
+    to.fleet_size = r.fleet_size();
+    for (const auto& l : r.members()) {
       need(l.stage() <= std::uint32_t(Stage::leaving) && l.status() <= std::uint32_t(Status::left) &&
-           l.certain() <= std::uint32_t(Status::left) && l.warmth() <= 100 && l.pressed() <= 100);
-      Line line{l.name(),
-                l.address(),
-                l.zone(),
-                l.duplicate(),
-                l.incarnation(),
-                Stage(l.stage()),
-                Status(l.status()),
-                Status(l.certain()),
-                l.reachable(),
-                l.since_ms(),
-                std::uint8_t(l.warmth()),
-                std::uint8_t(l.pressed()),
-                l.has_recovery_status() ? recovery_status_of(l.recovery_status()) : RecoveryStatus{},
-                {},
-                {}};
+           l.certain_status() <= std::uint32_t(Status::left) && l.warmup_percent() <= 100 &&
+           l.pressure_percent() <= 100);
+      MemberStatusLine line{
+          l.name(),
+          l.address(),
+          l.zone(),
+          l.conflicting_address(),
+          l.incarnation(),
+          Stage(l.stage()),
+          Status(l.status()),
+          Status(l.certain_status()),
+          l.reachable(),
+          l.since_ms(),
+          std::uint8_t(l.warmup_percent()),
+          std::uint8_t(l.pressure_percent()),
+          l.has_recovery_status() ? recovery_status_of(l.recovery_status()) : RecoveryStatus{},
+          {},
+          {}};
       line.unheard_from.assign(l.unheard_from().begin(), l.unheard_from().end());
       line.not_reaching.assign(l.not_reaching().begin(), l.not_reaching().end());
-      to.lines.push_back(std::move(line));
+      to.members.push_back(std::move(line));
     }
     if (r.has_recovery_report()) to.recovery_report = way_back_of(r.recovery_report());
     return to;
@@ -293,21 +297,21 @@
   from->set_sent_ms(d.from.sent_ms);
   std::visit(PutBody{p}, d.body);
   for (const auto& r : d.updates) put(r, p.add_updates());
-  if (d.filler) p.set_filler(std::string(d.filler, '\0'));
+  if (d.padding) p.set_padding(std::string(d.padding, '\0'));
   return seal(p);
 }
 
-std::string encode(const Query& q) {
+std::string encode(const StatusQuery& q) {
   wire::Packet p;
-  p.mutable_query()->set_nonce(q.nonce);
-  p.mutable_query()->set_from(q.from);
-  p.mutable_query()->set_recovery_report(q.recovery_report);
+  p.mutable_status_query()->set_nonce(q.nonce);
+  p.mutable_status_query()->set_from(q.from);
+  p.mutable_status_query()->set_recovery_report(q.recovery_report);
   return seal(p);
 }
 
-std::string encode(const Reply& r) {
+std::string encode(const StatusReply& r) {
   wire::Packet p;
-  auto& to = *p.mutable_reply();
+  auto& to = *p.mutable_status_reply();
   to.set_nonce(r.nonce);
   to.set_last(r.last);
   to.set_next(r.next);
@@ -316,11 +320,11 @@
   to.set_incarnation(r.incarnation);
   to.set_stage(std::uint32_t(r.stage));
   to.set_local_connectivity(std::uint32_t(r.local_connectivity));
-  to.set_majority(r.majority);
+  to.set_has_quorum(r.has_quorum);
   to.set_uncertain(r.uncertain);
-  to.set_agreed(r.agreed);
-  for (const auto& l : r.lines) {
-    auto& line = *to.add_lines();
+  to.set_fleet_size(r.fleet_size);
+  for (const auto& l : r.members) {
+    auto& line = *to.add_members();
     line.set_name(l.name);
     line.set_address(l.address);
     line.set_incarnation(l.incarnation);
@@ -329,12 +333,12 @@
     line.set_status(std::uint32_t(l.status));
     line.set_reachable(l.reachable);
     line.set_since_ms(l.since_ms);
-    line.set_warmth(l.warmth);
-    line.set_pressed(l.pressed);
-    line.set_duplicate(l.duplicate);
+    line.set_warmup_percent(l.warmup_percent);
+    line.set_pressure_percent(l.pressure_percent);
+    line.set_conflicting_address(l.conflicting_address);
     for (const auto& n : l.unheard_from) line.add_unheard_from(n);
     for (const auto& n : l.not_reaching) line.add_not_reaching(n);
-    line.set_certain(std::uint32_t(l.certain));
+    line.set_certain_status(std::uint32_t(l.certain_status));
     if (l.recovery_status != RecoveryStatus{}) put(l.recovery_status, line.mutable_recovery_status());
   }
   if (r.recovery_report) put(*r.recovery_report, to.mutable_recovery_report());
@@ -342,21 +346,22 @@
 }
 
 Decoded decode(std::string_view bytes, std::string_view cluster) {
-  if (bytes.size() > kMaxDatagram) return Bad::oversized;
-  if (bytes.size() < kHead || bytes.substr(0, kMagic.size()) != kMagic) return Bad::foreign;
+  if (bytes.size() > kMaxDatagram) return DecodeError::oversized;
+  if (bytes.size() < kHead || bytes.substr(0, kMagic.size()) != kMagic) return DecodeError::foreign;
   std::uint64_t sum = 0;
   for (std::size_t i = 0; i < 8; ++i) sum |= std::uint64_t(std::uint8_t(bytes[kMagic.size() + i])) << (8 * i);
-  if (sum != XXH3_64bits(bytes.data() + kHead, bytes.size() - kHead)) return Bad::checksum;
+  if (sum != XXH3_64bits(bytes.data() + kHead, bytes.size() - kHead)) return DecodeError::checksum;
   wire::Packet p;
-  if (!p.ParseFromArray(bytes.data() + kHead, int(bytes.size() - kHead))) return Bad::malformed;
-  if (p.has_query()) return Query{p.query().nonce(), p.query().from(), p.query().recovery_report()};
+  if (!p.ParseFromArray(bytes.data() + kHead, int(bytes.size() - kHead))) return DecodeError::malformed;
+  if (p.has_status_query())
+    return StatusQuery{p.status_query().nonce(), p.status_query().from(), p.status_query().recovery_report()};
   Reader read;
-  if (p.has_reply()) {
-    auto reply = read.reply_of(p.reply());
-    if (!read.good) return Bad::malformed;
+  if (p.has_status_reply()) {
+    auto reply = read.reply_of(p.status_reply());
+    if (!read.good) return DecodeError::malformed;
     return reply;
   }
-  if (p.cluster() != cluster) return Bad::other_cluster;
+  if (p.cluster() != cluster) return DecodeError::other_cluster;
   read.need(p.has_from() && p.from().has_address() && p.updates_size() <= kMaxUpdates &&
             p.from().incarnation() < (std::uint64_t(1) << 62));
   Datagram d;
@@ -367,8 +372,8 @@
     if (!read.good) break;
     d.updates.push_back(read.record_of(r));
   }
-  d.filler = std::uint16_t(p.filler().size());
-  if (!read.good) return Bad::malformed;
+  d.padding = std::uint16_t(p.padding().size());
+  if (!read.good) return DecodeError::malformed;
   return d;
 }
 
@@ -392,17 +397,17 @@
   return a;
 }
 
-const char* text_of(Bad bad) {
+const char* text_of(DecodeError bad) {
   switch (bad) {
-    case Bad::oversized:
+    case DecodeError::oversized:
       return "oversized";
-    case Bad::foreign:
+    case DecodeError::foreign:
       return "foreign";
-    case Bad::checksum:
+    case DecodeError::checksum:
       return "checksum";
-    case Bad::other_cluster:
+    case DecodeError::other_cluster:
       return "other_cluster";
-    case Bad::malformed:
+    case DecodeError::malformed:
       return "malformed";
   }
   return "?";
--- a/src/membership_udp/codec.h
+++ b/src/membership_udp/codec.h
@@ -15,12 +15,12 @@
 namespace granitegap::membership_udp {
 
 // Why bytes are not a datagram of this cluster. Each is counted; none changes anything.
-enum class Bad : std::uint8_t { oversized, foreign, checksum, other_cluster, malformed };
-inline constexpr std::size_t kKindsOfBad = 5;
-const char* text_of(Bad bad);
+enum class DecodeError : std::uint8_t { oversized, foreign, checksum, other_cluster, malformed };
+inline constexpr std::size_t kDecodeErrorCount = 5;
+const char* text_of(DecodeError bad);
 
 // What `granitegap members` asks and gets.
-struct Query {
+struct StatusQuery {
   std::uint32_t nonce = 0, from = 0;
   bool recovery_report = false;  // only how it comes back, as `granitegap recovery` asks
 };
@@ -38,34 +38,34 @@
   };
   std::vector<Source> sources;
 };
-struct Line {
-  std::string name, address, zone, duplicate;
+struct MemberStatusLine {
+  std::string name, address, zone, conflicting_address;
   membership::Incarnation incarnation = 0;
   membership::Stage stage{};
-  membership::Status status{}, certain{};
+  membership::Status status{}, certain_status{};
   bool reachable = true;
   std::uint64_t since_ms = 0;
-  std::uint8_t warmth = 0, pressed = 0;
+  std::uint8_t warmup_percent = 0, pressure_percent = 0;
   membership::RecoveryStatus recovery_status;
   std::vector<std::string> unheard_from, not_reaching;
 };
-struct Reply {
+struct StatusReply {
   std::uint32_t nonce = 0, next = 0;
   bool last = false;
   std::string cluster, name;
   membership::Incarnation incarnation = 0;
   membership::Stage stage{};
   membership::LocalConnectivity local_connectivity{};
-  bool majority = false, uncertain = false;
-  std::uint32_t agreed = 0;
-  std::vector<Line> lines;
+  bool has_quorum = false, uncertain = false;
+  std::uint32_t fleet_size = 0;
+  std::vector<MemberStatusLine> members;
   std::optional<RecoveryReport> recovery_report;
 };
 
 std::string encode(const membership::Datagram& datagram, std::string_view cluster);
-std::string encode(const Query& query);
-std::string encode(const Reply& reply);
-using Decoded = std::variant<Bad, membership::Datagram, Query, Reply>;
+std::string encode(const StatusQuery& query);
+std::string encode(const StatusReply& reply);
+using Decoded = std::variant<DecodeError, membership::Datagram, StatusQuery, StatusReply>;
 // A datagram only of this cluster; queries and replies belong to none.
 Decoded decode(std::string_view bytes, std::string_view cluster);
 
--- a/src/membership_udp/status_client.cpp
+++ b/src/membership_udp/status_client.cpp
@@ -29,7 +29,8 @@
 
 }  // namespace
 
-std::optional<Reply> ask(const Address& address, std::chrono::milliseconds within, bool recovery_report) {
+std::optional<StatusReply> query_status(const Address& address, std::chrono::milliseconds within,
+                                        bool recovery_report) {
   namespace asio = boost::asio;
   using asio::ip::udp;
   using Clock = std::chrono::steady_clock;
@@ -38,14 +39,14 @@
   const auto to = endpoint_of(address);
   udp::socket socket(io, to.protocol());
   std::mt19937 random(std::random_device{}());
-  Reply whole;
+  StatusReply whole;
   std::uint32_t from = 0;
   std::array<char, 2048> buffer{};
   while (Clock::now() < end) {
-    const Query query{std::uint32_t(random()) | 1, from, recovery_report};
+    const StatusQuery query{std::uint32_t(random()) | 1, from, recovery_report};
     boost::system::error_code error;
     socket.send_to(asio::buffer(encode(query)), to, 0, error);
-    std::optional<Reply> got;
+    std::optional<StatusReply> got;
     // Asked again where an answer is lost; a port that nobody listens on is told by the system, and may be
     // bound a moment later.
     const auto again = std::min(end, Clock::now() + std::chrono::milliseconds(250));
@@ -61,14 +62,14 @@
         io.run();
       }
       auto decoded = decode({buffer.data(), bytes}, "");
-      if (auto* reply = std::get_if<Reply>(&decoded); reply && reply->nonce == query.nonce)
+      if (auto* reply = std::get_if<StatusReply>(&decoded); reply && reply->nonce == query.nonce)
         got = std::move(*reply);
     }
     if (!got) continue;
-    auto lines = std::move(whole.lines);
+    auto lines = std::move(whole.members);
     whole = std::move(*got);
-    lines.insert(lines.end(), whole.lines.begin(), whole.lines.end());
-    whole.lines = std::move(lines);
+    lines.insert(lines.end(), whole.members.begin(), whole.members.end());
+    whole.members = std::move(lines);
     if (whole.last) return whole;
     if (whole.next <= from) return std::nullopt;
     from = whole.next;
@@ -76,46 +77,46 @@
   return std::nullopt;
 }
 
-std::string to_json(const Reply& r) {
+std::string to_json(const StatusReply& r) {
   nlohmann::ordered_json out;
   out["cluster"] = r.cluster;
   out["self"] = {{"name", r.name},
                  {"incarnation", r.incarnation},
                  {"state", text_of(r.stage)},
                  {"heard", text_of(r.local_connectivity)}};
-  out["majority"] = r.majority;
+  out["majority"] = r.has_quorum;
   out["uncertain"] = r.uncertain;
-  out["agreed"] = r.agreed;
+  out["agreed"] = r.fleet_size;
   out["members"] = nlohmann::ordered_json::array();
-  for (const auto& l : r.lines) {
+  for (const auto& l : r.members) {
     nlohmann::ordered_json m{{"name", l.name},
                              {"address", l.address},
                              {"incarnation", l.incarnation},
                              {"zone", l.zone},
                              {"state", text_of(l.stage)},
                              {"status", text_of(l.status)},
-                             {"certain", text_of(l.certain)},
+                             {"certain", text_of(l.certain_status)},
                              {"reachable", l.reachable},
                              {"since_ms", l.since_ms},
-                             {"warmth", l.warmth},
-                             {"pressed", l.pressed},
-                             {"offered", l.recovery_status.offered},
-                             {"full_service_ms", l.recovery_status.full_ms},
+                             {"warmth", l.warmup_percent},
+                             {"pressed", l.pressure_percent},
+                             {"offered", l.recovery_status.offered_percent},
+                             {"full_service_ms", l.recovery_status.full_service_ms},
                              {"unheard_from", l.unheard_from},
                              {"not_reaching", l.not_reaching}};
-    if (!l.duplicate.empty()) m["twin"] = l.duplicate;
+    if (!l.conflicting_address.empty()) m["twin"] = l.conflicting_address;
     out["members"].push_back(std::move(m));
   }
   return out.dump();
 }
 
-std::string to_text(const Reply& r) {
+std::string to_text(const StatusReply& r) {
   std::ostringstream out;
   out << "cluster " << r.cluster << ", asked " << r.name << " (" << text_of(r.stage) << ", heard "
-      << text_of(r.local_connectivity) << "): " << r.agreed << " in the agreed fleet, "
-      << (r.majority ? "majority seen" : "NO MAJORITY") << (r.uncertain ? ", UNCERTAIN" : "") << "\n";
+      << text_of(r.local_connectivity) << "): " << r.fleet_size << " in the agreed fleet, "
+      << (r.has_quorum ? "majority seen" : "NO MAJORITY") << (r.uncertain ? ", UNCERTAIN" : "") << "\n";
   std::size_t name = 4, address = 7, zone = 4;
-  for (const auto& l : r.lines) {
+  for (const auto& l : r.members) {
     name = std::max(name, l.name.size());
     address = std::max(address, l.address.size());
     zone = std::max(zone, l.zone.size());
@@ -127,7 +128,7 @@
   column("address", address);
   column("zone", zone);
   out << "state     status   reachable  since      notes\n";
-  for (const auto& l : r.lines) {
+  for (const auto& l : r.members) {
     column(l.name, name);
     column(l.address, address);
     column(l.zone, zone);
@@ -135,20 +136,20 @@
     column(text_of(l.status), 7);
     column(l.reachable ? "yes" : "no", 9);
     column(std::to_string(l.since_ms / 1000) + " s", 9);
-    if (l.certain != l.status) out << "was " << text_of(l.certain) << " when last certain; ";
-    if (l.recovery_status.phase > 0 && l.recovery_status.full_ms == 0)
-      out << "on its way back, offers " << int(l.recovery_status.offered) << " %; ";
-    if (l.recovery_status.full_ms > 0)
-      out << "full service after " << seconds(l.recovery_status.full_ms) << "; ";
+    if (l.certain_status != l.status) out << "was " << text_of(l.certain_status) << " when last certain; ";
+    if (l.recovery_status.phase > 0 && l.recovery_status.full_service_ms == 0)
+      out << "on its way back, offers " << int(l.recovery_status.offered_percent) << " %; ";
+    if (l.recovery_status.full_service_ms > 0)
+      out << "full service after " << seconds(l.recovery_status.full_service_ms) << "; ";
     for (const auto& n : l.unheard_from) out << "does not hear " << n << "; ";
     for (const auto& n : l.not_reaching) out << "does not reach " << n << "; ";
-    if (!l.duplicate.empty()) out << "another process under this name at " << l.duplicate;
+    if (!l.conflicting_address.empty()) out << "another process under this name at " << l.conflicting_address;
     out << "\n";
   }
   return out.str();
 }
 
-std::string recovery_json(const Reply& r) {
+std::string recovery_json(const StatusReply& r) {
   nlohmann::ordered_json out{{"name", r.name}};
   if (!r.recovery_report) {
     out["guided"] = false;
@@ -176,7 +177,7 @@
   return out.dump();
 }
 
-std::string recovery_text(const Reply& r) {
+std::string recovery_text(const StatusReply& r) {
   std::ostringstream out;
   if (!r.recovery_report) return r.name + ": its way back is not guided\n";
   const auto& w = *r.recovery_report;
--- a/src/membership_udp/status_client.h
+++ b/src/membership_udp/status_client.h
@@ -10,13 +10,13 @@
 namespace granitegap::membership_udp {
 
 // All lines in one Reply; absent where no whole answer came in time.
-std::optional<Reply> ask(const membership::Address& address, std::chrono::milliseconds within,
-                         bool recovery_report = false);
+std::optional<StatusReply> query_status(const membership::Address& address, std::chrono::milliseconds within,
+                                        bool recovery_report = false);
 // One object, or a table for a reader.
-std::string to_json(const Reply& reply);
-std::string to_text(const Reply& reply);
+std::string to_json(const StatusReply& reply);
+std::string to_text(const StatusReply& reply);
 // The same of how it comes back.
-std::string recovery_json(const Reply& reply);
-std::string recovery_text(const Reply& reply);
+std::string recovery_json(const StatusReply& reply);
+std::string recovery_text(const StatusReply& reply);
 
 }  // namespace granitegap::membership_udp
--- a/src/operators/operator_file.cpp
+++ b/src/operators/operator_file.cpp
@@ -213,12 +213,12 @@
       fail(*advertise, path + ".advertise", "expected the same family of addresses as bind");
     if (const auto* second = v.find("second")) {
       const auto here = path + ".second";
-      m.second_bind = read((*second)["bind"], here + ".bind");
+      m.secondary_bind = read((*second)["bind"], here + ".bind");
       const auto* told = second->find("advertise");
-      m.second_advertise = told ? read(*told, here + ".advertise") : m.second_bind;
-      if (m.second_bind && m.second_bind == m.bind)
+      m.secondary_advertise = told ? read(*told, here + ".advertise") : m.secondary_bind;
+      if (m.secondary_bind && m.secondary_bind == m.bind)
         fail((*second)["bind"], here + ".bind", "expected another address than membership.bind");
-      if (m.second_bind && m.second_advertise && m.second_bind.v6 != m.second_advertise.v6)
+      if (m.secondary_bind && m.secondary_advertise && m.secondary_bind.v6 != m.secondary_advertise.v6)
         fail(*told, here + ".advertise", "expected the same family of addresses as bind");
     }
     const auto& seeds = v["seeds"].as_list();
@@ -231,20 +231,20 @@
     }
     auto& o = m.options;
     o.period = v["period"].as_span();
-    o.min_late = v["late_least"].as_span();
-    o.indirect = unsigned(v["indirect"].as_int());
-    o.suspicion = v["suspicion"].as_number();
-    o.max_suspicion = v["suspicion_most"].as_number();
+    o.min_probe_timeout = v["late_least"].as_span();
+    o.indirect_probes = unsigned(v["indirect"].as_int());
+    o.suspicion_multiplier = v["suspicion"].as_number();
+    o.max_suspicion_multiplier = v["suspicion_most"].as_number();
     o.confirmations = unsigned(v["confirmations"].as_int());
-    o.spread = unsigned(v["spread"].as_int());
-    o.mass_share = v["mass_share"].as_number();
-    o.shrink_after = v["shrink_after"].as_span();
-    o.forget_after = v["forget_after"].as_span();
-    o.believe_for = v["believe_for"].as_span();
-    o.expected = std::size_t(v["expected"].as_int());
+    o.retransmit_multiplier = unsigned(v["spread"].as_int());
+    o.mass_failure_fraction = v["mass_share"].as_number();
+    o.quorum_shrink_delay = v["shrink_after"].as_span();
+    o.tombstone_ttl = v["forget_after"].as_span();
+    o.max_message_age = v["believe_for"].as_span();
+    o.min_fleet_size = std::size_t(v["expected"].as_int());
     o.max_members = std::size_t(v["members_most"].as_int());
     // Guards against a late word that raises one of whom nobody knows any more that it is dead.
-    if (2 * o.believe_for > o.forget_after)
+    if (2 * o.max_message_age > o.tombstone_ttl)
       fail(v["believe_for"], path + ".believe_for", "expected no more than half of forget_after");
     return m;
   }
--- a/src/recovery/donor_selection.cpp
+++ b/src/recovery/donor_selection.cpp
@@ -28,13 +28,13 @@
   candidates_.clear();
   std::size_t told = 0;
   for (const auto& p : view.peers) {
-    told += p.present == Status::alive && p.metadata.version > 0;
-    if (p.present != Status::alive || p.metadata.recovery_status.phase != 1 + std::uint8_t(Phase::full) ||
+    told += p.status == Status::alive && p.metadata.version > 0;
+    if (p.status != Status::alive || p.metadata.recovery_status.phase != 1 + std::uint8_t(Phase::full) ||
         p.metadata.recovery_status.donor_port == 0)
       continue;
     auto at = p.address;
     at.port = p.metadata.recovery_status.donor_port;
-    candidates_.push_back({p.name, p.metadata.zone, p.boot_id, p.metadata.generation, at, random_()});
+    candidates_.push_back({p.name, p.metadata.zone, p.boot_id, p.metadata.boot_incarnation, at, random_()});
   }
   std::sort(candidates_.begin(), candidates_.end(), [&](const Candidate& a, const Candidate& b) {
     const auto rank = [&](const Candidate& c) {
--- a/src/recovery/recovery_controller.cpp
+++ b/src/recovery/recovery_controller.cpp
@@ -18,7 +18,7 @@
 
 // Who says nothing of a way back is taken by its stage.
 bool in_service(const membership::View::Peer& p) {
-  if (p.present != Status::alive) return false;
+  if (p.status != Status::alive) return false;
   if (p.metadata.recovery_status.phase > 0)
     return p.metadata.recovery_status.phase == 1 + std::uint8_t(Phase::full);
   return p.metadata.stage != Stage::starting;
@@ -64,22 +64,22 @@
   FleetStatus f;
   std::size_t there = 0, unknown = 0;
   for (const auto& p : view.peers) {
-    if (p.present == Status::left) continue;
-    if (p.present == Status::alive && p.metadata.version == 0) {  // just met: it has not said anything yet
+    if (p.status == Status::left) continue;
+    if (p.status == Status::alive && p.metadata.version == 0) {  // just met: it has not said anything yet
       ++unknown;
       continue;
     }
     const bool good = in_service(p);
-    there += p.present == Status::alive;
+    there += p.status == Status::alive;
     f.able += good;
     auto& z = zones[p.metadata.zone];
     z.members += 1;
     z.returning += !good;
   }
   // Who was agreed on and is not known any more is missed too.
-  const auto agreed = std::max<std::size_t>(view.agreed, 1) - 1;
+  const auto agreed = std::max<std::size_t>(view.fleet_size, 1) - 1;
   f.others = std::max(agreed - std::min(agreed, unknown), there);
-  f.sure = view.majority && !view.uncertain && view.local_connectivity == membership::LocalConnectivity::ok;
+  f.sure = view.has_quorum && !view.uncertain && view.local_connectivity == membership::LocalConnectivity::ok;
   if (f.others == 0) return f;
   f.missing = double(f.others - there) / double(f.others);
   f.returning = double(f.others - std::min(f.able, f.others)) / double(f.others);
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -102,13 +102,13 @@
         context.get_executor(),
         asio::ip::tcp::endpoint(membership_udp::endpoint_of(m.bind).address(), extras_.declared->fill_port),
         log_);
-    m.fill_port = cache_fill_server_->port();
+    m.cache_fill_port = cache_fill_server_->port();
   }
   if (extras_.declared->membership) join_fleet();
   if (cache_fill_server_)
     cache_fill_server_->begin(
         fleet_->member().self().boot_id,
-        {[this](const asio::ip::address& who) { return fleet_->may_ask(who); },
+        {[this](const asio::ip::address& who) { return fleet_->is_authorized(who); },
          [this](edge::CacheFillQuery asked) { return module_.mailbox().post(std::move(asked)); }});
   if (const auto& r = extras_.declared->recovery; r && !r->folder.empty()) keep_learned(*r);
   if (const auto& r = extras_.declared->recovery; r && r->guided && fleet_) learn_from_others();
@@ -124,7 +124,7 @@
     module_.mailbox().post_control(edge::PreviousIncarnationFound{found});
   };
   hooks.learned = [this](warm_state::WarmState what) {
-    if (fleet_) fleet_->also_call(what.members);
+    if (fleet_) fleet_->set_join_addresses(what.members);
     module_.mailbox().post_control(edge::WarmStateReceived{std::move(what)});
   };
   hooks.collect = [this] { return collect(); };
@@ -140,8 +140,8 @@
   const auto& member = fleet_->member();
   what.boot_id = std::uint64_t(member.self().boot_id);
   const auto& roster = member.roster();
-  for (membership::Index i = 0; i < roster.places(); ++i)
-    if (const auto& e = roster.at(i); e.known && e.certain == membership::Status::alive)
+  for (membership::Index i = 0; i < roster.slot_count(); ++i)
+    if (const auto& e = roster.at(i); e.known && e.certain_status == membership::Status::alive)
       what.members.push_back(e.address);
   return what;
 }
@@ -192,15 +192,16 @@
     o.boot_id = me.self().boot_id;
     const auto* course = module_.edge().course();
     o.in_service = course && course->phase() == recovery::Phase::full;
-    o.sure = me.majority() && !me.uncertain() && me.local_connectivity() == membership::LocalConnectivity::ok;
-    o.view_age = fleet_->silence();
+    o.sure =
+        me.has_quorum() && !me.uncertain() && me.local_connectivity() == membership::LocalConnectivity::ok;
+    o.view_age = fleet_->time_since_last_received();
     if (o.in_service) o.what = collect();
     return o;
   };
-  hooks.may_ask = [this](const asio::ip::address& who) { return fleet_->may_ask(who); };
+  hooks.may_ask = [this](const asio::ip::address& who) { return fleet_->is_authorized(who); };
   hooks.learned = [this](warm_state::WarmState what, std::size_t sources) {
     if (sources > 0) {
-      fleet_->also_call(what.members);
+      fleet_->set_join_addresses(what.members);
       module_.mailbox().post_control(edge::WarmStateReceived{std::move(what), sources});
     }
     module_.mailbox().post_control(edge::StateTransferFinished{sources});
@@ -219,11 +220,11 @@
   membership_udp::Actor::Hooks hooks;
   hooks.clock = [this] { return clocks_().steady; };
   hooks.recovery_report = [this] { return recovery_report(); };
-  hooks.own = [this] {
+  hooks.local_state = [this] {
     auto s = module_.edge().standing(clocks_().steady);
     if (learning_) s.recovery_status.donor_port = learning_->port();
-    return membership_udp::Actor::Own{s.stage, s.warmth, s.pressed, std::move(s.endpoint_health),
-                                      s.recovery_status};
+    return membership_udp::Actor::LocalState{s.stage, s.warmth, s.pressed, std::move(s.endpoint_health),
+                                             s.recovery_status};
   };
   hooks.view = [this](std::shared_ptr<const membership::View> view) {
     if (learning_) learning_->view(view);
@@ -290,7 +291,7 @@
   if (caller_) spawn(caller_->mind_idle());
   if (fleet_) {
     spawn(fleet_->receive());
-    if (fleet_->has_second()) spawn(fleet_->receive_second());
+    if (fleet_->has_secondary()) spawn(fleet_->receive_secondary());
     spawn(fleet_->run());
   }
   if (cache_fill_server_) spawn(cache_fill_server_->serve());
--- a/tests/cache_fill_test.cpp
+++ b/tests/cache_fill_test.cpp
@@ -20,10 +20,10 @@
   View::Peer p;
   p.name = "n" + std::to_string(n);
   p.hash = membership::name_hash(p.name);
-  p.present = p.certain = Status::alive;
+  p.status = p.certain_status = Status::alive;
   p.metadata.version = 1;
   p.metadata.stage = membership::Stage::serving;
-  p.metadata.fill_port = std::uint16_t(8000 + n);
+  p.metadata.cache_fill_port = std::uint16_t(8000 + n);
   p.address.ip = {127, 0, 0, 1};
   p.address.port = std::uint16_t(9000 + n);
   p.boot_id = BootId(100 + n);
@@ -32,7 +32,7 @@
 View view_for(std::size_t own, std::size_t members) {
   View v;
   v.own_hash = member(own).hash;
-  v.agreed = members;
+  v.fleet_size = members;
   for (std::size_t n = 0; n < members; ++n)
     if (n != own) v.peers.push_back(member(n));
   return v;
@@ -81,18 +81,18 @@
     return n;
   };
   EXPECT_GT(asked([](View&) {}), 40);
-  EXPECT_EQ(asked([](View& v) { v.majority = false; }), 0);
+  EXPECT_EQ(asked([](View& v) { v.has_quorum = false; }), 0);
   EXPECT_EQ(asked([](View& v) { v.uncertain = true; }), 0);
-  EXPECT_EQ(asked([](View& v) { v.local_connectivity = membership::LocalConnectivity::deaf; }), 0);
-  EXPECT_EQ(asked([](View& v) { v.duplicate = true; }), 0);
+  EXPECT_EQ(asked([](View& v) { v.local_connectivity = membership::LocalConnectivity::inbound_broken; }), 0);
+  EXPECT_EQ(asked([](View& v) { v.name_conflict = true; }), 0);
   EXPECT_EQ(asked([](View& v) {
-              v.peers[0].metadata.fill_port = 0;
-              v.peers[1].present = Status::suspect;
+              v.peers[0].metadata.cache_fill_port = 0;
+              v.peers[1].status = Status::suspect;
             }),
             0);
   EXPECT_EQ(asked([](View& v) {
               v.peers[0].metadata.stage = membership::Stage::draining;
-              v.peers[1].certain = Status::dead;
+              v.peers[1].certain_status = Status::dead;
             }),
             0);
 }
--- a/tests/deps_test.cpp
+++ b/tests/deps_test.cpp
@@ -362,10 +362,10 @@
     for (int k = 0; k < alive + dead; ++k) {
       auto& p = v->peers.emplace_back();
       p.hash = std::uint64_t(k + 1);
-      p.present = p.certain = k < alive ? membership::Status::alive : membership::Status::dead;
+      p.status = p.certain_status = k < alive ? membership::Status::alive : membership::Status::dead;
     }
-    v->agreed = std::size_t(1 + alive + dead);
-    v->majority = majority;
+    v->fleet_size = std::size_t(1 + alive + dead);
+    v->has_quorum = majority;
     w.gatherer.fleet(v, w.now);
   };
   view(3, 0, true);
--- a/tests/membership_codec_test.cpp
+++ b/tests/membership_codec_test.cpp
@@ -38,31 +38,32 @@
                      {},
                      {}};
     if (upto(1))
-      t.recovery_status = {std::uint8_t(upto(kMaxCourse)), std::uint8_t(upto(100)), std::uint16_t(random()),
-                           any32()};
-    t.zone = upto(1) ? name(kMaxZone) : "";
-    if (upto(1)) t.duplicate = address();
-    if (upto(1)) t.second = address();
+      t.recovery_status = {std::uint8_t(upto(kMaxRecoveryPhase)), std::uint8_t(upto(100)),
+                           std::uint16_t(random()), any32()};
+    t.zone = upto(1) ? name(kMaxZoneBytes) : "";
+    if (upto(1)) t.conflicting_address = address();
+    if (upto(1)) t.secondary_address = address();
     for (auto k = upto(kMaxLinkFaults); k > 0; --k) t.links.push_back({random(), upto(1) == 1});
     for (auto k = upto(kMaxEndpointHealth); k > 0; --k) t.endpoint_health.push_back({random(), upto(1) == 1});
     return t;
   }
   Record record() {
-    Record r{name(kMaxName),  address(), BootId(random()), random() >> 2,
-             Status(upto(3)), random(),  any32(),          std::nullopt};
+    Record r{name(kMaxNameBytes), address(), BootId(random()), random() >> 2,
+             Status(upto(3)),     random(),  any32(),          std::nullopt};
     if (upto(1)) r.metadata = metadata();
     return r;
   }
   Body body() {
     switch (upto(8)) {
       case 0:
-        return Ping{any32(), upto(1) ? name(kMaxName) : "", upto(1) ? name(kMaxName) : "", upto(1) == 1};
+        return Ping{any32(), upto(1) ? name(kMaxNameBytes) : "", upto(1) ? name(kMaxNameBytes) : "",
+                    upto(1) == 1};
       case 1:
         return Ack{any32(), any32(), upto(1) == 1};
       case 2:
-        return PingRequest{any32(), name(kMaxName), address()};
+        return PingRequest{any32(), name(kMaxNameBytes), address()};
       case 3:
-        return IndirectAck{any32(), name(kMaxName), any32()};
+        return IndirectAck{any32(), name(kMaxNameBytes), any32()};
       case 4:
         return Nack{any32()};
       case 5: {
@@ -80,25 +81,25 @@
     }
   }
   Datagram datagram() {
-    Datagram d{{name(kMaxName), address(), BootId(random()), random() >> 2, any32()}, body(), {}, 0};
+    Datagram d{{name(kMaxNameBytes), address(), BootId(random()), random() >> 2, any32()}, body(), {}, 0};
     for (;;) {
       auto r = record();
-      if (max_bytes(d) + max_bytes(r) > kMaxDatagram || upto(7) == 0) break;
+      if (max_encoded_size(d) + max_encoded_size(r) > kMaxDatagram || upto(7) == 0) break;
       d.updates.push_back(std::move(r));
     }
-    if (upto(3) == 0 && max_bytes(d) + 3 < kMaxDatagram)
-      d.filler = std::uint16_t(upto(kMaxDatagram - max_bytes(d) - 3));
+    if (upto(3) == 0 && max_encoded_size(d) + 3 < kMaxDatagram)
+      d.padding = std::uint16_t(upto(kMaxDatagram - max_encoded_size(d) - 3));
     return d;
   }
 };
 
 TEST(MembershipCodec, ReadsWhatItMakesWithinItsBounds) {
   Maker make{std::mt19937_64(1)};
-  const std::string cluster(kMaxName, 'c');
+  const std::string cluster(kMaxNameBytes, 'c');
   for (int k = 0; k < 5000; ++k) {
     const auto d = make.datagram();
     const auto bytes = encode(d, cluster);
-    ASSERT_LE(bytes.size(), max_bytes(d));
+    ASSERT_LE(bytes.size(), max_encoded_size(d));
     const auto back = decode(bytes, cluster);
     ASSERT_TRUE(std::holds_alternative<Datagram>(back));
     ASSERT_EQ(std::get<Datagram>(back), d);
@@ -113,7 +114,7 @@
     if (kind == 0) bytes[make.upto(bytes.size() - 1)] ^= char(1 << make.upto(7));
     if (kind == 1) bytes.resize(make.upto(bytes.size() - 1));
     if (kind == 2) bytes += std::string(1 + make.upto(40), 'x');
-    ASSERT_TRUE(std::holds_alternative<Bad>(decode(bytes, "c")));
+    ASSERT_TRUE(std::holds_alternative<DecodeError>(decode(bytes, "c")));
   }
 }
 
@@ -130,8 +131,8 @@
     const auto back = decode(again, "c");
     if (const auto* d = std::get_if<Datagram>(&back)) {
       ++read;
-      ASSERT_LE(d->from.name.size(), kMaxName);
-      for (const auto& r : d->updates) ASSERT_TRUE(!r.name.empty() && r.name.size() <= kMaxName);
+      ASSERT_LE(d->from.name.size(), kMaxNameBytes);
+      for (const auto& r : d->updates) ASSERT_TRUE(!r.name.empty() && r.name.size() <= kMaxNameBytes);
       (void)encode(*d, "c");
     }
   }
@@ -141,46 +142,46 @@
 TEST(MembershipCodec, AnotherClusterIsForeign) {
   Maker make{std::mt19937_64(4)};
   const auto bytes = encode(make.datagram(), "one");
-  EXPECT_EQ(std::get<Bad>(decode(bytes, "two")), Bad::other_cluster);
-  EXPECT_EQ(std::get<Bad>(decode(std::string(2000, 'x'), "two")), Bad::oversized);
-  EXPECT_EQ(std::get<Bad>(decode("", "two")), Bad::foreign);
+  EXPECT_EQ(std::get<DecodeError>(decode(bytes, "two")), DecodeError::other_cluster);
+  EXPECT_EQ(std::get<DecodeError>(decode(std::string(2000, 'x'), "two")), DecodeError::oversized);
+  EXPECT_EQ(std::get<DecodeError>(decode("", "two")), DecodeError::foreign);
 }
 
 TEST(MembershipCodec, QueriesAndRepliesBelongToNoCluster) {
-  const auto q = decode(encode(Query{7, 3}), "any");
-  ASSERT_TRUE(std::holds_alternative<Query>(q));
-  EXPECT_EQ(std::get<Query>(q).from, 3u);
-  Reply reply;
+  const auto q = decode(encode(StatusQuery{7, 3}), "any");
+  ASSERT_TRUE(std::holds_alternative<StatusQuery>(q));
+  EXPECT_EQ(std::get<StatusQuery>(q).from, 3u);
+  StatusReply reply;
   reply.cluster = "c";
   reply.name = "n1";
-  reply.lines.push_back({"n2",
-                         "127.0.0.1:9",
-                         "z",
-                         "",
-                         5,
-                         Stage::serving,
-                         Status::suspect,
-                         Status::alive,
-                         false,
-                         99,
-                         50,
-                         20,
-                         {3, 45, 9001, 0},
-                         {"n3"},
-                         {}});
+  reply.members.push_back({"n2",
+                           "127.0.0.1:9",
+                           "z",
+                           "",
+                           5,
+                           Stage::serving,
+                           Status::suspect,
+                           Status::alive,
+                           false,
+                           99,
+                           50,
+                           20,
+                           {3, 45, 9001, 0},
+                           {"n3"},
+                           {}});
   reply.recovery_report.emplace();
   reply.recovery_report->phase = "ramping";
   reply.recovery_report->reached_ms[2] = 1500;
   reply.recovery_report->sources = {{"n4", 20}};
   const auto r = decode(encode(reply), "other");
-  ASSERT_TRUE(std::holds_alternative<Reply>(r));
-  EXPECT_EQ(std::get<Reply>(r).lines.at(0).unheard_from.at(0), "n3");
-  EXPECT_EQ(std::get<Reply>(r).lines.at(0).status, Status::suspect);
-  EXPECT_EQ(std::get<Reply>(r).lines.at(0).recovery_status.offered, 45);
-  ASSERT_TRUE(std::get<Reply>(r).recovery_report);
-  EXPECT_EQ(std::get<Reply>(r).recovery_report->reached_ms, reply.recovery_report->reached_ms);
-  EXPECT_EQ(std::get<Reply>(r).recovery_report->sources.at(0).name, "n4");
-  EXPECT_TRUE(std::get<Query>(decode(encode(Query{7, 3, true}), "any")).recovery_report);
+  ASSERT_TRUE(std::holds_alternative<StatusReply>(r));
+  EXPECT_EQ(std::get<StatusReply>(r).members.at(0).unheard_from.at(0), "n3");
+  EXPECT_EQ(std::get<StatusReply>(r).members.at(0).status, Status::suspect);
+  EXPECT_EQ(std::get<StatusReply>(r).members.at(0).recovery_status.offered_percent, 45);
+  ASSERT_TRUE(std::get<StatusReply>(r).recovery_report);
+  EXPECT_EQ(std::get<StatusReply>(r).recovery_report->reached_ms, reply.recovery_report->reached_ms);
+  EXPECT_EQ(std::get<StatusReply>(r).recovery_report->sources.at(0).name, "n4");
+  EXPECT_TRUE(std::get<StatusQuery>(decode(encode(StatusQuery{7, 3, true}), "any")).recovery_report);
 }
 
 }  // namespace
--- a/tests/membership_digest_test.cpp
+++ b/tests/membership_digest_test.cpp
@@ -25,7 +25,7 @@
     for (auto n = from; n < to; ++n) take(record(n));
   }
   void take(const Record& r) {
-    Index i = kNobody;
+    Index i = kNoMember;
     roster.merge(r, TimePoint(std::chrono::seconds(1)), i);
   }
   std::vector<std::uint32_t> digest(const Record& own, std::uint32_t seed = 7) const {
@@ -35,8 +35,8 @@
 
 TEST(Digest, MembersOfOneFleetAgreeThoughNoneListsItself) {
   Held a(1, 200), b(0, 199);
-  EXPECT_TRUE(differing(a.digest(record(0)), b.digest(record(199))).none());
-  EXPECT_FALSE(differing(a.digest(record(0), 7), b.digest(record(199), 8)).none());
+  EXPECT_TRUE(differing_buckets(a.digest(record(0)), b.digest(record(199))).none());
+  EXPECT_FALSE(differing_buckets(a.digest(record(0), 7), b.digest(record(199), 8)).none());
 }
 
 TEST(Digest, ADifferenceShowsInItsBucketAlone) {
@@ -44,7 +44,7 @@
        {record(42, 2), record(42, 1, Status::suspect), record(42, 1, Status::dead), record(500)}) {
     Held a(0, 200), b(0, 200);
     b.take(change);
-    const auto d = differing(a.digest(record(999)), b.digest(record(999)));
+    const auto d = differing_buckets(a.digest(record(999)), b.digest(record(999)));
     EXPECT_EQ(d.count(), 1u) << change.name;
     EXPECT_TRUE(d[bucket_of(name_hash(change.name), 32)]);
   }
@@ -54,13 +54,13 @@
   Held a(0, 50), b(0, 50);
   auto warmer = record(4);
   warmer.metadata->version = 2;
-  warmer.metadata->warmth = 50;
+  warmer.metadata->warmup_percent = 50;
   b.take(warmer);
-  EXPECT_TRUE(differing(a.digest(record(99)), b.digest(record(99))).none());
+  EXPECT_TRUE(differing_buckets(a.digest(record(99)), b.digest(record(99))).none());
   warmer.metadata->version = 3;
   warmer.metadata->stage = Stage::serving;
   b.take(warmer);
-  EXPECT_EQ(differing(a.digest(record(99)), b.digest(record(99))).count(), 1u);
+  EXPECT_EQ(differing_buckets(a.digest(record(99)), b.digest(record(99))).count(), 1u);
 }
 
 // Where others are told what it has learned and whether it is in service, lost once, still comes by an
@@ -73,16 +73,16 @@
     metadata.metadata->version = 2;
     metadata.metadata->recovery_status = course;
     b.take(metadata);
-    EXPECT_EQ(differing(a.digest(record(99)), b.digest(record(99))).count(), 1u);
+    EXPECT_EQ(differing_buckets(a.digest(record(99)), b.digest(record(99))).count(), 1u);
     metadata.metadata->version = 3;
-    metadata.metadata->recovery_status.offered = 40;
+    metadata.metadata->recovery_status.offered_percent = 40;
     a.take(metadata);
-    EXPECT_TRUE(differing(a.digest(record(99)), b.digest(record(99))).none());
+    EXPECT_TRUE(differing_buckets(a.digest(record(99)), b.digest(record(99))).none());
   }
 }
 
 TEST(Digest, WhoKnowsNothingWantsEverything) {
-  EXPECT_TRUE(differing({1, 2, 3, 4, 5, 6, 7, 8}, {}).all());
+  EXPECT_TRUE(differing_buckets({1, 2, 3, 4, 5, 6, 7, 8}, {}).all());
   EXPECT_EQ(buckets_for(0), kMinBuckets);
   EXPECT_EQ(buckets_for(100), 16u);
   EXPECT_EQ(buckets_for(100000), kMaxBuckets);
--- a/tests/membership_process_test.cpp
+++ b/tests/membership_process_test.cpp
@@ -41,7 +41,7 @@
   // The agreed fleet has so many for everybody.
   bool all_count(std::size_t n) const {
     for (const auto& name : running())
-      if (const auto v = view(name); !v || v->agreed != n) return false;
+      if (const auto v = view(name); !v || v->fleet_size != n) return false;
     return true;
   }
   LocalConnectivity local_connectivity(const std::string& name) const {
@@ -63,9 +63,9 @@
   EXPECT_TRUE(f.until(
       [&] {
         const auto v = f.view("n1");
-        for (const auto& l : v->lines)
+        for (const auto& l : v->members)
           if (l.stage != membership::Stage::serving) return false;
-        return v->lines.size() == 3;
+        return v->members.size() == 3;
       },
       kLong));
   const auto json = nlohmann::json::parse(membership_udp::to_json(f.view("n0").value()));
@@ -187,7 +187,7 @@
   EXPECT_TRUE(f.until(
       [&] {
         for (const auto& name : f.running())
-          if (f.view(name)->majority) return false;
+          if (f.view(name)->has_quorum) return false;
         return true;
       },
       kLong));
@@ -203,7 +203,7 @@
   const auto shown = [&](const std::string& at) {
     const auto v = f.view(at);
     bool unheard = false, not_reaching = false;
-    for (const auto& l : v->lines) {
+    for (const auto& l : v->members) {
       if (l.name == "n2") unheard = l.unheard_from == std::vector<std::string>{"n1"};
       if (l.name == "n1") not_reaching = l.not_reaching == std::vector<std::string>{"n2"};
     }
@@ -220,8 +220,9 @@
   Trial f(6);
   f.form();
   const auto cut = f.cut({"n4"}, {});
-  EXPECT_TRUE(f.until([&] { return f.local_connectivity("n4") == LocalConnectivity::unheard; }, kLong));
-  EXPECT_FALSE(f.view("n4")->majority);
+  EXPECT_TRUE(
+      f.until([&] { return f.local_connectivity("n4") == LocalConnectivity::outbound_broken; }, kLong));
+  EXPECT_FALSE(f.view("n4")->has_quorum);
   EXPECT_TRUE(f.until([&] { return f.holds("n0", "n4") == Status::dead; }, kLong));
   f.mend(cut);
   EXPECT_TRUE(
@@ -233,7 +234,8 @@
   Trial f(6);
   f.form();
   const auto cut = f.cut({}, {"n4"});
-  EXPECT_TRUE(f.until([&] { return f.local_connectivity("n4") == LocalConnectivity::deaf; }, kLong));
+  EXPECT_TRUE(
+      f.until([&] { return f.local_connectivity("n4") == LocalConnectivity::inbound_broken; }, kLong));
   f.mend(cut);
   EXPECT_TRUE(
       f.until([&] { return f.agree() && f.local_connectivity("n4") == LocalConnectivity::ok; }, kLong));
@@ -247,7 +249,7 @@
   EXPECT_TRUE(f.until(
       [&] {
         for (const auto& name : f.names())
-          if (f.view(name)->majority || !f.view(name)->uncertain) return false;
+          if (f.view(name)->has_quorum || !f.view(name)->uncertain) return false;
         return true;
       },
       kLong));
@@ -265,7 +267,7 @@
   EXPECT_TRUE(f.until(
       [&] {
         for (const auto& name : f.names())
-          if (f.view(name)->majority || !f.view(name)->uncertain) return false;
+          if (f.view(name)->has_quorum || !f.view(name)->uncertain) return false;
         return true;
       },
       kLong));
@@ -284,8 +286,8 @@
   EXPECT_TRUE(f.until(
       [&] {
         for (const auto& name : zone)
-          if (f.holds("n1", name) != Status::dead || f.view(name)->majority) return false;
-        return f.view("n1")->majority;
+          if (f.holds("n1", name) != Status::dead || f.view(name)->has_quorum) return false;
+        return f.view("n1")->has_quorum;
       },
       kLong));
   f.mend(cut);
@@ -300,11 +302,12 @@
   EXPECT_TRUE(f.until(
       [&] {
         const auto small = f.view("n5"), large = f.view("n0");
-        return large->majority && f.holds("n0", "n5") == Status::dead && !small->majority && small->uncertain;
+        return large->has_quorum && f.holds("n0", "n5") == Status::dead && !small->has_quorum &&
+               small->uncertain;
       },
       kLong));
   const auto small = f.view("n5").value();
-  for (const auto& l : small.lines) EXPECT_EQ(l.certain, Status::alive) << l.name;
+  for (const auto& l : small.members) EXPECT_EQ(l.certain_status, Status::alive) << l.name;
   f.mend(cut);
   EXPECT_TRUE(f.until([&] { return f.agree(); }, kLong));
 }
@@ -375,13 +378,13 @@
   // Until the way round is known to all, one may be suspect for a moment: it is seen to hold, not at once.
   const auto carried = [&] {
     for (const auto& name : f.names())
-      if (const auto v = f.view(name); !v || v->local_connectivity != LocalConnectivity::ok || !v->majority)
+      if (const auto v = f.view(name); !v || v->local_connectivity != LocalConnectivity::ok || !v->has_quorum)
         return false;
     return f.agree();
   };
   EXPECT_TRUE(f.until(carried, kLong)) << f.state();
   f.mend_all();
-  EXPECT_TRUE(f.until([&] { return f.agree() && f.view("n0")->majority; }, kLong));
+  EXPECT_TRUE(f.until([&] { return f.agree() && f.view("n0")->has_quorum; }, kLong));
   f.only_these_died({});
 }
 
@@ -431,7 +434,7 @@
   EXPECT_TRUE(f.until(
       [&] {
         const auto v = f.view("n0");
-        return f.all_hold("n3", Status::dead) && f.all_hold("n4", Status::dead) && v && v->majority;
+        return f.all_hold("n3", Status::dead) && f.all_hold("n4", Status::dead) && v && v->has_quorum;
       },
       kLong));
   const auto apart = advice();
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -18,20 +18,20 @@
   explicit Fleet(std::size_t n, std::uint64_t seed = 1, Options options = {})
       : SimulatedFleet(options, seed, n) {
     on_change = [this](Node who, const Change& c) {
-      if (c.own && c.kind == ChangeKind::died) dead_by[c.name].insert(who);
+      if (c.detected_locally && c.kind == ChangeKind::died) dead_by[c.name].insert(who);
       never_back(who, c);
     };
   }
   // In every test here: what one life of a member holds of another never goes back, until it has forgotten
   // it.
   void never_back(Node who, const Change& c) {
-    if (c.kind == ChangeKind::forgotten) {
+    if (c.kind == ChangeKind::removed) {
       held.erase({who, member(who).self().boot_id, c.name});
       return;
     }
     const auto& roster = member(who).roster();
     const auto i = roster.find(c.name);
-    if (i == kNobody || !roster.at(i).known) return;
+    if (i == kNoMember || !roster.at(i).known) return;
     auto& highest = held[{who, member(who).self().boot_id, c.name}];
     EXPECT_GE(roster.at(i).incarnation, highest) << name(who) << " of " << c.name;
     highest = roster.at(i).incarnation;
@@ -39,9 +39,9 @@
   }
   void form() {
     start_all(1s);
-    ASSERT_TRUE(run_until([&] { return agree(); }, 30s));
+    ASSERT_TRUE(run_until([&] { return has_converged(); }, 30s));
     run_for(3s);
-    reset_figures();
+    reset_stats();
     dead_by.clear();
   }
   std::set<std::string> names(Node from, Node to) {
@@ -79,16 +79,16 @@
   f.form();
   EXPECT_GE(f.changes_held, 24u * 23u);  // the fixture's own check has seen every join
   f.run_for(60s);
-  EXPECT_TRUE(f.agree());
-  EXPECT_EQ(f.figures().false_dead, 0u);
-  EXPECT_EQ(f.figures().flaps, 0u);
-  EXPECT_LE(f.figures().largest, kMaxDatagram);
+  EXPECT_TRUE(f.has_converged());
+  EXPECT_EQ(f.stats().false_dead, 0u);
+  EXPECT_EQ(f.stats().flaps, 0u);
+  EXPECT_LE(f.stats().largest, kMaxDatagram);
   for (std::size_t n = 0; n < f.size(); ++n) {
-    EXPECT_TRUE(f.member(n).majority());
+    EXPECT_TRUE(f.member(n).has_quorum());
     EXPECT_FALSE(f.member(n).uncertain());
-    EXPECT_EQ(f.member(n).agreed(), 24u);
+    EXPECT_EQ(f.member(n).fleet_size(), 24u);
   }
-  const double a_second = double(f.figures().datagrams) * 2 / 60 / 24;
+  const double a_second = double(f.stats().datagrams) * 2 / 60 / 24;
   EXPECT_LT(a_second, 20);
 }
 
@@ -96,8 +96,8 @@
   Fleet f(48);
   f.form();
   f.kill(7);
-  EXPECT_TRUE(f.run_until([&] { return f.all_know(7, Status::dead); }, 4s));
-  EXPECT_EQ(f.figures().false_dead, 0u);
+  EXPECT_TRUE(f.run_until([&] { return f.all_report(7, Status::dead); }, 4s));
+  EXPECT_EQ(f.stats().false_dead, 0u);
 }
 
 TEST(Membership, AThirdKilledAtOnceIsFoundAndNobodyElse) {
@@ -107,11 +107,11 @@
   EXPECT_TRUE(f.run_until(
       [&] {
         for (std::size_t n = 0; n < 16; ++n)
-          if (!f.all_know(n, Status::dead)) return false;
+          if (!f.all_report(n, Status::dead)) return false;
         return true;
       },
       8s));
-  EXPECT_EQ(f.figures().false_dead, 0u);
+  EXPECT_EQ(f.stats().false_dead, 0u);
 }
 
 // Without the stretched times and refutations that `plain` lacks, the same loss kills: else it proves
@@ -119,15 +119,15 @@
 TEST(Membership, LossKillsNobody) {
   for (const bool plain : {false, true}) {
     Options options;
-    options.plain = plain;
+    options.baseline_mode = plain;
     Fleet f(32, 3, options);
     f.form();
     f.loss(0.3);
     f.run_for(60s);
     if (plain) {
-      EXPECT_GT(f.figures().false_dead, 0u);
+      EXPECT_GT(f.stats().false_dead, 0u);
     } else {
-      EXPECT_EQ(f.figures().false_dead, 0u);
+      EXPECT_EQ(f.stats().false_dead, 0u);
     }
   }
 }
@@ -141,7 +141,7 @@
   r.bad_for = 2s;
   f.fault_injector().add(r);
   f.run_for(60s);
-  EXPECT_EQ(f.figures().false_dead, 0u);
+  EXPECT_EQ(f.stats().false_dead, 0u);
 }
 
 TEST(Membership, APauseShorterThanSuspicionIsForgiven) {
@@ -150,7 +150,7 @@
   f.pause(3);
   f.run_for(1200ms);
   f.resume(3);
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 10s));
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 10s));
   EXPECT_TRUE(f.dead_by.empty());
 }
 
@@ -158,14 +158,14 @@
   Fleet f(16);
   f.form();
   f.pause(3);
-  EXPECT_TRUE(f.run_until([&] { return f.all_know(3, Status::dead); }, 10s));
+  EXPECT_TRUE(f.run_until([&] { return f.all_report(3, Status::dead); }, 10s));
   f.run_for(20s);
   f.dead_by.clear();
-  f.reset_figures();
+  f.reset_stats();
   f.resume(3);
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 5s));
-  EXPECT_EQ(f.figures().false_dead, 0u);
-  EXPECT_EQ(f.figures().flaps, 0u);
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 5s));
+  EXPECT_EQ(f.stats().false_dead, 0u);
+  EXPECT_EQ(f.stats().flaps, 0u);
   EXPECT_GE(f.member(3).counters().pauses, 1u);
 }
 
@@ -174,9 +174,9 @@
   f.form();
   for (std::size_t n = 0; n < 8; ++n) f.pause(n);
   f.run_for(15s);
-  for (std::size_t n = 8; n < 16; ++n) EXPECT_FALSE(f.member(n).majority());
+  for (std::size_t n = 8; n < 16; ++n) EXPECT_FALSE(f.member(n).has_quorum());
   for (std::size_t n = 0; n < 8; ++n) f.resume(n);
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 5s));
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 5s));
   EXPECT_TRUE(f.dead_by.empty());
 }
 
@@ -202,11 +202,11 @@
   };
   EXPECT_TRUE(f.run_until([&] { return edge(1, 2) && edge(2, 1); }, 10s));
   const auto& at2 = f.member(2).roster();
-  EXPECT_TRUE(at2.at(at2.find("n1")).link_in);  // what n1 sends does not arrive
+  EXPECT_TRUE(at2.at(at2.find("n1")).link_inbound);  // what n1 sends does not arrive
   const auto& at1 = f.member(1).roster();
-  EXPECT_FALSE(at1.at(at1.find("n2")).link_in);
+  EXPECT_FALSE(at1.at(at1.find("n2")).link_inbound);
   f.run_for(30s);
-  EXPECT_TRUE(f.agree());
+  EXPECT_TRUE(f.has_converged());
   EXPECT_TRUE(f.dead_by.empty());
   f.fault_injector().remove(rule);
   EXPECT_TRUE(f.run_until([&] { return !edge(1, 2) && !edge(2, 1); }, 30s));
@@ -216,14 +216,14 @@
   Fleet f(16);
   f.form();
   const auto rule = f.cut({"n5"}, {}, false);
-  EXPECT_TRUE(
-      f.run_until([&] { return f.member(5).local_connectivity() == LocalConnectivity::unheard; }, 5s));
-  EXPECT_TRUE(f.run_until([&] { return f.all_know(5, Status::dead); }, 5s));
+  EXPECT_TRUE(f.run_until(
+      [&] { return f.member(5).local_connectivity() == LocalConnectivity::outbound_broken; }, 5s));
+  EXPECT_TRUE(f.run_until([&] { return f.all_report(5, Status::dead); }, 5s));
   f.run_for(20s);
   EXPECT_EQ(f.dead_by.size(), 1u);
-  EXPECT_FALSE(f.member(5).majority());
+  EXPECT_FALSE(f.member(5).has_quorum());
   f.fault_injector().remove(rule);
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 5s));
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 5s));
   EXPECT_EQ(f.member(5).local_connectivity(), LocalConnectivity::ok);
 }
 
@@ -231,11 +231,12 @@
   Fleet f(16);
   f.form();
   const auto rule = f.cut({}, {"n5"}, false);
-  EXPECT_TRUE(f.run_until([&] { return f.member(5).local_connectivity() == LocalConnectivity::deaf; }, 5s));
+  EXPECT_TRUE(
+      f.run_until([&] { return f.member(5).local_connectivity() == LocalConnectivity::inbound_broken; }, 5s));
   f.run_for(20s);
   for (const auto& [name, by] : f.dead_by) EXPECT_EQ(name, "n5");
   f.fault_injector().remove(rule);
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 5s));
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 5s));
 }
 
 TEST(Membership, HalvesKnowTheyAreNoMajorityAndFindTogether) {
@@ -245,14 +246,14 @@
   EXPECT_TRUE(f.run_until(
       [&] {
         for (std::size_t n = 0; n < 48; ++n)
-          if (f.member(n).majority()) return false;
+          if (f.member(n).has_quorum()) return false;
         return true;
       },
       5s));
   f.run_for(15s);
   EXPECT_TRUE(f.dead_by.empty());
   f.fault_injector().remove(rule);
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 5s));
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 5s));
 }
 
 TEST(Membership, TheSmallerPartKeepsItsLastCertainView) {
@@ -261,17 +262,17 @@
   const auto rule = f.cut(f.names(0, 5), f.names(5, 15));
   f.run_for(20s);
   for (std::size_t n = 0; n < 5; ++n) {
-    EXPECT_FALSE(f.member(n).majority());
+    EXPECT_FALSE(f.member(n).has_quorum());
     EXPECT_TRUE(f.member(n).uncertain());
     const auto& r = f.member(n).roster();
-    for (Index i = 0; i < r.places(); ++i) EXPECT_EQ(r.at(i).certain, Status::alive);
+    for (Index i = 0; i < r.slot_count(); ++i) EXPECT_EQ(r.at(i).certain_status, Status::alive);
   }
   for (std::size_t n = 5; n < 15; ++n) {
-    EXPECT_TRUE(f.member(n).majority());
-    EXPECT_EQ(f.holds(n, 0), Status::dead);
+    EXPECT_TRUE(f.member(n).has_quorum());
+    EXPECT_EQ(f.status_of(n, 0), Status::dead);
   }
   f.fault_injector().remove(rule);
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 10s));
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 10s));
 }
 
 TEST(Membership, ThirdsRemoveNobodyAndFindTogether) {
@@ -282,7 +283,7 @@
   f.run_for(30s);
   EXPECT_TRUE(f.dead_by.empty());
   f.fault_injector().clear();
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 5s));
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 5s));
 }
 
 TEST(Membership, WhoRestartsElsewhereDuringAPartitionIsFoundAgain) {
@@ -292,12 +293,12 @@
   f.run_for(8s);
   for (std::size_t n = 10; n < 13; ++n) {
     f.kill(n);
-    f.move(n, 9500);
+    f.change_port(n, 9500);
     f.start(n);
   }
   f.run_for(10s);
   f.fault_injector().clear();
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 15s));
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 15s));
   const auto& r = f.member(0).roster();
   EXPECT_EQ(r.at(r.find("n11")).address.port, 9500);
 }
@@ -309,10 +310,10 @@
   const auto before = f.member(4).incarnation();
   f.kill(4);
   f.start(4, 5);  // far below
-  EXPECT_TRUE(f.run_until([&] { return f.agree() && f.member(4).incarnation() > before; }, 5s));
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged() && f.member(4).incarnation() > before; }, 5s));
   f.run_for(10s);
   EXPECT_TRUE(f.dead_by.empty());
-  EXPECT_FALSE(f.member(4).duplicate());
+  EXPECT_FALSE(f.member(4).conflicting_address());
   for (std::size_t n = 0; n < 12; ++n)
     if (n != 4) {
       const auto& r = f.member(n).roster();
@@ -325,22 +326,23 @@
   f.form();
   const auto duplicate = f.clone(4);
   f.start(duplicate);
-  EXPECT_TRUE(f.run_until([&] { return f.member(4).duplicate() && f.member(duplicate).duplicate(); }, 10s));
-  EXPECT_EQ(*f.member(4).duplicate(), f.identity(duplicate).address);
-  EXPECT_EQ(*f.member(duplicate).duplicate(), f.identity(4).address);
+  EXPECT_TRUE(f.run_until(
+      [&] { return f.member(4).conflicting_address() && f.member(duplicate).conflicting_address(); }, 10s));
+  EXPECT_EQ(*f.member(4).conflicting_address(), f.identity(duplicate).address);
+  EXPECT_EQ(*f.member(duplicate).conflicting_address(), f.identity(4).address);
   f.run_for(5s);
   std::size_t changes = 0;
   f.on_change = [&](auto who, const Change& c) {
-    changes += who != 4 && who != duplicate && c.name == "n4" && c.kind != ChangeKind::metadata;
+    changes += who != 4 && who != duplicate && c.name == "n4" && c.kind != ChangeKind::metadata_updated;
   };
   f.run_for(20s);
   EXPECT_EQ(changes, 0u);
   f.kill(duplicate);
-  EXPECT_TRUE(f.run_until([&] { return !f.member(4).duplicate(); }, 20s));
+  EXPECT_TRUE(f.run_until([&] { return !f.member(4).conflicting_address(); }, 20s));
   EXPECT_TRUE(f.run_until(
       [&] {
         for (std::size_t n = 0; n < 10; ++n)
-          if (n != 4 && f.holds(n, 4) != Status::alive) return false;
+          if (n != 4 && f.status_of(n, 4) != Status::alive) return false;
         return true;
       },
       20s));
@@ -351,7 +353,7 @@
   TimePoint now{1h};
   Member member{{}, Identity{"n1", "z", address(1), {}, BootId(1), 10}, 1, now};
   Superseded() {
-    member.introduce({{"n0", address(0), BootId(9), 1, Status::alive, 0, 0, std::nullopt}}, now);
+    member.add_known_members({{"n0", address(0), BootId(9), 1, Status::alive, 0, 0, std::nullopt}}, now);
   }
   static Address address(std::uint16_t n) {
     Address a;
@@ -391,11 +393,11 @@
 TEST(Membership, WhoTakesItsNameBackGoesBeyondAllThatItsTwinWas) {
   Superseded s;
   s.metadata(10, Status::alive);
-  ASSERT_TRUE(s.member.duplicate());
+  ASSERT_TRUE(s.member.conflicting_address());
   s.metadata(17, Status::alive);
   EXPECT_EQ(s.member.incarnation(), 10u);
   s.pass(10s);
-  EXPECT_FALSE(s.member.duplicate());
+  EXPECT_FALSE(s.member.conflicting_address());
   EXPECT_GT(s.member.incarnation(), 17u);
 }
 
@@ -404,12 +406,12 @@
   f.form();
   f.kill(3);
   // n3's address answers again, under another name.
-  const auto counted = f.member(9).counters().not_mine;
+  const auto counted = f.member(9).counters().misaddressed;
   f.inject(9, ping_of({"n0", f.identity(0).address, f.identity(0).boot_id, f.member(0).incarnation(), 5000},
                       1, "n3"));
   f.run_for(1s);
-  EXPECT_EQ(f.member(9).counters().not_mine, counted + 1);
-  EXPECT_TRUE(f.run_until([&] { return f.all_know(3, Status::dead); }, 6s));
+  EXPECT_EQ(f.member(9).counters().misaddressed, counted + 1);
+  EXPECT_TRUE(f.run_until([&] { return f.all_report(3, Status::dead); }, 6s));
 }
 
 TEST(Membership, AReplayOfAnEarlierLifeChangesNothing) {
@@ -419,7 +421,7 @@
       ping_of({"n3", f.identity(3).address, f.identity(3).boot_id, f.member(3).incarnation(), 4000}, 7, "n0");
   f.kill(3);
   f.start(3);
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 5s));
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 5s));
   const auto boot_id = f.identity(3).boot_id;
   const auto stale = f.member(0).counters().stale_boot_id;
   for (int k = 0; k < 20; ++k) f.inject(0, old);
@@ -427,13 +429,13 @@
   EXPECT_EQ(f.member(0).counters().stale_boot_id, stale + 20);
   const auto& r = f.member(0).roster();
   EXPECT_EQ(r.at(r.find("n3")).boot_id, boot_id);
-  EXPECT_TRUE(f.agree());
+  EXPECT_TRUE(f.has_converged());
 }
 
 TEST(Membership, AReplayAfterTheSubjectWasForgottenRaisesNobody) {
   Options options;
-  options.shrink_after = 5s;
-  options.forget_after = 10s;
+  options.quorum_shrink_delay = 5s;
+  options.tombstone_ttl = 10s;
   Fleet f(8, 1, options);
   f.form();
   const Record late{
@@ -441,7 +443,7 @@
       30'000, std::nullopt};
   const Sender speaker{"n3", f.identity(3).address, f.identity(3).boot_id, f.member(3).incarnation(), 4000};
   f.kill(3);
-  EXPECT_TRUE(f.run_until([&] { return f.member(0).roster().find("n3") == kNobody; }, 60s));
+  EXPECT_TRUE(f.run_until([&] { return f.member(0).roster().find("n3") == kNoMember; }, 60s));
   f.inject(0, {speaker, Ping{7, "n0", {}}, {}, 0});
   f.inject(0, {{"n1", f.identity(1).address, f.identity(1).boot_id, f.member(1).incarnation(),
                 std::uint32_t(f.elapsed().count() / 1000)},
@@ -449,22 +451,22 @@
                {late},
                0});
   f.run_for(3s);
-  EXPECT_EQ(f.member(0).roster().find("n3"), kNobody);
+  EXPECT_EQ(f.member(0).roster().find("n3"), kNoMember);
   EXPECT_GE(f.member(0).counters().late, 1u);
 }
 
 TEST(Membership, ADeadOneThatComesBackAfterItWasForgottenIsNew) {
   Options options;
-  options.shrink_after = 5s;
-  options.forget_after = 10s;
+  options.quorum_shrink_delay = 5s;
+  options.tombstone_ttl = 10s;
   Fleet f(8, 1, options);
   f.form();
   f.kill(3);
-  EXPECT_TRUE(f.run_until([&] { return f.member(0).roster().find("n3") == kNobody; }, 60s));
-  EXPECT_EQ(f.member(0).agreed(), 7u);
+  EXPECT_TRUE(f.run_until([&] { return f.member(0).roster().find("n3") == kNoMember; }, 60s));
+  EXPECT_EQ(f.member(0).fleet_size(), 7u);
   f.start(3);
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 10s));
-  EXPECT_TRUE(f.run_until([&] { return f.member(0).agreed() == 8; }, 5s));
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 10s));
+  EXPECT_TRUE(f.run_until([&] { return f.member(0).fleet_size() == 8; }, 5s));
 }
 
 // All parts of a member go by the fresh times, not only those that look at them first.
@@ -472,16 +474,16 @@
   Fleet f(8);
   f.form();
   Options fresh;
-  fresh.shrink_after = 2s;
-  fresh.forget_after = 4s;
-  fresh.believe_for = 2s;
+  fresh.quorum_shrink_delay = 2s;
+  fresh.tombstone_ttl = 4s;
+  fresh.max_message_age = 2s;
   for (std::size_t n = 0; n < 8; ++n) {
     fresh.seeds = {f.identity(0).address};
-    f.member(n).change(fresh);
+    f.member(n).update_options(fresh);
   }
   f.kill(7);
-  EXPECT_TRUE(f.run_until([&] { return f.member(3).roster().find("n7") == kNobody; }, 20s));
-  EXPECT_EQ(f.member(3).agreed(), 7u);
+  EXPECT_TRUE(f.run_until([&] { return f.member(3).roster().find("n7") == kNoMember; }, 20s));
+  EXPECT_EQ(f.member(3).fleet_size(), 7u);
 }
 
 TEST(Membership, AFloodOfJoinsIsTakenInBounds) {
@@ -489,8 +491,8 @@
   for (std::size_t n = 0; n < 4; ++n) f.start(n);
   f.run_for(3s);
   for (std::size_t n = 4; n < 64; ++n) f.start(n);
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 20s));
-  for (std::size_t n = 0; n < 64; ++n) EXPECT_LT(f.member(n).pending(), 700u);
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 20s));
+  for (std::size_t n = 0; n < 64; ++n) EXPECT_LT(f.member(n).pending_items(), 700u);
 }
 
 TEST(Membership, AllSeedsDeadNobodyElseMindsAndTheyComeBack) {
@@ -500,7 +502,7 @@
   f.run_for(20s);
   for (std::size_t n = 3; n < 12; ++n) EXPECT_EQ(f.member(n).roster().alive(), 8u);
   for (std::size_t n = 0; n < 3; ++n) f.start(n);
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 10s));
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 10s));
 }
 
 TEST(Membership, AnOrderlyLeaveIsNoDeath) {
@@ -509,8 +511,8 @@
   f.leave(5);
   EXPECT_TRUE(f.run_until([&] { return f.member(5).has_left(); }, 2s));
   f.kill(5);
-  EXPECT_TRUE(f.run_until([&] { return f.all_know(5, Status::left); }, 3s));
-  EXPECT_EQ(f.member(0).agreed(), 11u);
+  EXPECT_TRUE(f.run_until([&] { return f.all_report(5, Status::left); }, 3s));
+  EXPECT_EQ(f.member(0).fleet_size(), 11u);
 }
 
 TEST(Membership, ALeaveWhoseDatagramsAreLostEndsAsADeath) {
@@ -520,7 +522,7 @@
   f.leave(5);
   EXPECT_TRUE(f.run_until([&] { return f.member(5).has_left(); }, 2s));
   f.kill(5);
-  EXPECT_TRUE(f.run_until([&] { return f.all_know(5, Status::dead); }, 10s));
+  EXPECT_TRUE(f.run_until([&] { return f.all_report(5, Status::dead); }, 10s));
 }
 
 TEST(Membership, ManyLeavesAtOnceKeepTheMajority) {
@@ -531,7 +533,7 @@
   for (std::size_t n = 0; n < 8; ++n) f.kill(n);
   f.run_for(10s);
   for (std::size_t n = 8; n < 20; ++n) {
-    EXPECT_TRUE(f.member(n).majority());
+    EXPECT_TRUE(f.member(n).has_quorum());
     EXPECT_EQ(f.member(n).roster().alive(), 11u);
   }
   EXPECT_TRUE(f.dead_by.empty());
@@ -548,14 +550,14 @@
   f.run_for(30s);
   EXPECT_TRUE(f.dead_by.empty());
   f.fault_injector().remove(id);
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 20s));
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 20s));
 }
 
 // Whoever has lost its first path is reached by its second one: an edge for those at both ends, and no death.
 TEST(Membership, ASecondPathKeepsWhoHasLostTheFirst) {
   for (const bool second : {true, false}) {
     Fleet f(10);
-    if (second) f.give_second_paths();
+    if (second) f.add_secondary_paths();
     f.form();
     const auto cut = f.cut({"n4"}, f.names(0, 4));
     const auto more = f.cut({"n4"}, f.names(5, 10));
@@ -563,32 +565,32 @@
     EXPECT_EQ(f.dead_by.contains("n4"), !second);
     if (second) {
       EXPECT_EQ(f.member(4).local_connectivity(), LocalConnectivity::ok);
-      EXPECT_TRUE(f.all_know(4, Status::alive));
+      EXPECT_TRUE(f.all_report(4, Status::alive));
       EXPECT_TRUE(f.member(4).roster().at(f.member(4).roster().find("n5")).link_broken);
     }
     f.fault_injector().remove(cut);
     f.fault_injector().remove(more);
-    EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 20s));
+    EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 20s));
   }
 }
 
 // Of two nobody else can help: only the second path tells a lost link from a lost peer.
 TEST(Membership, TwoWithASecondPathStayTogether) {
   Fleet f(2);
-  f.give_second_paths();
+  f.add_secondary_paths();
   f.form();
   f.cut({"n0"}, {"n1"});
   f.run_for(30s);
-  EXPECT_EQ(f.holds(0, 1), Status::alive);
-  EXPECT_EQ(f.holds(1, 0), Status::alive);
-  EXPECT_TRUE(f.member(0).majority());
+  EXPECT_EQ(f.status_of(0, 1), Status::alive);
+  EXPECT_EQ(f.status_of(1, 0), Status::alive);
+  EXPECT_TRUE(f.member(0).has_quorum());
   EXPECT_EQ(f.member(0).local_connectivity(), LocalConnectivity::ok);
 }
 
 TEST(Membership, ALargeFleetFormsSoonAfterTheLastStart) {
   Fleet f(300);
   f.start_all(6s);
-  EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 12s));
+  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 12s));
 }
 
 // An exchange carries what differs: between like views it is two datagrams, however large the fleet.
@@ -596,11 +598,11 @@
   Fleet f(120);
   f.form();
   f.run_for(30s);
-  f.reset_figures();
+  f.reset_stats();
   f.run_for(30s);
   // Full exchanges of 120 members at this rate would be over 6 KB a member and second by themselves.
-  EXPECT_LT(double(f.figures().bytes) * 2 / 30 / 120, 6000);
-  EXPECT_TRUE(f.agree());
+  EXPECT_LT(double(f.stats().bytes) * 2 / 30 / 120, 6000);
+  EXPECT_TRUE(f.has_converged());
 }
 
 // Loads that wander by a hundredth at a time are no news; a jump is.
@@ -609,13 +611,13 @@
   f.form();
   auto& m = f.member(3);
   const auto version = m.metadata().version;
-  for (int k = 0; k < 9; ++k) m.tell(Stage::starting, 0, std::uint8_t(k), {}, f.now());
+  for (int k = 0; k < 9; ++k) m.update_metadata(Stage::starting, 0, std::uint8_t(k), {}, f.now());
   EXPECT_EQ(m.metadata().version, version);
-  m.tell(Stage::starting, 0, 40, {}, f.now());
+  m.update_metadata(Stage::starting, 0, 40, {}, f.now());
   EXPECT_EQ(m.metadata().version, version + 1);
-  m.tell(Stage::starting, 0, 80, {}, f.now());  // too soon after the last one
+  m.update_metadata(Stage::starting, 0, 80, {}, f.now());  // too soon after the last one
   EXPECT_EQ(m.metadata().version, version + 1);
-  m.tell(Stage::serving, 0, 80, {}, f.now());  // a stage is told at once
+  m.update_metadata(Stage::serving, 0, 80, {}, f.now());  // a stage is told at once
   EXPECT_EQ(m.metadata().version, version + 2);
 }
 
@@ -658,26 +660,26 @@
       }
       f.run_for(2500ms);
       for (std::size_t k = 0; k < 14; ++k) {
-        if (!f.lives(k)) continue;
+        if (!f.is_running(k)) continue;
         auto& m = f.member(k);
-        EXPECT_LT(m.pending(), 700u);
+        EXPECT_LT(m.pending_items(), 700u);
         const auto& r = m.roster();
-        for (Index i = 0; i < r.places(); ++i) {
+        for (Index i = 0; i < r.slot_count(); ++i) {
           if (!r.at(i).known) continue;
           auto& known = highest[f.name(k) + "/" + r.at(i).name];
           EXPECT_GE(r.at(i).incarnation, known);
           known = std::max(known, r.at(i).incarnation);
-          if (m.majority() && !m.uncertain() && !faulty.contains(f.name(k)) &&
+          if (m.has_quorum() && !m.uncertain() && !faulty.contains(f.name(k)) &&
               !faulty.contains(r.at(i).name)) {
-            EXPECT_NE(r.at(i).certain, Status::dead) << "seed " << seed << " " << r.at(i).name;
+            EXPECT_NE(r.at(i).certain_status, Status::dead) << "seed " << seed << " " << r.at(i).name;
           }
         }
       }
     }
     f.fault_injector().clear();
     for (std::size_t k = 0; k < 14; ++k) f.resume(k);
-    EXPECT_TRUE(f.run_until([&] { return f.agree(); }, 40s)) << "seed " << seed;
-    EXPECT_LE(f.figures().largest, kMaxDatagram);
+    EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 40s)) << "seed " << seed;
+    EXPECT_LE(f.stats().largest, kMaxDatagram);
   }
 }
 
@@ -687,7 +689,7 @@
     f.form();
     f.loss(0.2);
     f.run_for(20s);
-    return std::pair(f.figures().datagrams, f.figures().bytes);
+    return std::pair(f.stats().datagrams, f.stats().bytes);
   };
   EXPECT_EQ(play(), play());
 }
--- a/tests/membership_views_test.cpp
+++ b/tests/membership_views_test.cpp
@@ -19,25 +19,25 @@
     p.metadata.stage = Stage::serving;
     v.peers.push_back(std::move(p));
   }
-  v.agreed = peers + 1;
+  v.fleet_size = peers + 1;
   return v;
 }
 
 TEST(Views, BackoffIsSpreadOnlyWhileSomeAreMissing) {
-  EXPECT_EQ(spread_backoff(50ms, 1s, 0, 0.9), 50ms);
-  EXPECT_EQ(spread_backoff(0ms, 1s, 0.5, 0.9), 0ms);
-  EXPECT_EQ(spread_backoff(50ms, 1s, 0.5, 0), 50ms);
-  EXPECT_EQ(spread_backoff(50ms, 1s, 0.5, 0.5), 150ms);  // a window of 8 * 0.5 * 50 ms
-  EXPECT_EQ(spread_backoff(50ms, 80ms, 1, 1), 80ms);     // never over what the settings allow
-  EXPECT_EQ(spread_backoff(90ms, 80ms, 1, 1), 90ms);
+  EXPECT_EQ(jittered_backoff(50ms, 1s, 0, 0.9), 50ms);
+  EXPECT_EQ(jittered_backoff(0ms, 1s, 0.5, 0.9), 0ms);
+  EXPECT_EQ(jittered_backoff(50ms, 1s, 0.5, 0), 50ms);
+  EXPECT_EQ(jittered_backoff(50ms, 1s, 0.5, 0.5), 150ms);  // a window of 8 * 0.5 * 50 ms
+  EXPECT_EQ(jittered_backoff(50ms, 80ms, 1, 1), 80ms);     // never over what the settings allow
+  EXPECT_EQ(jittered_backoff(90ms, 80ms, 1, 1), 90ms);
 }
 
 TEST(Views, MissingAreThoseOfTheAgreedFleetThatAreNotAlive) {
   auto v = fleet(9);
-  EXPECT_EQ(missing_share(v), 0);
-  v.peers[0].present = Status::suspect;
-  v.peers[1].present = Status::dead;
-  EXPECT_DOUBLE_EQ(missing_share(v), 0.2);
+  EXPECT_EQ(missing_fraction(v), 0);
+  v.peers[0].status = Status::suspect;
+  v.peers[1].status = Status::dead;
+  EXPECT_DOUBLE_EQ(missing_fraction(v), 0.2);
 }
 
 TEST(Views, OneProbesForAllAndOnlyItsOwnMoveWhenItGoes) {
@@ -46,7 +46,7 @@
   auto less = v;
   less.peers[7].present = Status::dead;
   for (std::uint64_t d = 1; d <= 200; ++d) {
-    const auto before = prober_of(v, d), after = prober_of(less, d);
+    const auto before = health_checker_of(v, d), after = health_checker_of(less, d);
     if (before == v.peers[7].hash)
       ++moved;
     else
@@ -56,7 +56,7 @@
     auto other = v;
     other.own_hash = v.peers[0].hash;
     other.peers[0].hash = v.own_hash;
-    EXPECT_EQ(prober_of(other, d), before);
+    EXPECT_EQ(health_checker_of(other, d), before);
   }
   EXPECT_GT(moved, 0u);
   EXPECT_LT(moved, 40u);
@@ -65,19 +65,19 @@
 TEST(Views, WithoutAMajorityEachProbesAlone) {
   auto v = fleet(5);
   std::uint64_t d = 1;
-  while (prober_of(v, d) == v.own_hash) ++d;
-  const auto chosen = prober_of(v, d);
-  EXPECT_TRUE(probes_itself(v, d));  // the chosen one says nothing of it
+  while (health_checker_of(v, d) == v.own_hash) ++d;
+  const auto chosen = health_checker_of(v, d);
+  EXPECT_TRUE(should_health_check(v, d));  // the chosen one says nothing of it
   for (auto& p : v.peers)
     if (p.hash == chosen) p.metadata.endpoint_health = {{d, true}};
-  EXPECT_FALSE(probes_itself(v, d));
-  EXPECT_FALSE(told_back(v, d));
+  EXPECT_FALSE(should_health_check(v, d));
+  EXPECT_FALSE(reported_recovered(v, d));
   for (auto& p : v.peers)
     if (p.hash == chosen) p.metadata.endpoint_health = {{d, false}};
-  EXPECT_TRUE(told_back(v, d));
-  v.majority = false;
-  EXPECT_TRUE(probes_itself(v, d));
-  EXPECT_FALSE(told_back(v, d));
+  EXPECT_TRUE(reported_recovered(v, d));
+  v.has_quorum = false;
+  EXPECT_TRUE(should_health_check(v, d));
+  EXPECT_FALSE(reported_recovered(v, d));
 }
 
 TEST(Views, AnOutageIsProbedByOneForAll) {
--- a/tests/recovery_controller_test.cpp
+++ b/tests/recovery_controller_test.cpp
@@ -30,7 +30,7 @@
   p.metadata.stage = Stage::serving;
   p.metadata.recovery_status.phase = std::uint8_t(1 + std::uint8_t(phase));
   p.metadata.recovery_status.donor_port = 9000;
-  p.metadata.generation = 1'000'000;
+  p.metadata.boot_incarnation = 1'000'000;
   p.address.port = 7000;
   p.address.ip[0] = 127;
   p.boot_id = membership::BootId(p.hash);
@@ -41,7 +41,7 @@
   for (std::size_t k = 0; k < able; ++k) v.peers.push_back(peer("f" + std::to_string(k), Phase::full));
   for (std::size_t k = 0; k < returning; ++k)
     v.peers.push_back(peer("r" + std::to_string(k), Phase::ramping));
-  v.agreed = 1 + able + returning + gone;
+  v.fleet_size = 1 + able + returning + gone;
   return v;
 }
 
@@ -64,7 +64,7 @@
     v.peers.push_back(peer("new" + std::to_string(k), Phase::blank));
     v.peers.back().metadata = {};
   }
-  v.agreed = 9;
+  v.fleet_size = 9;
   EXPECT_EQ(fleet_status_of(v).others, 4u);
   EXPECT_DOUBLE_EQ(fleet_status_of(v).returning, 0);
 }
@@ -74,18 +74,18 @@
   auto v = seen(8, 0);
   v.peers.push_back(peer("x", Phase::ramping, "b"));
   v.peers.push_back(peer("y", Phase::ramping, "b"));
-  v.agreed = 11;
+  v.fleet_size = 11;
   EXPECT_DOUBLE_EQ(fleet_status_of(v).returning, 0.5);
 }
 
 TEST(FleetStatus, WhoLeftInOrderIsNotMissedAndWhoSaysNothingGoesByItsStage) {
   auto v = seen(4, 0);
   v.peers.push_back(peer("gone", Phase::full));
-  v.peers.back().present = Status::left;
+  v.peers.back().status = Status::left;
   auto silent = peer("old", Phase::full);
   silent.metadata.recovery_status = {};
   v.peers.push_back(silent);
-  v.agreed = 6;
+  v.fleet_size = 6;
   EXPECT_DOUBLE_EQ(fleet_status_of(v).returning, 0);
   v.peers.back().metadata.stage = Stage::starting;
   EXPECT_DOUBLE_EQ(fleet_status_of(v).returning, 0.2);
@@ -346,7 +346,7 @@
   View v;
   for (int k = 0; k < 6; ++k) {
     auto p = peer("p" + std::to_string(k), Phase::full, k < 2 ? "mine" : "other");
-    p.metadata.generation = std::uint64_t(10 - k) * 1'000'000;
+    p.metadata.boot_incarnation = std::uint64_t(10 - k) * 1'000'000;
     v.peers.push_back(p);
   }
   v.peers.push_back(peer("new", Phase::ramping, "mine"));
--- a/tests/recovery_process_test.cpp
+++ b/tests/recovery_process_test.cpp
@@ -316,7 +316,7 @@
     ASSERT_EQ(::mkfifo(note.c_str(), 0600), 0);  // whoever opens it waits
     f.up();
     ASSERT_TRUE(f.until([&] { return f.says("does not answer: keyed requests are refused"); }, kLong));
-    const auto way = membership_udp::ask(f.bound("n0"), 2s, true);
+    const auto way = membership_udp::query_status(f.bound("n0"), 2s, true);
     ASSERT_TRUE(way && way->recovery_report);
     EXPECT_GT(way->recovery_report->keyed_wait_ms, 1'000'000'000u);  // no end in sight
     EXPECT_EQ(f.report(kToken)->code, 1);
@@ -355,7 +355,7 @@
     return o;
   }
   std::optional<membership_udp::RecoveryReport> way(const std::string& name) const {
-    const auto r = membership_udp::ask(bound(name), 2s, true);
+    const auto r = membership_udp::query_status(bound(name), 2s, true);
     return r ? r->recovery_report : std::nullopt;
   }
   bool in_service(const std::string& name) const {
@@ -397,7 +397,7 @@
             const auto v = view(name);
             if (!v) return false;
             for (const auto& l : v->lines)
-              if (l.recovery_status.donor_port == 0 || l.recovery_status.full_ms == 0) return false;
+              if (l.recovery_status.donor_port == 0 || l.recovery_status.full_service_ms == 0) return false;
           }
           return true;
         },
@@ -425,7 +425,7 @@
       [&] {
         const auto v = f.view("n0");
         for (const auto& l : v->lines)
-          if (l.name == "n2") return l.recovery_status.full_ms > 0;
+          if (l.name == "n2") return l.recovery_status.full_service_ms > 0;
         return false;
       },
       kLong));
--- a/tools/fleet/health_check_simulation.h
+++ b/tools/fleet/health_check_simulation.h
@@ -67,7 +67,7 @@
           peer.metadata.endpoint_health = all[k].found;
           view->peers.push_back(std::move(peer));
         }
-        view->agreed = servers;
+        view->fleet_size = servers;
         all[n].gatherer->fleet(view, now);
       }
       if (gone && now > out_from + 30s) {
@@ -80,7 +80,7 @@
             p.metadata.stage = membership::Stage::serving;
             v.peers.push_back(p);
           }
-          return membership::prober_of(v, membership::name_hash(d.name + " 127.0.0.1 9001"));
+          return membership::health_checker_of(v, membership::name_hash(d.name + " 127.0.0.1 9001"));
         }();
         for (auto& s : all)
           if (membership::name_hash(s.name) == chosen) s.lives = false;
--- a/tools/fleet/process_fleet.cpp
+++ b/tools/fleet/process_fleet.cpp
@@ -348,11 +348,11 @@
   return on_io([&] { return network_->fault_injector().seen(); });
 }
 
-std::optional<membership_udp::Reply> Fleet::view(const std::string& name,
-                                                 std::chrono::milliseconds within) const {
+std::optional<membership_udp::StatusReply> Fleet::view(const std::string& name,
+                                                       std::chrono::milliseconds within) const {
   const auto& p = at(name);
   if (!p.pid || p.status || p.paused) return std::nullopt;
-  return membership_udp::ask(membership_udp::address_of(p.bound), within);
+  return membership_udp::query_status(membership_udp::address_of(p.bound), within);
 }
 
 std::optional<Status> Fleet::holds(const std::string& who, const std::string& of) const {
--- a/tools/fleet/process_fleet.h
+++ b/tools/fleet/process_fleet.h
@@ -93,8 +93,8 @@
   void inject(const std::string& from, const std::string& to, std::string bytes);
 
   // What a process holds of the fleet; absent where it does not answer.
-  std::optional<membership_udp::Reply> view(const std::string& name,
-                                            std::chrono::milliseconds within = std::chrono::seconds(2)) const;
+  std::optional<membership_udp::StatusReply> view(
+      const std::string& name, std::chrono::milliseconds within = std::chrono::seconds(2)) const;
   std::optional<membership::Status> holds(const std::string& who, const std::string& of) const;
   // Every process that runs holds exactly those that run alive.
   bool agree() const;
