--- a/tools/fleet/simulated_fleet.cpp
+++ b/tools/fleet/simulated_fleet.cpp
@@ -40,10 +40,10 @@
   }
 }
 
-void SimulatedFleet::give_second_paths() {
+void SimulatedFleet::add_secondary_paths() {
   for (Node n = 0; n < nodes_.size(); ++n) {
-    nodes_[n].identity.second = address_of(n, 9500);
-    addresses_[nodes_[n].identity.second] = n;
+    nodes_[n].identity.secondary_address = address_of(n, 9500);
+    addresses_[nodes_[n].identity.secondary_address] = n;
   }
 }
 
@@ -52,12 +52,12 @@
   ++place.lives;
   place.paused = false;
   place.identity.boot_id = membership::BootId(random_());
-  place.identity.first =
+  place.identity.first_incarnation =
       first ? first
             : membership::Incarnation(1'000'000 + elapsed().count() / 1000 + std::int64_t(place.lives));
   place.member = std::make_unique<membership::Member>(options_, place.identity, random_(), now_);
   place.wake = {};
-  pass_on(n);
+  dispatch_outputs(n);
 }
 
 void SimulatedFleet::start_all(Duration over) {
@@ -75,10 +75,10 @@
     all.push_back({m.self().name, m.self().address, m.self().boot_id, m.incarnation(), Status::alive, 0, 0,
                    m.metadata()});
   }
-  for (auto& place : nodes_) place.member->introduce(all, now_);
+  for (auto& place : nodes_) place.member->add_known_members(all, now_);
 }
 
-void SimulatedFleet::move(Node n, std::uint16_t port) {
+void SimulatedFleet::change_port(Node n, std::uint16_t port) {
   addresses_.erase(nodes_[n].identity.address);
   nodes_[n].identity.address.port = port;
   addresses_[nodes_[n].identity.address] = n;
@@ -108,24 +108,25 @@
   queue_.push({now_ + after, order_++, to, 0, std::make_shared<const Datagram>(std::move(datagram)), bytes});
 }
 
-void SimulatedFleet::pass_on(Node n) {
+void SimulatedFleet::dispatch_outputs(Node n) {
   auto& place = nodes_[n];
   for (auto& change : place.member->take_changes()) {
-    if (change.own && (change.kind == ChangeKind::died || change.kind == ChangeKind::suspected)) {
+    if (change.detected_locally &&
+        (change.kind == ChangeKind::died || change.kind == ChangeKind::suspected)) {
       const auto whom = names_.find(change.name);
       if (whom != names_.end() && nodes_[whom->second].member && !nodes_[whom->second].paused)
-        ++(change.kind == ChangeKind::died ? figures_.false_dead : figures_.flaps);
+        ++(change.kind == ChangeKind::died ? stats_.false_dead : stats_.flaps);
     }
     if (on_change) on_change(n, change);
   }
-  for (auto& send : place.member->take_sends()) {
-    const auto bytes = membership::max_bytes(send.datagram);
-    ++figures_.datagrams;
-    figures_.bytes += bytes;
-    figures_.largest = std::max(figures_.largest, bytes);
+  for (auto& send : place.member->take_outgoing()) {
+    const auto bytes = membership::max_encoded_size(send.datagram);
+    ++stats_.datagrams;
+    stats_.bytes += bytes;
+    stats_.largest = std::max(stats_.largest, bytes);
     const auto to = addresses_.find(send.to);
     if (to == addresses_.end()) continue;
-    const std::string path = send.second ? "/2" : "";
+    const std::string path = send.via_secondary ? "/2" : "";
     const auto fate = fault_injector_.fate(place.identity.name + path,
                                            nodes_[to->second].identity.name + path, bytes, elapsed());
     if (fate.corrupt || fate.arrives.empty()) continue;  // the checksum finds it
@@ -153,7 +154,7 @@
     if (place.wake <= now_) place.wake = {};
     if (place.member->next_wake() <= now_) place.member->wake(now_);
   }
-  pass_on(e.node);
+  dispatch_outputs(e.node);
 }
 
 void SimulatedFleet::run_for(Duration span) {
@@ -176,20 +177,20 @@
   return holds();
 }
 
-std::optional<Status> SimulatedFleet::holds(Node who, Node of) const {
+std::optional<Status> SimulatedFleet::status_of(Node who, Node of) const {
   const auto& roster = nodes_[who].member->roster();
   const auto i = roster.find(nodes_[of].identity.name);
-  if (i == membership::kNobody) return std::nullopt;
+  if (i == membership::kNoMember) return std::nullopt;
   return roster.at(i).status;
 }
 
-bool SimulatedFleet::all_know(Node of, Status status) const {
+bool SimulatedFleet::all_report(Node of, Status status) const {
   for (Node n = 0; n < nodes_.size(); ++n)
-    if (n != of && nodes_[n].member && !nodes_[n].paused && holds(n, of) != status) return false;
+    if (n != of && nodes_[n].member && !nodes_[n].paused && status_of(n, of) != status) return false;
   return true;
 }
 
-bool SimulatedFleet::agree() const {
+bool SimulatedFleet::has_converged() const {
   std::size_t living = 0;
   for (const auto& place : nodes_) living += place.member != nullptr;
   for (Node n = 0; n < nodes_.size(); ++n) {
@@ -197,7 +198,7 @@
     if (nodes_[n].member->roster().present() + 1 != living) return false;
     if (nodes_[n].member->roster().alive() + 1 != living) return false;
     for (Node of = 0; of < nodes_.size(); ++of)
-      if (of != n && nodes_[of].member && holds(n, of) != Status::alive) return false;
+      if (of != n && nodes_[of].member && status_of(n, of) != Status::alive) return false;
   }
   return true;
 }
--- a/tools/fleet/simulated_fleet.h
+++ b/tools/fleet/simulated_fleet.h
@@ -19,7 +19,7 @@
   SimulatedFleet(membership::Options options, std::uint64_t seed, std::size_t nodes, std::size_t zones = 3,
                  std::size_t seeds = 3);
   // Before the start: each has a second path; to the fault_injector its ends are "n0/2" and so on.
-  void give_second_paths();
+  void add_secondary_paths();
 
   void start_all(Duration over);
   void start(Node n, membership::Incarnation first = 0);  // another life where it has lived; 0: by the clock
@@ -32,9 +32,9 @@
   void starve(Node n, Duration by) { nodes_[n].starved = by; }
   void leave(Node n) {
     nodes_[n].member->leave(now_);
-    pass_on(n);
+    dispatch_outputs(n);
   }
-  void move(Node n, std::uint16_t port);  // its next life is reached elsewhere
+  void change_port(Node n, std::uint16_t port);  // its next life is reached elsewhere
   void inject(Node to, membership::Datagram datagram, std::size_t bytes = 300, Duration after = {});
   // Two processes under one name: the second is a node of its own.
   Node clone(Node n);
@@ -44,27 +44,27 @@
   bool run_until(const std::function<bool()>& holds, Duration most);
 
   std::size_t size() const { return nodes_.size(); }
-  bool lives(Node n) const { return nodes_[n].member != nullptr; }
+  bool is_running(Node n) const { return nodes_[n].member != nullptr; }
   membership::Member& member(Node n) { return *nodes_[n].member; }
   const std::string& name(Node n) const { return nodes_[n].identity.name; }
   const membership::Identity& identity(Node n) const { return nodes_[n].identity; }
   // What `who` holds of `of`; absent where it does not know it.
-  std::optional<membership::Status> holds(Node who, Node of) const;
+  std::optional<membership::Status> status_of(Node who, Node of) const;
   // Every living one holds every living one alive and no other one so.
-  bool agree() const;
-  bool all_know(Node of, membership::Status status) const;
+  bool has_converged() const;
+  bool all_report(Node of, membership::Status status) const;
   standin::FaultInjector& fault_injector() { return fault_injector_; }
   TimePoint now() const { return now_; }
   Duration elapsed() const { return now_ - TimePoint{}; }
 
-  struct Figures {
+  struct Stats {
     std::uint64_t datagrams = 0, bytes = 0;  // sent; estimated by the codec's bound
     std::uint64_t false_dead = 0;            // deaths declared of those that lived and were not paused
     std::uint64_t flaps = 0;                 // suspicions of such
     std::size_t largest = 0;                 // datagram
   };
-  const Figures& figures() const { return figures_; }
-  void reset_figures() { figures_ = {}; }
+  const Stats& stats() const { return stats_; }
+  void reset_stats() { stats_ = {}; }
   // Hears every change of every view.
   std::function<void(Node, const membership::Change&)> on_change;
 
@@ -86,7 +86,7 @@
     std::size_t bytes = 0;
     bool operator>(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
-  void pass_on(Node n);
+  void dispatch_outputs(Node n);
   void handle(const Event& e);
   Node whose(const membership::Address& address) const;
 
@@ -100,7 +100,7 @@
   std::vector<std::vector<Event>> waiting_;  // of paused ones
   TimePoint now_{};
   std::uint64_t order_ = 0;
-  Figures figures_;
+  Stats stats_;
 };
 
 }  // namespace granitegap::fleet
