--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -611,7 +611,7 @@
   // Without a majority the missing may be this one: its advice stays as it is.
   fleet_->missing = news.view->has_quorum ? membership::missing_fraction(*news.view) : 0;
   if (course_) course_->fleet(recovery::fleet_status_of(*news.view), now_.steady);
-  if (lost_memory_) lost_memory_->another_lives(news.view->duplicate, now_.steady);
+  if (lost_memory_) lost_memory_->another_lives(news.view->name_conflict, now_.steady);
   if (gatherer_) gatherer_->fleet(news.view, now_.steady);
 }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -94,7 +94,7 @@
     if (const char* folder = std::getenv("TMPDIR")) extras.shared_folder = folder;
   }
   if (extras.declared && extras.declared->membership)
-    extras.declared->membership->options.plain = options.plain_membership;
+    extras.declared->membership->options.baseline_mode = options.plain_membership;
   // Guards against gathers that wait until they are due for a leave that the module can never give.
   const auto& settings = config.parsed.settings;
   if (extras.declared && !extras.declared->spec.gathers.empty() && settings.downstream != Downstream::none &&
--- a/tests/membership_views_test.cpp
+++ b/tests/membership_views_test.cpp
@@ -44,7 +44,7 @@
   const auto v = fleet(20);
   std::size_t moved = 0;
   auto less = v;
-  less.peers[7].present = Status::dead;
+  less.peers[7].status = Status::dead;
   for (std::uint64_t d = 1; d <= 200; ++d) {
     const auto before = health_checker_of(v, d), after = health_checker_of(less, d);
     if (before == v.peers[7].hash)
--- a/tests/recovery_process_test.cpp
+++ b/tests/recovery_process_test.cpp
@@ -396,7 +396,7 @@
           for (const auto& name : running()) {
             const auto v = view(name);
             if (!v) return false;
-            for (const auto& l : v->lines)
+            for (const auto& l : v->members)
               if (l.recovery_status.donor_port == 0 || l.recovery_status.full_service_ms == 0) return false;
           }
           return true;
@@ -424,7 +424,7 @@
   EXPECT_TRUE(f.until(
       [&] {
         const auto v = f.view("n0");
-        for (const auto& l : v->lines)
+        for (const auto& l : v->members)
           if (l.name == "n2") return l.recovery_status.full_service_ms > 0;
         return false;
       },
--- a/tests/typed_config_test.cpp
+++ b/tests/typed_config_test.cpp
@@ -192,7 +192,7 @@
   EXPECT_EQ(m->options.seeds.size(), 1u);
   EXPECT_EQ(m->options.seeds[0].port, 9102);
   EXPECT_EQ(m->options.period, std::chrono::milliseconds(200));
-  EXPECT_EQ(m->options.indirect, 3u);
+  EXPECT_EQ(m->options.indirect_probes, 3u);
 }
 
 TEST(OperatorFile, MembershipErrorsNameTheirField) {
--- a/tools/fleet/process_fleet.cpp
+++ b/tools/fleet/process_fleet.cpp
@@ -358,7 +358,7 @@
 std::optional<Status> Fleet::holds(const std::string& who, const std::string& of) const {
   const auto v = view(who);
   if (!v) return std::nullopt;
-  for (const auto& l : v->lines)
+  for (const auto& l : v->members)
     if (l.name == of) return l.status;
   return std::nullopt;
 }
@@ -374,7 +374,7 @@
                       ended.si_pid == p.pid;
     all += name + (p.status || gone ? " (ended)" : p.paused ? " (paused)" : "") + ":";
     if (const auto v = gone ? std::nullopt : view(name))
-      for (const auto& l : v->lines)
+      for (const auto& l : v->members)
         all += " " + l.name + "/" + std::to_string(l.incarnation) + " " + membership::text_of(l.status) + ",";
     all += "\n" + text + "\n";
   }
@@ -401,7 +401,7 @@
     const auto v = view(name);
     if (!v) return false;
     Names alive;
-    for (const auto& l : v->lines)
+    for (const auto& l : v->members)
       if (l.status == Status::alive) alive.insert(l.name);
     if (alive != living) return false;
   }
