--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -41,7 +41,7 @@
 
 struct Identity {
   std::string name, zone;
-  Address address;  // advertised
+  Address address;            // advertised
   Address secondary_address;  // advertised for a second network path; no port: there is none
   BootId boot_id{};
   Incarnation first_incarnation = 1;  // of this life; beyond it where an earlier life is heard of
@@ -63,7 +63,7 @@
   left,     // announced a graceful leave
   removed,  // its tombstone was pruned
   metadata_updated,
-  link_broken,     // one direction of the direct link fails
+  link_broken,  // one direction of the direct link fails
   link_recovered,
   local_connectivity,  // of this member
   view_certainty,      // the view became uncertain, or certain again
@@ -72,7 +72,7 @@
 };
 struct Change {
   ChangeKind kind{};
-  std::string name;  // whom it is about
+  std::string name;               // whom it is about
   bool detected_locally = false;  // by this member, not learned by gossip
 };
 
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -73,7 +73,7 @@
   std::uint64_t boot_incarnation = 0;                     // the incarnation with which this life began
   std::string zone;
   Address conflicting_address;  // another live process under its name, where there is one
-  Address secondary_address;               // where it is reached by another path, should it have one
+  Address secondary_address;    // where it is reached by another path, should it have one
   RecoveryStatus recovery_status;
   std::uint16_t cache_fill_port =
       0;                        // TCP, on the address it advertises: fills keys for others; 0: it does not
