--- a/tests/membership_process_test.cpp
+++ b/tests/membership_process_test.cpp
@@ -394,7 +394,7 @@
   o.ipv6 = true;
   Trial f(4, o);
   f.form();
-  EXPECT_EQ(f.view("n0")->lines.front().address.front(), '[');
+  EXPECT_EQ(f.view("n0")->members.front().address.front(), '[');
   f.kill("n2");
   EXPECT_TRUE(f.until([&] { return f.all_hold("n2", Status::dead); }, kLong));
   f.start("n2");
