--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -9,7 +9,7 @@
 #include <boost/asio/write.hpp>
 #include <chrono>
 
-#include "net/accept.h"
+#include "net/accept_loop.h"
 
 namespace granitegap::admin {
 namespace {
@@ -68,8 +68,10 @@
 
 asio::awaitable<void> AdminServer::serve() {
   // A named variable: GCC 12 destroys a temporary in a co_await expression twice.
-  const net::Take take = [this](tcp::socket socket, const asio::ip::address&) { accept(std::move(socket)); };
-  co_await net::accept_each(acceptor_, closed_, take);
+  const net::ConnectionHandler take = [this](tcp::socket socket, const asio::ip::address&) {
+    accept(std::move(socket));
+  };
+  co_await net::accept_connections(acceptor_, closed_, take);
 }
 
 void AdminServer::accept(tcp::socket socket) {
