--- a/src/operators/operator_config.cpp
+++ b/src/operators/operator_config.cpp
@@ -230,20 +230,6 @@
       m.options.seeds.push_back(seed);
     }
     auto& o = m.options;
-<<<<<<< HEAD:src/operators/operator_file.cpp
-    o.period = v["period"].as_span();
-    o.min_probe_timeout = v["late_least"].as_span();
-    o.indirect_probes = unsigned(v["indirect"].as_int());
-    o.suspicion_multiplier = v["suspicion"].as_number();
-    o.max_suspicion_multiplier = v["suspicion_most"].as_number();
-    o.confirmations = unsigned(v["confirmations"].as_int());
-    o.retransmit_multiplier = unsigned(v["spread"].as_int());
-    o.mass_failure_fraction = v["mass_share"].as_number();
-    o.quorum_shrink_delay = v["shrink_after"].as_span();
-    o.tombstone_ttl = v["forget_after"].as_span();
-    o.max_message_age = v["believe_for"].as_span();
-    o.min_fleet_size = std::size_t(v["expected"].as_int());
-=======
     o.period = v["period"].as_duration();
     o.min_probe_timeout = v["late_least"].as_duration();
     o.indirect_probes = unsigned(v["indirect"].as_int());
@@ -256,7 +242,6 @@
     o.tombstone_ttl = v["forget_after"].as_duration();
     o.max_message_age = v["believe_for"].as_duration();
     o.min_fleet_size = std::size_t(v["expected"].as_int());
->>>>>>> main:src/operators/operator_config.cpp
     o.max_members = std::size_t(v["members_most"].as_int());
     // Guards against a late word that raises one of whom nobody knows any more that it is dead.
     if (2 * o.max_message_age > o.tombstone_ttl)
