--- a/examples/host.cpp
+++ b/examples/host.cpp
@@ -10,15 +10,15 @@
   settings.memory_kb = 100000;
   settings.cold = false;
   ClassSettings reads;
-  reads.aim = reads.deadline = std::chrono::seconds(1);
-  reads.effect = Effect::repeatable;
+  reads.latency_objective = reads.deadline = std::chrono::seconds(1);
+  reads.idempotency = Idempotency::idempotent;
   settings.classes = {reads};
 
   AdmissionController controller(settings, 1, TimePoint{});
   controller.start();
   RequestArrived request;
   request.id = RequestId(7);
-  request.memory = Kilobytes(20000);
+  request.memory = MemorySize(20000);
   const Event arrived = request;
   bool ran = false;
   for (const auto& action : controller.handle(TimePoint{} + std::chrono::milliseconds(5), {&arrived, 1}))
--- a/include/granitegap/policy.h
+++ b/include/granitegap/policy.h
@@ -1,16 +1,18 @@
-// The interface of granitegap: the settings, events and actions of one server instance.
+// The public interface of granitegap: the settings, events and actions of the admission controller of one
+// server instance. The credit pool and its delay targets follow CoreSync (joint core and credit control);
+// docs/design.md tells where the controller departs from it.
 //
 // Contract
 //  - Threads: one controller belongs to one instance; calls must not overlap. It starts no thread, reads no
 //    clock and does no I/O. Two controllers share nothing.
-//  - Time: the host passes `now` with each batch, on any steady scale that only goes forward. Time that
-//    stands still is fine; time that runs backward is read as the latest time seen.
+//  - Time: the host passes `now` with each batch, on any steady scale that only goes forward. Equal times are
+//    fine; a time before the latest one seen is read as the latest one.
 //  - Ownership: everything is a value. handle() returns the actions to apply at once, in order.
-//  - The host guarantees: ids are not reused within an instance's life; it reports the end of every Run,
-//    Reuse and Call; a timer fires no earlier than asked and never within the batch that set it.
-//  - Misuse: a duplicate id, an event about an unknown or finished request, or an unknown timer token is
-//    ignored; missing, contradictory or non-finite settings are replaced by cautious ones and named in one
-//    Log.
+//  - The host guarantees: ids are not reused during an instance's life; it reports the end of every Run,
+//    ReuseResult and Call; a timer fires no earlier than asked and never within the batch that set it.
+//  - Errors: none are thrown. A duplicate id, an event about an unknown or finished request, or an unknown
+//    timer token is ignored; missing, contradictory or non-finite settings are replaced by conservative ones
+//    and named in one Log.
 #pragma once
 
 #include <chrono>
@@ -25,7 +27,9 @@
 namespace granitegap {
 
 using Duration = std::chrono::microseconds;
-struct HostClock {  // never read: it only gives TimePoint a type of its own
+
+/// Gives TimePoint a type of its own. Never read: the host supplies the time.
+struct HostClock {
   using duration = Duration;
   using rep = Duration::rep;
   using period = Duration::period;
@@ -35,158 +39,269 @@
 using TimePoint = HostClock::time_point;
 
 enum class RequestId : std::uint32_t {};
+/// The position of a class in Settings::classes.
 enum class ClassId : std::uint32_t {};
+/// The position of a tenant in Settings::tenants.
 enum class TenantId : std::uint32_t {};
 enum class CallerId : std::uint32_t {};
 enum class TimerToken : std::uint32_t {};
-enum class Kilobytes : std::int64_t {};  // thousandths of a kilobyte, so that sums are exact
+/// Thousandths of a kilobyte, an integer so that sums are exact.
+enum class MemorySize : std::int64_t {};
+
+// ---- Settings ----
+
+/// Whether a request may run more than once.
+enum class Idempotency {
+  idempotent,  ///< any attempt may run
+  with_key,    ///< attempts with one idempotency key may run once within the class's window
+  none,        ///< never again after it ran
+};
 
-// ---- Settings: what an instance is told at its start; what an absent one means, the module decides ----
-enum class Effect { repeatable, once_by_key, once_unsafe };
-enum class SuspendKind { none, drop, pause };
-enum class Downstream { none, shared, tier };
-enum class FreeNumber { none, credit, level, weight };
+/// What the host can do with a running request.
+enum class SuspendKind {
+  none,   ///< nothing
+  drop,   ///< stop it and discard its progress; it is queued again
+  pause,  ///< stop it and keep its progress and its memory
+};
 
+/// What a request's calls go to.
+enum class Downstream {
+  none,
+  shared,     ///< one dependency that every server shares
+  next_tier,  ///< servers that run this same controller
+};
+
+/// What callers understand by the number of AdvertiseCredit.
+enum class AdvertisedValue {
+  none,
+  credits,             ///< outstanding requests that each caller may have here
+  min_rank,            ///< the least rank that callers send
+  accept_probability,  ///< how likely a caller is not to skip this server
+};
+
+/// One request class. An absent value is replaced by a conservative one.
 struct ClassSettings {
-  std::optional<Duration> aim, deadline, repeat_window;
-  std::optional<double> worth, late_worth, skip_worth, aim_stretch;
-  std::optional<Effect> effect;
-  std::optional<bool> calls;
+  std::optional<Duration> latency_objective;       ///< answers within it earn the full weight
+  std::optional<Duration> deadline;                ///< of all attempts of one request together
+  std::optional<Duration> idempotency_window;      ///< how long a keyed request may arrive again
+  std::optional<double> priority_weight;           ///< of one request
+  std::optional<double> late_weight_fraction;      ///< of the weight, for an answer past the objective
+  std::optional<double> degraded_weight_fraction;  ///< of the weight, for an answer without its call
+  std::optional<double> objective_stretch;         ///< extends the objective, in units of the request's work
+  std::optional<Idempotency> idempotency;
+  std::optional<bool> makes_calls;
 };
+
+/// One tenant.
 struct TenantSettings {
-  std::optional<double> allowance_per_s, share;
+  std::optional<double> quota_per_s;  ///< requests a second over all servers
+  std::optional<double> share;        ///< fraction of the service
 };
+
+/// What an instance is configured with. The controller decides what an absent value means.
 struct Settings {
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
-  std::optional<double> cores, servers, callers, layer, run_factor, overload_factor, cold_from, call_share;
-  std::optional<double> memory_kb, key_kb, over_share_worth, price_call, price_connection, price_waste;
-  std::optional<Duration> answer_slack, drain_grace, fall_window, warm_up, call_window, call_linger, fresh;
-  std::optional<Duration> idle_connections, heeded, tick, max_advice;
-  std::optional<bool> cold, passes_deadline, tells_gone, deep_checks, list_follows, marks_retry, advice;
-  std::optional<bool> worth_by_work;
+
+  // The server and its fleet.
+  std::optional<double> cores;
+  std::optional<double> servers;            ///< in the endpoint list at the start
+  std::optional<double> callers;            ///< at the start
+  std::optional<double> tier;               ///< 0 is the outermost
+  std::optional<bool> cold;                 ///< just started
+  std::optional<double> cold_speed;         ///< fraction of full speed at a cold start
+  std::optional<Duration> warm_up;          ///< from a cold start to full speed, at the latest
+  std::optional<double> overload_factor;    ///< concurrent requests a core that a warm server survives
+  std::optional<Duration> overload_window;  ///< over which that concurrency is averaged
+  std::optional<Duration> tick_interval;    ///< least time between two batches
   std::optional<SuspendKind> suspend;
+
+  // Memory, in kilobytes.
+  std::optional<double> memory_kb;
+  std::optional<double> table_entry_kb;      ///< of one cached result
+  std::optional<double> run_memory_factor;   ///< memory of a running request over that of a queued one
+  std::optional<Duration> response_max_age;  ///< how long the result of a read may serve others; 0: never
+
+  // Calls to the dependency.
   std::optional<Downstream> downstream;
-  std::optional<FreeNumber> free_number;
-  std::vector<std::string> unusable;  // keys whose values could not be read; named once in a Log
+  std::optional<double> call_quota;               ///< mean concurrent calls that this server may have open
+  std::optional<Duration> call_window;            ///< over which that mean is taken
+  std::optional<Duration> abandoned_call_linger;  ///< how long an abandoned call may occupy the dependency
+
+  // Weights and prices.
+  std::optional<double> over_quota_weight_fraction;  ///< of the weight, for requests over a tenant's quota
+  std::optional<bool> weight_by_work;  ///< the weight counts for each unit of work, not for each request
+  std::optional<double> price_call, price_connection, price_waste;
+
+  // Answers and callers.
+  std::optional<Duration> answer_slack;  ///< after the due time, in which an answer still counts
+  std::optional<Duration> drain_grace;   ///< what arrives later than this after the notice never runs
+  std::optional<bool> passes_deadline;   ///< requests carry how long their caller waits
+  std::optional<bool> reports_cancellation;
+  std::optional<bool> marks_retries;
+  std::optional<bool> forwards_retry_after;
+  std::optional<Duration> max_retry_after;
+  std::optional<Duration> idle_connection_timeout;
+  std::optional<AdvertisedValue> advertised_value;
+  std::optional<Duration> advertised_value_ttl;  ///< how long callers remember it
+
+  // Health.
+  std::optional<bool> deep_health_checks;
+  std::optional<bool> endpoint_list_follows_health;
+
+  std::vector<std::string> invalid_keys;  ///< keys whose values could not be read; named once in a Log
 };
 
 // ---- Events ----
-enum class RunResult { ok, error, cancelled, moot };
-enum class CallResult { ok, error, refused, timed_out, unreachable, cut_off };
 
+enum class RunResult {
+  ok,
+  error,
+  cancelled,
+  moot,  ///< nothing was started, as the request had ended
+};
+enum class CallResult {
+  ok,
+  error,
+  rejected,  ///< never ran
+  timed_out,
+  unreachable,      ///< never ran
+  connection_lost,  ///< may have run
+};
+
+/// A request was read and waits for a decision.
 struct RequestArrived {
   RequestId id{};
-  ClassId cls{};
+  ClassId class_id{};
   TenantId tenant{};
   CallerId caller{};
-  std::uint64_t key = 0;                 // 0: none
-  std::optional<Duration> caller_waits;  // from now
-  std::optional<Duration> cost_hint;     // core time
-  Kilobytes memory{};                    // while held
-  Duration waited_unread{};              // since it reached the machine
-  bool marked_retry = false;
-  std::optional<RequestId> repeats;  // the remembered request that this one repeats
+  std::uint64_t key = 0;                   ///< what a read is about; 0: none
+  std::optional<Duration> caller_timeout;  ///< from now until the caller gives up
+  std::optional<Duration> cost_hint;       ///< core time
+  MemorySize memory{};                     ///< while queued
+  Duration unread_wait{};                  ///< since it reached the machine
+  bool is_retry = false;
+  std::optional<RequestId> duplicate_of;  ///< the cached request that this one repeats
 };
 struct RunEnded {
   RequestId id{};
   RunResult result{};
-  Duration took{};
+  Duration duration{};
 };
+/// A running request waits at a call to the dependency.
 struct CallNeeded {
   RequestId id{};
 };
 struct CallEnded {
   RequestId id{};
   CallResult result{};
-  Duration took{};
+  Duration duration{};
 };
-struct CallerGone {
+/// The caller gave up.
+struct RequestAbandoned {
   RequestId id{};
 };
-struct DrainNotice {
-  Duration until_stopped{};
+/// Graceful shutdown began.
+struct DrainStarted {
+  Duration time_until_stop{};
 };
+/// A timer fired, with the gauges that the host has.
 struct TimerFired {
   TimerToken token{};
-  std::optional<double> core_use, on_cores, memory_share, connections;  // gauges, where the host has them
+  std::optional<double> core_utilization;    ///< 0 to 1, recent mean
+  std::optional<double> runnable_tasks;      ///< on the cores or waiting for one now
+  std::optional<double> memory_utilization;  ///< 0 to 1
+  std::optional<double> connections;         ///< open
 };
-// What a host that sees more than this instance asks of it for a while, as when a fleet comes back: arrivals
-// whose expected wait on the cores exceeds `max_wait` times their class's target are refused (absent: no
-// such bound), and the credit told is `offered` (0 to 1) of what it would be. Holds until the next one.
-struct BoundSet {
-  std::optional<double> max_wait;
-  double offered = 1;
+/// Limits from a host that sees the whole fleet, as during its recovery. They hold until the next ones.
+struct AdmissionLimits {
+  /// Arrivals whose expected wait for the cores exceeds this many delay targets of their class are rejected;
+  /// absent: no such limit.
+  std::optional<double> max_wait_ratio;
+  double credit_fraction = 1;  ///< 0 to 1; scales the advertised credit
 };
-using Event = std::variant<RequestArrived, RunEnded, CallNeeded, CallEnded, CallerGone, DrainNotice,
-                           TimerFired, BoundSet>;
+using Event = std::variant<RequestArrived, RunEnded, CallNeeded, CallEnded, RequestAbandoned, DrainStarted,
+                           TimerFired, AdmissionLimits>;
 
 // ---- Actions ----
+
+/// Start a queued request, or resume a paused one.
 struct Run {
   RequestId id{};
 };
-struct Refuse {
+/// Final answer: this attempt never ran.
+struct Reject {
   RequestId id{};
-  bool do_not_try_elsewhere = false;
-  Duration keep_off{};
+  bool do_not_retry_elsewhere = false;
+  Duration retry_after{};  ///< 0: no advice
 };
+/// Final answer: an error that promises nothing.
 struct Fail {
   RequestId id{};
 };
+/// Stop a running request, as Settings::suspend tells.
 struct Suspend {
   RequestId id{};
 };
+/// Make the call that a request waits for.
 struct Call {
   RequestId id{};
-  Duration limit{};
+  Duration timeout{};
 };
+/// Continue a request without its call, for a degraded answer.
 struct SkipCall {
   RequestId id{};
 };
-struct Remember {
+/// Link later duplicates of this request to it.
+struct CacheResult {
   RequestId id{};
-  Duration keep_for{};
+  Duration ttl{};
 };
-struct Forget {
+struct EvictResult {
   RequestId id{};
 };
-struct Reuse {
+/// Answer a request with the result of the one that it repeats.
+struct ReuseResult {
   RequestId id{};
 };
+/// The answer to health checks from now on.
 struct SetHealth {
-  bool from_store = false;
-  bool good = true;
+  bool answer_from_state = false;  ///< without doing the work of a deep check
+  bool healthy = true;
 };
+/// The number that answers and health checks carry from now on; see AdvertisedValue.
 struct AdvertiseCredit {
   double credit = 0;
 };
-struct CloseIdle {
+struct CloseIdleConnections {
   Duration idle_for{};
 };
 struct SetTimer {
   TimerToken token{};
-  Duration after{};
+  Duration delay{};
 };
 struct Log {
-  std::string text;
+  std::string message;
 };
-using Action = std::variant<Run, Refuse, Fail, Suspend, Call, SkipCall, Remember, Forget, Reuse, SetHealth,
-                            AdvertiseCredit, CloseIdle, SetTimer, Log>;
+using Action = std::variant<Run, Reject, Fail, Suspend, Call, SkipCall, CacheResult, EvictResult, ReuseResult,
+                            SetHealth, AdvertiseCredit, CloseIdleConnections, SetTimer, Log>;
 
+/// Decides for one server instance which requests are admitted, run, and answered, and how.
 class AdmissionController {
  public:
+  /// `seed` seeds the instance's random numbers; `now` is the time of its start.
   AdmissionController(Settings settings, std::uint64_t seed, TimePoint now);
   AdmissionController(AdmissionController&&) noexcept;
   AdmissionController& operator=(AdmissionController&&) noexcept;
   ~AdmissionController();
 
-  // The actions owed from the start on (the first timer among them); call once, before the first handle().
+  /// The actions owed from the start on (the first timer among them); call once, before the first handle().
   std::vector<Action> start();
-  // All events of one moment, in the order in which they happened.
+  /// The actions in answer to all events of one moment, given in the order in which they happened.
   std::vector<Action> handle(TimePoint now, std::span<const Event> events);
 
  private:
-  struct Impl;  // src/balance.cpp
+  struct Impl;  // src/policy/controller_state.h
   std::unique_ptr<Impl> impl_;
 };
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -108,14 +108,14 @@
   for (std::size_t i = 0; i < s.classes.size() && i < c.catalog.classes.size(); ++i) {
     const auto unusable = [&](const char* key) {
       const auto name = "classes." + std::to_string(i) + "." + key;
-      return std::find(s.unusable.begin(), s.unusable.end(), name) != s.unusable.end();
+      return std::find(s.invalid_keys.begin(), s.invalid_keys.end(), name) != s.invalid_keys.end();
     };
     const auto& cls = s.classes[i];
     if (unusable("effect")) bad(i, "effect is none of retryable, dedup, fragile");
     if (unusable("deadline_ms") || (cls.deadline && cls.deadline->count() <= 0))
       bad(i, "deadline_ms is not above 0");
-    if (cls.effect == Effect::once_by_key &&
-        (unusable("repeat_window_ms") || (cls.repeat_window && cls.repeat_window->count() <= 0)))
+    if (cls.idempotency == Idempotency::with_key &&
+        (unusable("repeat_window_ms") || (cls.idempotency_window && cls.idempotency_window->count() <= 0)))
       bad(i, "repeat_window_ms is not above 0");
     for (std::size_t k = 0; k < i; ++k)
       if (c.catalog.classes[k] == c.catalog.classes[i]) bad(i, "is named twice");
@@ -145,7 +145,7 @@
   c.parsed = parse_settings(c.settings_text);
   hold_classes(c);
   for (const auto& cls : c.parsed.settings.classes)
-    c.catalog.keyed.push_back(cls.effect == Effect::once_by_key);
+    c.catalog.keyed.push_back(cls.idempotency == Idempotency::with_key);
   return c;
 }
 
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -19,8 +19,8 @@
 std::vector<IdempotencyTable::Rules> key_rules(const Settings& settings) {
   std::vector<IdempotencyTable::Rules> rules;
   for (const auto& c : settings.classes)
-    rules.push_back(
-        {c.repeat_window.value_or(std::chrono::seconds(60)), c.deadline.value_or(std::chrono::seconds(5))});
+    rules.push_back({c.idempotency_window.value_or(std::chrono::seconds(60)),
+                     c.deadline.value_or(std::chrono::seconds(5))});
   return rules;
 }
 
@@ -80,22 +80,22 @@
   const RequestId id{next_id_++};
   RequestArrived arrived;
   arrived.id = id;
-  arrived.cls = request.cls;
+  arrived.class_id = request.cls;
   arrived.tenant = request.tenant;
   arrived.caller = request.caller;
   arrived.key = request.read;
   arrived.cost_hint = request.cost_hint;
   arrived.memory = request.memory;
   // Its stamp is of another clock than the module's: only the span carries over, and never a negative one.
-  arrived.waited_unread = std::max(now_.unix - request.reached, Duration{});
-  arrived.repeats = keys_.arrive(request, id, batch_);
+  arrived.unread_wait = std::max(now_.unix - request.reached, Duration{});
+  arrived.duplicate_of = keys_.arrive(request, id, batch_);
   by_rid_.emplace(request.rid, id);
   by_peer_[request.from.peer].push_back(id);
   const bool too_late = past_grace();
   open_.emplace(id, Open{.request = std::move(request),
                          .since = now_.steady,
                          .too_late = too_late,
-                         .repeats = arrived.repeats});
+                         .repeats = arrived.duplicate_of});
   ++unanswered_;
   events_.emplace_back(arrived);
 }
@@ -116,7 +116,7 @@
   if (!lost_memory_ || !catalog_.is_keyed(request.cls)) return false;
   const auto reached = now_.steady - std::max(now_.unix - request.reached, Duration{});
   if (!lost_memory_->in_doubt(request.cls, reached)) return false;
-  const auto most = settings_.settings.max_advice.value_or(Duration{});
+  const auto most = settings_.settings.max_retry_after.value_or(Duration{});
   const auto until = lost_memory_->until(request.cls);
   const auto left = until == TimePoint::max() ? most : std::max(until - now_.steady, Duration(1000));
   out_.emplace_back(Answer{request.from, Outcome::refused, nullptr, hint_, std::min(left, most), false});
@@ -167,8 +167,9 @@
   }
   tell_course();
   if (!module_) return;
-  const BoundSet bound{course_->wait_bound(), course_->offered()};
-  if (bound.max_wait == bound_.max_wait && bound.offered == bound_.offered) return;
+  const AdmissionLimits bound{course_->wait_bound(), course_->offered()};
+  if (bound.max_wait_ratio == bound_.max_wait_ratio && bound.credit_fraction == bound_.credit_fraction)
+    return;
   bound_ = bound;
   events_.emplace_back(bound);
 }
@@ -254,7 +255,8 @@
 }
 
 void Edge::on(const HealthCheck& check) {
-  const bool deep = check.full && settings_.settings.deep_checks.value_or(false) && !from_store_ && fit();
+  const bool deep =
+      check.full && settings_.settings.deep_health_checks.value_or(false) && !from_store_ && fit();
   if (!module_ || !deep || deep_checks_.size() >= kMaxDeepChecks) {
     out_.emplace_back(HealthAnswer{check.from, fit(), hint_});
     return;
@@ -295,7 +297,7 @@
 // against a lost connection that fails the retry which came in time.
 void Edge::abandon(RequestId id, Open& o) {
   if (!o.followers.empty()) return;
-  events_.emplace_back(CallerGone{id});
+  events_.emplace_back(RequestAbandoned{id});
   drop_work(id, o);
 }
 
@@ -319,7 +321,7 @@
   drain_from_ = now_.unix;
   // Handed over, it tells nobody to stay away: that would be said of the successor too.
   if (lifecycle_.handing_over()) {
-    if (module_) events_.emplace_back(DrainNotice{drain.until_stopped});
+    if (module_) events_.emplace_back(DrainStarted{drain.until_stopped});
     return;
   }
   good_ = false;
@@ -327,7 +329,7 @@
   // What the checks under way ask is answered now: the kernel's word may come late, or never.
   for (const auto& [tag, to] : std::exchange(deep_checks_, {}))
     out_.emplace_back(HealthAnswer{to, false, hint_});
-  if (module_) events_.emplace_back(DrainNotice{drain.until_stopped});
+  if (module_) events_.emplace_back(DrainStarted{drain.until_stopped});
 }
 
 // The kernel's start is the module's: it may come long after this process's, and how warm the cores are
@@ -480,13 +482,13 @@
   command(StartRun{o->request.rid, o->request.cls, o->request.body});
 }
 
-void Edge::apply(const Refuse& a) {
+void Edge::apply(const Reject& a) {
   auto* o = find(a.id);
   if (!o) return;
-  if (course_ && a.keep_off.count() > 0) course_->turned_away(now_.steady);
+  if (course_ && a.retry_after.count() > 0) course_->turned_away(now_.steady);
   // 'Refused' promises that this try never ran.
-  answer(*o, o->ran ? Outcome::failed : Outcome::refused, nullptr, keep_off(a.keep_off),
-         a.do_not_try_elsewhere);
+  answer(*o, o->ran ? Outcome::failed : Outcome::refused, nullptr, keep_off(a.retry_after),
+         a.do_not_retry_elsewhere);
   drop_work(a.id, *o);
 }
 
@@ -494,7 +496,7 @@
 // And over the time that a return will still take: guards against callers that come together again and again
 // while there is nothing more to be had than the last time.
 Duration Edge::keep_off(Duration advised) {
-  const auto most = settings_.settings.max_advice.value_or(advised);
+  const auto most = settings_.settings.max_retry_after.value_or(advised);
   if (course_ && course_->phase() != recovery::Phase::full && advised.count() > 0 && advised < most) {
     const auto window = std::min(most - advised, course_->left(now_.steady) / 4);
     return advised + Duration(std::int64_t(double(window.count()) *
@@ -519,15 +521,15 @@
     command(StopRun{o->request.rid});
 }
 
-void Edge::apply(const Remember& a) {
-  if (const auto* o = find(a.id)) keys_.keep(o->request, a.id, now_.unix + a.keep_for);
+void Edge::apply(const CacheResult& a) {
+  if (const auto* o = find(a.id)) keys_.keep(o->request, a.id, now_.unix + a.ttl);
 }
 
-void Edge::apply(const Forget& a) {
+void Edge::apply(const EvictResult& a) {
   if (const auto* o = find(a.id)) keys_.forget(o->request, a.id);
 }
 
-void Edge::apply(const Reuse& a) {
+void Edge::apply(const ReuseResult& a) {
   auto* o = find(a.id);
   if (!o || o->work != Work::held) return;
   keys_.leave_hold(o->request, a.id);
@@ -547,8 +549,8 @@
 
 void Edge::apply(const SetHealth& a) {
   if (lifecycle_.handing_over()) return;
-  from_store_ = a.from_store;
-  const bool good = a.good && !drain_from_;
+  from_store_ = a.answer_from_state;
+  const bool good = a.healthy && !drain_from_;
   if (std::exchange(good_, good) != good) report_health();
   if (course_) course_->health(good_, now_.steady);
 }
@@ -556,11 +558,11 @@
 void Edge::apply(const AdvertiseCredit& a) {
   if (!lifecycle_.handing_over()) hint_ = std::max(a.credit, 0.0);
 }
-void Edge::apply(const CloseIdle& a) { out_.emplace_back(CloseIdlePeers{a.idle_for}); }
+void Edge::apply(const CloseIdleConnections& a) { out_.emplace_back(CloseIdlePeers{a.idle_for}); }
 void Edge::apply(const SetTimer& a) {
-  timers_.push({now_.steady + std::max(a.after, Duration(1)), timer_order_++, a.token});
+  timers_.push({now_.steady + std::max(a.delay, Duration(1)), timer_order_++, a.token});
 }
-void Edge::apply(const Log& a) { remark("module: " + a.text, "module"); }
+void Edge::apply(const Log& a) { remark("module: " + a.message, "module"); }
 
 // ---- Calls below ----
 
@@ -568,7 +570,7 @@
 void Edge::apply(const Call& a) {
   auto* o = find(a.id);
   if (!o || o->work != Work::gathering) return apply(Fail{a.id});
-  begin_gather(a.id, *o, a.limit, true);
+  begin_gather(a.id, *o, a.timeout, true);
 }
 
 void Edge::apply(const SkipCall& a) {
@@ -752,7 +754,7 @@
 Duration Edge::aim_of(ClassId cls) const {
   const auto& classes = settings_.settings.classes;
   const auto i = std::size_t(cls);
-  return i < classes.size() ? classes[i].aim.value_or(Duration::max()) : Duration::max();
+  return i < classes.size() ? classes[i].latency_objective.value_or(Duration::max()) : Duration::max();
 }
 
 Duration Edge::longest_span() const {
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -128,15 +128,15 @@
   void fire_timers();
 
   void apply(const Run& a);
-  void apply(const Refuse& a);
+  void apply(const Reject& a);
   void apply(const Fail& a);
   void apply(const Suspend& a);
-  void apply(const Remember& a);
-  void apply(const Forget& a);
-  void apply(const Reuse& a);
+  void apply(const CacheResult& a);
+  void apply(const EvictResult& a);
+  void apply(const ReuseResult& a);
   void apply(const SetHealth& a);
   void apply(const AdvertiseCredit& a);
-  void apply(const CloseIdle& a);
+  void apply(const CloseIdleConnections& a);
   void apply(const SetTimer& a);
   void apply(const Log& a);
   void apply(const Call& a);
@@ -203,7 +203,7 @@
   std::optional<recovery::RestartQuarantine> lost_memory_;  // where it is declared
   std::optional<recovery::RecoveryController> course_;      // the same
   std::mt19937_64 spread_;                                  // of advice while it comes back
-  BoundSet bound_;                                          // as the module holds it
+  AdmissionLimits bound_;                                   // as the module holds it
   TimePoint course_at_{};
   TimePoint born_{};  // the kernel
   std::uint64_t batch_ = 0, timer_order_ = 0, next_check_ = 1;
--- a/src/edge/types.h
+++ b/src/edge/types.h
@@ -52,7 +52,7 @@
   CallerId caller{};
   UnixTime reached;  // the machine
   std::optional<Duration> cost_hint;
-  Kilobytes memory{};
+  MemorySize memory{};
   std::string token;       // the same for all tries of one keyed request
   std::uint64_t read = 0;  // what a read is about; 0: not told
   std::string body;
--- a/src/frames/frames.cpp
+++ b/src/frames/frames.cpp
@@ -221,7 +221,7 @@
       const auto kb = to_real(value);
       need(kb && *kb > 0 && *kb < kMaxMemoryKb, "mem");
       has_memory = true;
-      if (!bad) r.memory = Kilobytes(std::llround(*kb * 1000));
+      if (!bad) r.memory = MemorySize(std::llround(*kb * 1000));
     } else if (name == "prio") {
       const auto rank = to_real(value);  // nothing here goes by it; one out of range spoils the request
       need(rank && *rank < 1, "prio");
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -98,7 +98,7 @@
   // Guards against gathers that wait until they are due for a leave that the module can never give.
   const auto& settings = config.parsed.settings;
   if (extras.declared && !extras.declared->spec.gathers.empty() && settings.downstream != Downstream::none &&
-      settings.call_share.value_or(0) <= 0) {
+      settings.call_quota.value_or(0) <= 0) {
     std::fprintf(stderr,
                  "granitegap: %s: the platform's settings allow no calls: expected downstream none, or a "
                  "call_share above 0\n",
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -16,7 +16,7 @@
 void AdmissionController::Impl::on(const RequestArrived& in) {
   if (requests.count(in.id)) return;
   if (!class_of(in)) {  // a class no one told of: nothing can be promised
-    act(Refuse{in.id, false, {}});
+    act(Reject{in.id, false, {}});
     return;
   }
   callers[in.caller] = now;
@@ -25,10 +25,10 @@
   auto& r = requests.emplace(in.id, std::move(fresh)).first->second;
   const auto& c = cls(r);
   r.since = now;
-  r.reached = now - std::clamp(in.waited_unread, Duration{}, Duration(seconds(3600)));
-  r.due = std::max(in.caller_waits ? now + *in.caller_waits : r.reached + c.deadline, now);
-  const auto stretch = in.cost_hint ? dur(sec(*in.cost_hint) * c.aim_stretch) : Duration{};
-  r.useful_until = std::min(r.due, r.reached + std::min(c.aim + stretch, c.deadline));
+  r.reached = now - std::clamp(in.unread_wait, Duration{}, Duration(seconds(3600)));
+  r.due = std::max(in.caller_timeout ? now + *in.caller_timeout : r.reached + c.deadline, now);
+  const auto stretch = in.cost_hint ? dur(sec(*in.cost_hint) * c.objective_stretch) : Duration{};
+  r.useful_until = std::min(r.due, r.reached + std::min(c.latency_objective + stretch, c.deadline));
   if (stop_at) r.due = std::min(r.due, last_answer());
   // What waited unread and is refused at once is never the oldest held: its wait counts all the same, or a
   // flood at the door would look calm and the pool would grow into it.
@@ -37,15 +37,15 @@
   r.over_share = quota_exhausted(in.tenant);
   // Guards against a repeat read just before the kill, which no timer could still answer.
   if (drain_from && now >= last_answer()) return refuse(r, false);
-  if (in.repeats && may_reuse(r)) return reuse(r);
+  if (in.duplicate_of && may_reuse(r)) return reuse(r);
   if (const auto reason = shed_reason(r)) {
     const bool pressed = *reason == Reason::waits_too_long || *reason == Reason::over_share;
     refuse(r, (pressed && persistent_overload()) || *reason == Reason::too_late,
-           pressed ? std::min(s.max_advice.value_or(Duration{}), target(r)) : Duration{});
+           pressed ? std::min(s.max_retry_after.value_or(Duration{}), target(r)) : Duration{});
     return;
   }
   if (!r.over_share) consume_quota(in.tenant);
-  if (c.effect == Effect::once_by_key) remember(r, c.window - (now - r.reached));
+  if (c.idempotency == Idempotency::with_key) remember(r, c.idempotency_window - (now - r.reached));
   set_due_timer(r);
 }
 
@@ -72,12 +72,12 @@
   if (drain_from &&
       (r.reached > *drain_from + s.drain_grace.value_or(Duration{}) || now + time_needed(r) > last_answer()))
     return Reason::leaving;
-  const auto key = c.effect == Effect::once_by_key ? key_units : 0;
+  const auto key = c.idempotency == Idempotency::with_key ? key_units : 0;
   if (memory_in_use() + key > memory_limit || !memory_leaves_a_run(r, key)) return Reason::no_memory;
-  if (now >= r.useful_until && c.late_worth <= 0) return Reason::too_late;
+  if (now >= r.useful_until && c.late_weight_fraction <= 0) return Reason::too_late;
   if (below_admission_threshold(r)) return Reason::waits_too_long;
   if (count(Phase::running) < int(limit) && count(Phase::held) <= 1) return std::nullopt;
-  if (oldest_wait(r.in.cls) > kDropRatio * sec(target(r))) return Reason::waits_too_long;
+  if (oldest_wait(r.in.class_id) > kDropRatio * sec(target(r))) return Reason::waits_too_long;
   // By what the cores can do, not by the oldest wait: guards against a burst that is taken while the hold
   // is empty and keeps everybody waiting past the patience of their callers, who are served when they are
   // gone.
@@ -99,7 +99,7 @@
 double AdmissionController::Impl::oldest_wait(ClassId id) const {
   double worst = 0;
   for (const auto& [rid, r] : requests)
-    if (r.phase == Phase::held && r.in.cls == id) worst = std::max(worst, sec(now - r.reached));
+    if (r.phase == Phase::held && r.in.class_id == id) worst = std::max(worst, sec(now - r.reached));
   return worst;
 }
 
@@ -108,7 +108,7 @@
 // share).
 bool AdmissionController::Impl::quota_exhausted(TenantId tenant) const {
   const auto i = std::size_t(tenant);
-  return s.layer.value_or(0) < 1 && i < tenants.size() && tenants[i].tokens < 1;
+  return s.tier.value_or(0) < 1 && i < tenants.size() && tenants[i].tokens < 1;
 }
 
 void AdmissionController::Impl::consume_quota(TenantId tenant) {
@@ -128,15 +128,18 @@
 // ---- Repeats ----
 
 bool AdmissionController::Impl::may_reuse(const Request& r) {
-  return cls(r).effect == Effect::once_by_key || (cls(r).effect == Effect::repeatable && reads_are_shared());
+  return cls(r).idempotency == Idempotency::with_key ||
+         (cls(r).idempotency == Idempotency::idempotent && reads_are_shared());
 }
 
-bool AdmissionController::Impl::reads_are_shared() const { return s.fresh.value_or(Duration{}).count() > 0; }
+bool AdmissionController::Impl::reads_are_shared() const {
+  return s.response_max_age.value_or(Duration{}).count() > 0;
+}
 
 void AdmissionController::Impl::reuse(Request& r) {
   if (memory_in_use() > memory_limit) return refuse(r, false);
   enter(r, Phase::reusing);
-  act(Reuse{r.in.id});
+  act(ReuseResult{r.in.id});
   set_due_timer(r);
 }
 
@@ -144,7 +147,7 @@
   keep += update_every;  // past the window's end, never short of it
   if (keep.count() <= 0) return;
   cached_results[r.in.id] = now + keep;
-  act(Remember{r.in.id, keep});
+  act(CacheResult{r.in.id, keep});
 }
 
 void AdmissionController::Impl::drop_expired_entries() {
--- a/src/policy/controller.cpp
+++ b/src/policy/controller.cpp
@@ -22,8 +22,10 @@
 
 void AdmissionController::Impl::on(const TimerFired& e) {
   if (e.token != kUpdateToken) return answer_due(e.token);
-  if (e.core_use && std::isfinite(*e.core_use)) core_use = std::clamp(*e.core_use, 0.0, 1.0);
-  if (e.on_cores && std::isfinite(*e.on_cores)) on_cores = std::clamp(*e.on_cores, 0.0, 1e6);
+  if (e.core_utilization && std::isfinite(*e.core_utilization))
+    core_use = std::clamp(*e.core_utilization, 0.0, 1.0);
+  if (e.runnable_tasks && std::isfinite(*e.runnable_tasks))
+    on_cores = std::clamp(*e.runnable_tasks, 0.0, 1e6);
   refill_quotas();
   drop_expired_entries();
   forget_quiet_callers();
@@ -35,7 +37,7 @@
 }
 
 std::vector<Action> AdmissionController::Impl::start() {
-  if (s.deep_checks.value_or(false)) act(SetHealth{true, true});
+  if (s.deep_health_checks.value_or(false)) act(SetHealth{true, true});
   act(SetTimer{kUpdateToken, update_every});
   advertise();
   return std::move(out);
--- a/src/policy/controller_state.h
+++ b/src/policy/controller_state.h
@@ -174,11 +174,11 @@
   void decide_call(Request& r);
 
   // ---- Callers that leave; drain ----
-  void on(const CallerGone& e);
+  void on(const RequestAbandoned& e);
   bool takes_work() const;
-  void on(const DrainNotice& e);
+  void on(const DrainStarted& e);
 
-  void on(const BoundSet& e);
+  void on(const AdmissionLimits& e);
 
   // ---- The update ----
   void on(const TimerFired& e);
--- a/src/policy/credit_pool.cpp
+++ b/src/policy/credit_pool.cpp
@@ -78,7 +78,7 @@
 // can refuse it in time, and only the list can keep it away. Never for waits alone: in an overload that all
 // share, those that left would only add to the others' load. After a while it tries again, on new waits.
 void AdmissionController::Impl::update_endpoint_health() {
-  if (drain_from || !s.list_follows.value_or(false)) return;
+  if (drain_from || !s.endpoint_list_follows_health.value_or(false)) return;
   if (unhealthy_until && now < *unhealthy_until) return;
   const bool slow = paced_runs >= kPaceRuns && pace > kSlowed * best_pace * crowding();
   if (slow && unread_ratio > kDropRatio && !unhealthy_until) {
@@ -112,7 +112,7 @@
 bool AdmissionController::Impl::persistent_overload() const { return decreases > kPersistent; }
 
 void AdmissionController::Impl::advertise() {
-  if (s.free_number.value_or(FreeNumber::none) != FreeNumber::credit) return;
+  if (s.advertised_value.value_or(AdvertisedValue::none) != AdvertisedValue::credits) return;
   double credit = pool / active_callers();
   if (worst_ratio <= 1) credit = std::max(credit, 1.0);
   // All callers together, those that have not come yet too: guards against a cold server that falls by the
@@ -125,7 +125,7 @@
 }
 
 void AdmissionController::Impl::forget_quiet_callers() {
-  const Duration quiet = std::max<Duration>(s.heeded.value_or(seconds(1)) * 5, seconds(5));
+  const Duration quiet = std::max<Duration>(s.advertised_value_ttl.value_or(seconds(1)) * 5, seconds(5));
   std::erase_if(callers, [&](const auto& c) { return now - c.second > quiet; });
 }
 
--- a/src/policy/downstream_calls.cpp
+++ b/src/policy/downstream_calls.cpp
@@ -26,7 +26,7 @@
   auto* r = find(e.id);
   if (!r || r->phase != Phase::calling) return;
   leave_call(e.result == CallResult::timed_out);
-  call_mean += dur((sec(e.took) - sec(call_mean)) * (call_mean.count() ? kPaceGain : 1));
+  call_mean += dur((sec(e.duration) - sec(call_mean)) * (call_mean.count() ? kPaceGain : 1));
   if (++calls_ended >= kCallSamples)  // not before: a lucky first call is no yardstick
     call_best = call_best > 0 ? std::min(call_best, sec(call_mean)) : sec(call_mean);
   if (e.result == CallResult::ok) {
@@ -34,7 +34,7 @@
     return;
   }
   enter(*r, Phase::at_call);
-  const bool never_ran = e.result == CallResult::refused || e.result == CallResult::unreachable;
+  const bool never_ran = e.result == CallResult::rejected || e.result == CallResult::unreachable;
   r->call_may_have_run |= !never_ran;
   r->call_tries += 1;
   r->call_again = now + update_every * (1 << std::min(r->call_tries, 5)) / 2;
@@ -90,7 +90,7 @@
 
 void AdmissionController::Impl::decide_call(Request& r) {
   const auto left = std::min(r.useful_until, r.due) - now;
-  const bool may_skip = cls(r).skip_worth > 0;
+  const bool may_skip = cls(r).degraded_weight_fraction > 0;
   const bool spent = r.call_may_have_run && (once(r) || r.call_tries >= kCallTries);
   if (spent && !may_skip) return reject_or_fail(r, true);
   if (may_skip && (spent || left < 2 * run_time(r.in))) {
--- a/src/policy/drain.cpp
+++ b/src/policy/drain.cpp
@@ -11,7 +11,7 @@
 
 // ---- Callers that leave; drain ----
 
-void AdmissionController::Impl::on(const CallerGone& e) {
+void AdmissionController::Impl::on(const RequestAbandoned& e) {
   auto* r = find(e.id);
   if (!r) return;
   r->gone = true;
@@ -34,10 +34,10 @@
          now + 2 * run < last_answer();
 }
 
-void AdmissionController::Impl::on(const DrainNotice& e) {
+void AdmissionController::Impl::on(const DrainStarted& e) {
   if (drain_from) return;
   drain_from = now;
-  stop_at = now + e.until_stopped;
+  stop_at = now + e.time_until_stop;
   log("drain: leaving");
   act(SetHealth{true, false});
   for (auto& [id, r] : requests)
@@ -47,9 +47,9 @@
     }
 }
 
-void AdmissionController::Impl::on(const BoundSet& e) {
-  max_wait = e.max_wait;
-  offered = std::isfinite(e.offered) ? std::clamp(e.offered, 0.0, 1.0) : 1;
+void AdmissionController::Impl::on(const AdmissionLimits& e) {
+  max_wait = e.max_wait_ratio;
+  offered = std::isfinite(e.credit_fraction) ? std::clamp(e.credit_fraction, 0.0, 1.0) : 1;
 }
 
 }  // namespace granitegap
--- a/src/policy/estimates.cpp
+++ b/src/policy/estimates.cpp
@@ -15,13 +15,15 @@
 void AdmissionController::Impl::log(std::string text) { act(Log{std::move(text)}); }
 
 ClassState* AdmissionController::Impl::class_of(const RequestArrived& in) {
-  const auto i = std::size_t(in.cls);
+  const auto i = std::size_t(in.class_id);
   return i < classes.size() ? &classes[i] : nullptr;
 }
 
-ClassState& AdmissionController::Impl::cls(const Request& r) { return classes[std::size_t(r.in.cls)]; }
+ClassState& AdmissionController::Impl::cls(const Request& r) { return classes[std::size_t(r.in.class_id)]; }
 
-bool AdmissionController::Impl::once(const Request& r) { return cls(r).effect != Effect::repeatable; }
+bool AdmissionController::Impl::once(const Request& r) {
+  return cls(r).idempotency != Idempotency::idempotent;
+}
 
 Request* AdmissionController::Impl::find(RequestId id) {
   const auto it = requests.find(id);
@@ -58,21 +60,22 @@
 Duration AdmissionController::Impl::run_time(const RequestArrived& in) {
   auto& c = *class_of(in);
   if (in.cost_hint) return dur(sec(*in.cost_hint) * pace);
-  return c.median.count() ? c.median : dur(sec(c.aim) * kGuessAimShare / warmth());
+  return c.median.count() ? c.median : dur(sec(c.latency_objective) * kGuessAimShare / warmth());
 }
 
 Duration AdmissionController::Impl::target(Request& r) {
   const auto& c = cls(r);
   const Duration run = c.median.count() ? c.median : run_time(r.in);
-  return std::max<Duration>(std::min(dur(sec(run) * kTargetRuns), dur(sec(c.aim) * kTargetAimShare)),
-                            milliseconds(1));
+  return std::max<Duration>(
+      std::min(dur(sec(run) * kTargetRuns), dur(sec(c.latency_objective) * kTargetAimShare)),
+      milliseconds(1));
 }
 
 double AdmissionController::Impl::value(Request& r) {
   const auto& c = cls(r);
-  double v = c.worth * (r.over_share ? s.over_share_worth.value_or(0.05) : 1);
-  if (!s.worth_by_work.value_or(false)) v /= std::max(sec(run_time(r.in)), 1e-3);
-  return now > r.useful_until ? v * c.late_worth : v;
+  double v = c.priority_weight * (r.over_share ? s.over_quota_weight_fraction.value_or(0.05) : 1);
+  if (!s.weight_by_work.value_or(false)) v /= std::max(sec(run_time(r.in)), 1e-3);
+  return now > r.useful_until ? v * c.late_weight_fraction : v;
 }
 
 // The order of the hold: worth for work, growing with the wait in units of the class's own target.
@@ -91,7 +94,8 @@
     const double full = sec(run_time(other.in));
     if (other.phase == Phase::running)
       work += std::max(full - sec(attained(other)), full / 4);
-    else if (other.phase == Phase::held && &other != &r && cls(other).worth >= cls(r).worth)
+    else if (other.phase == Phase::held && &other != &r &&
+             cls(other).priority_weight >= cls(r).priority_weight)
       work += full;
   }
   return work;
--- a/src/policy/final_answers.cpp
+++ b/src/policy/final_answers.cpp
@@ -10,11 +10,11 @@
 // ---- Ending requests: one final answer each ----
 
 void AdmissionController::Impl::forget_entry(Request& r) {
-  if (!r.ran && cached_results.erase(r.in.id)) act(Forget{r.in.id});
+  if (!r.ran && cached_results.erase(r.in.id)) act(EvictResult{r.in.id});
 }
 
 void AdmissionController::Impl::refuse(Request& r, bool last, Duration keep_off) {
-  act(Refuse{r.in.id, last, keep_off});
+  act(Reject{r.in.id, last, keep_off});
   end_answer(r);
 }
 
@@ -50,7 +50,7 @@
 // than runs).
 void AdmissionController::Impl::stop_work(Request& r) {
   if (r.phase != Phase::running || suspend == SuspendKind::none || r.stopping) return;
-  if (cls(r).effect == Effect::once_by_key && now < r.reached + cls(r).aim) return;
+  if (cls(r).idempotency == Idempotency::with_key && now < r.reached + cls(r).latency_objective) return;
   r.stopping = true;
   act(Suspend{r.in.id});
 }
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -26,9 +26,9 @@
 };
 
 struct ClassState {
-  Duration aim{}, deadline{}, window{};
-  double worth = 1, late_worth = 0, skip_worth = 0, aim_stretch = 0;
-  Effect effect = Effect::once_unsafe;
+  Duration latency_objective{}, deadline{}, idempotency_window{};
+  double priority_weight = 1, late_weight_fraction = 0, degraded_weight_fraction = 0, objective_stretch = 0;
+  Idempotency idempotency = Idempotency::none;
   std::deque<Duration> runs;  // newest last
   Duration median{};          // zero until there is a sample
   Duration call_time{};       // mean time at calls of one request
@@ -42,6 +42,6 @@
 inline Duration dur(double s) {
   return std::chrono::duration_cast<Duration>(Seconds(std::clamp(s, -1e6, 1e6)));
 }
-inline std::int64_t units(Kilobytes kb) { return std::int64_t(kb); }
+inline std::int64_t units(MemorySize kb) { return std::int64_t(kb); }
 
 }  // namespace granitegap::policy
--- a/src/policy/run_queue.cpp
+++ b/src/policy/run_queue.cpp
@@ -43,9 +43,9 @@
 }
 
 void AdmissionController::Impl::begin(Request& r) {
-  if (cls(r).effect == Effect::repeatable && r.in.key && reads_are_shared() &&
+  if (cls(r).idempotency == Idempotency::idempotent && r.in.key && reads_are_shared() &&
       memory_in_use() + key_units <= memory_limit && memory_for_run(r))
-    remember(r, *s.fresh + time_needed(r));
+    remember(r, *s.response_max_age + time_needed(r));
   r.ran = true;
   r.stopping = false;
   enter(r, Phase::running);
@@ -60,7 +60,7 @@
       stop_work(r);
       continue;
     }
-    if (r.phase == Phase::reusing || cls(r).late_worth > 0) continue;
+    if (r.phase == Phase::reusing || cls(r).late_weight_fraction > 0) continue;
     const bool late = now >= r.useful_until;
     if (r.phase == Phase::held ? late || now + time_needed(r) / 2 > r.useful_until : late)
       reject_or_fail(r, true);
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -381,7 +381,7 @@
 std::chrono::milliseconds Server::time_to_hand_over() const {
   Duration longest{};
   for (const auto& c : config_.parsed.settings.classes)
-    longest = std::max(longest, c.deadline.value_or(c.aim.value_or(1s)));
+    longest = std::max(longest, c.deadline.value_or(c.latency_objective.value_or(1s)));
   const auto most = std::chrono::duration_cast<milliseconds>(std::min<Duration>(longest, kMaxDeadline));
   return std::min(config_.stop, most + kAfterDeadline);
 }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -109,18 +109,18 @@
   for (std::size_t i = 0; i < s.classes.size(); ++i) {
     auto& c = s.classes[i];
     const std::string at = "classes." + std::to_string(i) + ".";
-    in.time(at + "aim_ms", c.aim);
+    in.time(at + "aim_ms", c.latency_objective);
     in.time(at + "deadline_ms", c.deadline);
-    in.time(at + "repeat_window_ms", c.repeat_window);
-    in.number(at + "worth", c.worth);
-    in.number(at + "late_worth", c.late_worth);
-    in.number(at + "aim_stretch", c.aim_stretch);
-    in.word<Effect>(at + "effect", c.effect,
-                    {{"retryable", Effect::repeatable},
-                     {"dedup", Effect::once_by_key},
-                     {"fragile", Effect::once_unsafe}});
-    if (i < calls.size()) c.calls = to_bool(calls[i]);
-    if (i < skips.size()) c.skip_worth = to_number(skips[i]);
+    in.time(at + "repeat_window_ms", c.idempotency_window);
+    in.number(at + "worth", c.priority_weight);
+    in.number(at + "late_worth", c.late_weight_fraction);
+    in.number(at + "aim_stretch", c.objective_stretch);
+    in.word<Idempotency>(at + "effect", c.idempotency,
+                         {{"retryable", Idempotency::idempotent},
+                          {"dedup", Idempotency::with_key},
+                          {"fragile", Idempotency::none}});
+    if (i < calls.size()) c.makes_calls = to_bool(calls[i]);
+    if (i < skips.size()) c.degraded_weight_fraction = to_number(skips[i]);
   }
 }
 
@@ -130,59 +130,59 @@
   const auto pairs = split_pairs(text);
   ParsedSettings parsed;
   auto& s = parsed.settings;
-  Reader in(pairs, s.unusable);
+  Reader in(pairs, s.invalid_keys);
   read_classes(in, s);
   s.tenants.resize(in.count("orgs"));
   for (std::size_t i = 0; i < s.tenants.size(); ++i) {
     const std::string at = "orgs." + std::to_string(i) + ".";
-    in.number(at + "allowance_per_s", s.tenants[i].allowance_per_s);
+    in.number(at + "allowance_per_s", s.tenants[i].quota_per_s);
     in.number(at + "share", s.tenants[i].share);
   }
   in.number("servers", s.servers);
-  in.number("layer", s.layer);
-  in.number("over_share_worth", s.over_share_worth);
+  in.number("layer", s.tier);
+  in.number("over_share_worth", s.over_quota_weight_fraction);
   in.number("prices.origin", s.price_call);
   in.number("prices.connection", s.price_connection);
   in.number("prices.waste", s.price_waste);
-  in.number("rules.cold_from", s.cold_from);
+  in.number("rules.cold_from", s.cold_speed);
   in.number("rules.overload_factor", s.overload_factor);
   in.number("specifics.cpus", s.cores);
   in.number("specifics.upstreams", s.callers);
-  in.number("specifics.run_factor", s.run_factor);
-  in.number("specifics.call_share", s.call_share);
+  in.number("specifics.run_factor", s.run_memory_factor);
+  in.number("specifics.call_share", s.call_quota);
   in.number("specifics.memory_kb", s.memory_kb);
-  in.number("specifics.key_kb", s.key_kb);
+  in.number("specifics.key_kb", s.table_entry_kb);
   in.time("rules.answer_slack_ms", s.answer_slack);
   in.time("rules.cold_ms", s.warm_up);
   in.time("rules.drain_grace_ms", s.drain_grace);
-  in.time("rules.fall_ms", s.fall_window);
+  in.time("rules.fall_ms", s.overload_window);
   in.time("specifics.dep_window_ms", s.call_window);
-  in.time("specifics.linger_ms", s.call_linger);
-  in.time("specifics.fresh_ms", s.fresh);
-  in.time("specifics.idle_ms", s.idle_connections);
-  in.time("specifics.heeded_ms", s.heeded);
-  in.time("limits.max_retry_after_ms", s.max_advice);
-  in.time("tick_ms", s.tick);
+  in.time("specifics.linger_ms", s.abandoned_call_linger);
+  in.time("specifics.fresh_ms", s.response_max_age);
+  in.time("specifics.idle_ms", s.idle_connection_timeout);
+  in.time("specifics.heeded_ms", s.advertised_value_ttl);
+  in.time("limits.max_retry_after_ms", s.max_retry_after);
+  in.time("tick_ms", s.tick_interval);
   in.flag("specifics.cold", s.cold);
   in.flag("specifics.passes_deadline", s.passes_deadline);
-  in.flag("specifics.tells_gone", s.tells_gone);
-  in.flag("specifics.deep_checks", s.deep_checks);
-  in.flag("specifics.list_follows", s.list_follows);
-  in.flag("callers.marks_retry", s.marks_retry);
-  in.flag("limits.retry_after", s.advice);
+  in.flag("specifics.tells_gone", s.reports_cancellation);
+  in.flag("specifics.deep_checks", s.deep_health_checks);
+  in.flag("specifics.list_follows", s.endpoint_list_follows_health);
+  in.flag("callers.marks_retry", s.marks_retries);
+  in.flag("limits.retry_after", s.forwards_retry_after);
   std::string_view by = in.text("worth_by");
-  if (!by.empty()) s.worth_by_work = by == "work";
+  if (!by.empty()) s.weight_by_work = by == "work";
   in.word<SuspendKind>(
       "specifics.halt", s.suspend,
       {{"none", SuspendKind::none}, {"drop", SuspendKind::drop}, {"pause", SuspendKind::pause}});
   in.word<Downstream>(
       "specifics.downstream", s.downstream,
-      {{"none", Downstream::none}, {"common", Downstream::shared}, {"next_hop", Downstream::tier}});
-  in.word<FreeNumber>("specifics.say", s.free_number,
-                      {{"none", FreeNumber::none},
-                       {"tokens", FreeNumber::credit},
-                       {"min_rank", FreeNumber::level},
-                       {"bias", FreeNumber::weight}});
+      {{"none", Downstream::none}, {"common", Downstream::shared}, {"next_hop", Downstream::next_tier}});
+  in.word<AdvertisedValue>("specifics.say", s.advertised_value,
+                           {{"none", AdvertisedValue::none},
+                            {"tokens", AdvertisedValue::credits},
+                            {"min_rank", AdvertisedValue::min_rank},
+                            {"bias", AdvertisedValue::accept_probability}});
   parsed.gauges = split_list(in.text("specifics.gauges"));
   return parsed;
 }
@@ -194,9 +194,9 @@
   for (std::size_t i = 0; i < std::min(names.size(), values.size()); ++i) {
     const double value = values[i];
     if (!std::isfinite(value) || value < 0) continue;
-    if (names[i] == "core_use") fired.core_use = value;
-    if (names[i] == "on_cores") fired.on_cores = value;
-    if (names[i] == "heap_share") fired.memory_share = value;
+    if (names[i] == "core_use") fired.core_utilization = value;
+    if (names[i] == "on_cores") fired.runnable_tasks = value;
+    if (names[i] == "heap_share") fired.memory_utilization = value;
     if (names[i] == "links") fired.connections = value;
   }
   return fired;
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -105,32 +105,32 @@
     case 20:
       return CallResult::error;
     case 30:
-      return CallResult::refused;
+      return CallResult::rejected;
     case 40:
       return CallResult::timed_out;
     case 50:
       return CallResult::unreachable;
     default:
-      return CallResult::cut_off;
+      return CallResult::connection_lost;
   }
 }
 
 RequestArrived ingress(Cursor& in) {
   RequestArrived r;
   r.id = in.id();
-  r.cls = ClassId(in.get<std::uint8_t>("a class"));
+  r.class_id = ClassId(in.get<std::uint8_t>("a class"));
   r.tenant = TenantId(in.get<std::uint16_t>("a tenant"));
   r.key = in.get<std::uint64_t>("a key");
-  r.caller_waits = present(in.time("grace_ms"));
+  r.caller_timeout = present(in.time("grace_ms"));
   const auto hint = in.time("hint_ms");
-  r.memory = Kilobytes(std::llround(std::min(in.number("kb"), 1e9) * 1000.0));
+  r.memory = MemorySize(std::llround(std::min(in.number("kb"), 1e9) * 1000.0));
   in.number("prio");
   const auto bits = in.get<std::uint8_t>("bitmap");
   if (bits & 1) r.cost_hint = present(hint);
-  r.marked_retry = bits & 2;
+  r.is_retry = bits & 2;
   r.caller = CallerId(in.get<std::uint32_t>("who"));
-  r.waited_unread = in.time("queued_for_ms");
-  if (const auto same = in.get<std::uint32_t>("same_as")) r.repeats = RequestId(same);
+  r.unread_wait = in.time("queued_for_ms");
+  if (const auto same = in.get<std::uint32_t>("same_as")) r.duplicate_of = RequestId(same);
   return r;
 }
 
@@ -158,9 +158,9 @@
       return Event(CallEnded{id, result, in.time("a duration")});
     }
     case kLameDuck:
-      return Event(DrainNotice{in.time("a time of grace")});
+      return Event(DrainStarted{in.time("a time of grace")});
     case kGone:
-      return Event(CallerGone{in.id()});
+      return Event(RequestAbandoned{in.id()});
     case kDeadlineHit: {
       Gauged timer{TimerToken(in.get<std::uint32_t>("a timer's value")), {}};
       const std::size_t n = in.get<std::uint8_t>("a count of gauges");
@@ -190,47 +190,47 @@
     return code;
   }
   std::uint8_t operator()(const Run& a) { return named(kBegin, a.id); }
-  std::uint8_t operator()(const Refuse& a) {
+  std::uint8_t operator()(const Reject& a) {
     named(kShed, a.id);
-    put(fields, std::uint8_t(a.do_not_try_elsewhere));
-    put_ms(fields, a.keep_off);
+    put(fields, std::uint8_t(a.do_not_retry_elsewhere));
+    put_ms(fields, a.retry_after);
     return kShed;
   }
   std::uint8_t operator()(const Fail& a) { return named(kGiveUp, a.id); }
   std::uint8_t operator()(const Suspend& a) { return named(kSuspend, a.id); }
   std::uint8_t operator()(const Call& a) {
     named(kGoCall, a.id);
-    put_ms(fields, a.limit);
+    put_ms(fields, a.timeout);
     return kGoCall;
   }
   std::uint8_t operator()(const SkipCall& a) { return named(kOmit, a.id); }
-  std::uint8_t operator()(const Remember& a) {
+  std::uint8_t operator()(const CacheResult& a) {
     named(kKeep, a.id);
-    put_ms(fields, a.keep_for);
+    put_ms(fields, a.ttl);
     return kKeep;
   }
-  std::uint8_t operator()(const Forget& a) { return named(kErase, a.id); }
-  std::uint8_t operator()(const Reuse& a) { return named(kEcho, a.id); }
+  std::uint8_t operator()(const EvictResult& a) { return named(kErase, a.id); }
+  std::uint8_t operator()(const ReuseResult& a) { return named(kEcho, a.id); }
   std::uint8_t operator()(const SetHealth& a) {
-    put(fields, std::uint8_t(a.from_store));
-    put(fields, std::uint8_t(a.good));
+    put(fields, std::uint8_t(a.answer_from_state));
+    put(fields, std::uint8_t(a.healthy));
     return kReadiness;
   }
   std::uint8_t operator()(const AdvertiseCredit& a) {
     put(fields, std::isfinite(a.credit) && a.credit > 0 ? float(a.credit) : 0.0F);
     return kSay;
   }
-  std::uint8_t operator()(const CloseIdle& a) {
+  std::uint8_t operator()(const CloseIdleConnections& a) {
     put_ms(fields, a.idle_for);
     return kIdle;
   }
   std::uint8_t operator()(const SetTimer& a) {
-    put_ms(fields, std::min(a.after, kMaxTimer));
+    put_ms(fields, std::min(a.delay, kMaxTimer));
     put(fields, std::uint32_t(a.token));
     return kSetTimer;
   }
   std::uint8_t operator()(const Log& a) {
-    const auto text = std::string_view(a.text).substr(0, kMaxText);
+    const auto text = std::string_view(a.message).substr(0, kMaxText);
     put(fields, std::uint16_t(text.size()));
     fields += text;
     return kPrint;
--- a/tests/admission_controller_test.cpp
+++ b/tests/admission_controller_test.cpp
@@ -48,17 +48,17 @@
 RequestArrived request(std::uint32_t id, std::uint32_t cls = 0, Duration waits = seconds(4)) {
   RequestArrived r;
   r.id = RequestId(id);
-  r.cls = ClassId(cls);
+  r.class_id = ClassId(cls);
   r.caller = CallerId(id % 4);
-  r.caller_waits = waits;
-  r.memory = Kilobytes(10000);
+  r.caller_timeout = waits;
+  r.memory = MemorySize(10000);
   r.cost_hint = milliseconds(100);
   return r;
 }
 Settings roomy() {
   auto s = tight_settings();
   s.memory_kb = 1e6;
-  s.call_share = 50;
+  s.call_quota = 50;
   s.overload_factor = 8;
   return s;
 }
@@ -68,7 +68,7 @@
 }
 RequestArrived repeat(std::uint32_t id, std::uint32_t of) {
   auto r = request(id, 1);
-  r.repeats = RequestId(of);
+  r.duplicate_of = RequestId(of);
   return r;
 }
 
@@ -95,8 +95,8 @@
 }
 TEST(Pool, OneDecreaseIsAtMostAHalf) {
   auto s = roomy();
-  s.classes[0].deadline = s.classes[0].aim = seconds(3000);
-  s.heeded = seconds(1000);  // no caller falls quiet
+  s.classes[0].deadline = s.classes[0].latency_objective = seconds(3000);
+  s.advertised_value_ttl = seconds(1000);  // no caller falls quiet
   Instance i(s);
   for (std::uint32_t k = 0; k < 40; ++k) i.at(milliseconds(1), {request(k + 1, 0, seconds(3000))});
   i.idle(milliseconds(20), milliseconds(240), 1.0);
@@ -110,15 +110,15 @@
   std::vector<Event> events;
   for (std::uint32_t k = 0; k < 5; ++k) events.push_back(request(k + 1));
   EXPECT_EQ(count<granitegap::Run>(i.at(milliseconds(1), events)), 2);
-  EXPECT_EQ(count<Refuse>(i.all), 0);
+  EXPECT_EQ(count<Reject>(i.all), 0);
 }
 TEST(Arrivals, AreRefusedWhenTheyClearlyCannotBeServedInTime) {
   Instance i(roomy());
   std::vector<Event> events;
   for (std::uint32_t k = 0; k < 60; ++k) events.push_back(request(k + 1));
   const auto out = i.at(milliseconds(1), events);
-  EXPECT_GT(count<Refuse>(out), 10);
-  EXPECT_EQ(count<Refuse>(out) + count<SetTimer>(out), 60);  // each is refused or has its answer timer
+  EXPECT_GT(count<Reject>(out), 10);
+  EXPECT_EQ(count<Reject>(out) + count<SetTimer>(out), 60);  // each is refused or has its answer timer
 }
 TEST(Arrivals, AreRefusedWhenTheOldestWaitPassesTheDropBound) {
   Instance i(roomy());
@@ -126,16 +126,16 @@
   for (std::uint32_t k = 0; k < 6; ++k) events.push_back(request(k + 1));
   i.at(milliseconds(1), events);
   const auto out = i.at(milliseconds(800), {request(90)});
-  ASSERT_EQ(count<Refuse>(out), 1);
-  EXPECT_GT(Instance::only<Refuse>(out)[0].keep_off.count(), 0);
+  ASSERT_EQ(count<Reject>(out), 1);
+  EXPECT_GT(Instance::only<Reject>(out)[0].retry_after.count(), 0);
 }
 TEST(Arrivals, PastTheirAimAreRefusedForGood) {
   Instance i(roomy());
   auto r = request(1);
-  r.waited_unread = milliseconds(1600);
+  r.unread_wait = milliseconds(1600);
   const auto out = i.at(seconds(3), {r});
-  ASSERT_EQ(count<Refuse>(out), 1);
-  EXPECT_TRUE(Instance::only<Refuse>(out)[0].do_not_try_elsewhere);
+  ASSERT_EQ(count<Reject>(out), 1);
+  EXPECT_TRUE(Instance::only<Reject>(out)[0].do_not_retry_elsewhere);
 }
 TEST(Arrivals, BeyondMemoryAreRefused) {
   auto s = roomy();
@@ -145,35 +145,35 @@
   for (std::uint32_t k = 0; k < 12; ++k) events.push_back(request(k + 1));
   const auto out = i.at(milliseconds(1), events);
   EXPECT_EQ(count<granitegap::Run>(out), 1);  // what is held leaves room for a run
-  EXPECT_GE(count<Refuse>(out), 9);
+  EXPECT_GE(count<Reject>(out), 9);
 }
 TEST(Arrivals, OfAnUnknownClassAreRefusedAndDuplicateIdsIgnored) {
   Instance i(roomy());
-  EXPECT_EQ(count<Refuse>(i.at(milliseconds(1), {request(1, 77)})), 1);
+  EXPECT_EQ(count<Reject>(i.at(milliseconds(1), {request(1, 77)})), 1);
   i.at(milliseconds(2), {request(2)});
   const auto out = i.at(milliseconds(3), {request(2)});
-  EXPECT_EQ(count<granitegap::Run>(out) + count<Refuse>(out) + count<Fail>(out), 0);
+  EXPECT_EQ(count<granitegap::Run>(out) + count<Reject>(out) + count<Fail>(out), 0);
 }
 TEST(Shares, CallsInAnInnerTierAndRefusedTriesUseNone) {
   auto s = roomy();
-  s.tenants[0].allowance_per_s = 10;  // one a second here
-  s.layer = 1;
+  s.tenants[0].quota_per_s = 10;  // one a second here
+  s.tier = 1;
   Instance inner(s);
   std::vector<Event> events;
   for (std::uint32_t k = 0; k < 9; ++k) events.push_back(request(k + 1));
   inner.at(milliseconds(1), events);
   inner.idle(milliseconds(200), milliseconds(240), 1.0);
-  EXPECT_EQ(count<Refuse>(inner.at(milliseconds(250), {request(80)})), 0);
-  s.layer = 0;
+  EXPECT_EQ(count<Reject>(inner.at(milliseconds(250), {request(80)})), 0);
+  s.tier = 0;
   Instance outer(s);
   outer.at(milliseconds(1), events);
   outer.idle(milliseconds(200), milliseconds(240), 1.0);
-  EXPECT_EQ(count<Refuse>(outer.at(milliseconds(250), {request(80)})), 1);
+  EXPECT_EQ(count<Reject>(outer.at(milliseconds(250), {request(80)})), 1);
 }
 TEST(RunLimit, StaysUnderTheColdCrowd) {
   auto s = roomy();
   s.cold = true;
-  s.cold_from = 0.1;
+  s.cold_speed = 0.1;
   s.cores = 4;
   s.overload_factor = 2;
   Instance i(s);
@@ -189,12 +189,12 @@
   ASSERT_EQ(count<SetTimer>(out), 4);
   std::vector<Event> fired;
   for (const auto& t : Instance::only<SetTimer>(out)) {
-    EXPECT_EQ(t.after, Duration(milliseconds(900)));
+    EXPECT_EQ(t.delay, Duration(milliseconds(900)));
     fired.push_back(TimerFired{t.token, {}, {}, {}, {}});
   }
   const auto ends = i.at(milliseconds(901), fired);
   EXPECT_EQ(count<Fail>(ends), 2);    // the two that run
-  EXPECT_EQ(count<Refuse>(ends), 2);  // the two still held
+  EXPECT_EQ(count<Reject>(ends), 2);  // the two still held
 }
 TEST(Answers, AKeyedRunGoesOnAfterItsTryWhileTheAimLasts) {
   Instance i(roomy());
@@ -203,84 +203,84 @@
       i.at(milliseconds(301), {TimerFired{Instance::only<SetTimer>(out)[0].token, {}, {}, {}, {}}});
   EXPECT_EQ(count<Fail>(ends), 1);
   EXPECT_EQ(count<Suspend>(ends), 0);
-  EXPECT_EQ(count<Reuse>(i.at(milliseconds(400), {repeat(2, 1)})), 1);
+  EXPECT_EQ(count<ReuseResult>(i.at(milliseconds(400), {repeat(2, 1)})), 1);
   EXPECT_EQ(count<Suspend>(i.at(milliseconds(1600), {TimerFired{TimerToken{0}, 1.0, {}, {}, {}}})), 1);
 }
 TEST(Keys, AreRememberedBeforeTheRunAndForgottenIfItNeverCame) {
   auto s = roomy();
-  s.classes[1].worth = 0.1;  // held behind the others
+  s.classes[1].priority_weight = 0.1;  // held behind the others
   Instance i(s);
   const auto out = i.at(milliseconds(1), {request(1), request(2), request(3, 1, milliseconds(300))});
-  ASSERT_EQ(count<Remember>(out), 1);
-  EXPECT_GE(Instance::only<Remember>(out)[0].keep_for, Duration(milliseconds(6000)));
+  ASSERT_EQ(count<CacheResult>(out), 1);
+  EXPECT_GE(Instance::only<CacheResult>(out)[0].ttl, Duration(milliseconds(6000)));
   ASSERT_EQ(count<granitegap::Run>(out), 2);
   const auto ends =
       i.at(milliseconds(301), {TimerFired{Instance::only<SetTimer>(out)[2].token, {}, {}, {}, {}}});
-  EXPECT_EQ(count<Refuse>(ends), 1);  // it never ran, so it may be refused
-  EXPECT_EQ(count<Forget>(ends), 1);
+  EXPECT_EQ(count<Reject>(ends), 1);  // it never ran, so it may be refused
+  EXPECT_EQ(count<EvictResult>(ends), 1);
 }
 TEST(Keys, ARefusedTryIsNotRememberedAndOnePastTheWindowRunsAnew) {
   Instance i(roomy());
   auto late = request(1, 1);
-  late.waited_unread = milliseconds(1600);  // past its aim
-  EXPECT_EQ(count<Remember>(i.at(seconds(2), {late})), 0);
+  late.unread_wait = milliseconds(1600);  // past its aim
+  EXPECT_EQ(count<CacheResult>(i.at(seconds(2), {late})), 0);
   i.at(seconds(3), {request(2, 1)});
   i.at(milliseconds(3100), {RunEnded{RequestId(2), RunResult::ok, milliseconds(100)}});
   const auto out = i.at(seconds(11), {request(3, 1)});  // the host names no earlier try any more
-  EXPECT_EQ(count<Remember>(out), 1);
+  EXPECT_EQ(count<CacheResult>(out), 1);
   EXPECT_EQ(count<granitegap::Run>(out), 1);
 }
 TEST(Callers, ThatLeaveFreeTheirWork) {
   Instance i(roomy());
   i.at(milliseconds(1), {request(1), request(2), request(3)});
-  EXPECT_EQ(count<granitegap::Run>(i.at(milliseconds(5), {CallerGone{RequestId(3)}})), 0);
-  EXPECT_EQ(count<Suspend>(i.at(milliseconds(9), {CallerGone{RequestId(1)}})), 1);
+  EXPECT_EQ(count<granitegap::Run>(i.at(milliseconds(5), {RequestAbandoned{RequestId(3)}})), 0);
+  EXPECT_EQ(count<Suspend>(i.at(milliseconds(9), {RequestAbandoned{RequestId(1)}})), 1);
   const auto out = i.at(milliseconds(10), {RunEnded{RequestId(1), RunResult::cancelled, {}}, request(4)});
   EXPECT_EQ(count<granitegap::Run>(out), 1);
 }
 TEST(Keys, RepeatsAreReusedWhileHeldRunningAndDone) {
   Instance i(roomy());
   i.at(milliseconds(1), {request(1, 1)});
-  EXPECT_EQ(count<Reuse>(i.at(milliseconds(5), {repeat(2, 1)})), 1);
+  EXPECT_EQ(count<ReuseResult>(i.at(milliseconds(5), {repeat(2, 1)})), 1);
   i.at(milliseconds(100), {RunEnded{RequestId(1), RunResult::ok, milliseconds(99)}});
   const auto out = i.at(milliseconds(200), {repeat(3, 1)});
-  EXPECT_EQ(count<Reuse>(out), 1);
+  EXPECT_EQ(count<ReuseResult>(out), 1);
   EXPECT_EQ(count<granitegap::Run>(out), 0);
 }
 TEST(Calls, ARunKeyedRequestIsFailedNotRefusedAndItsCallNotRepeated) {
   Instance i(roomy());
   i.at(milliseconds(1), {request(1, 1)});
   EXPECT_EQ(count<Call>(i.at(milliseconds(50), {CallNeeded{RequestId(1)}})), 1);
-  i.at(milliseconds(90), {CallEnded{RequestId(1), CallResult::refused, milliseconds(40)}});
+  i.at(milliseconds(90), {CallEnded{RequestId(1), CallResult::rejected, milliseconds(40)}});
   EXPECT_EQ(count<Call>(i.at(milliseconds(200), {TimerFired{TimerToken{0}, 1.0, {}, {}, {}}})), 1);
   const auto out =
       i.at(milliseconds(300), {CallEnded{RequestId(1), CallResult::timed_out, milliseconds(100)}});
   EXPECT_EQ(count<Fail>(out), 1);
-  EXPECT_EQ(count<Refuse>(out) + count<Call>(out), 0);
+  EXPECT_EQ(count<Reject>(out) + count<Call>(out), 0);
 }
 TEST(Calls, StayWithinAShareUnderOne) {
   auto s = roomy();
-  s.call_share = 0.02;
+  s.call_quota = 0.02;
   Instance i(s);
   i.at(milliseconds(1), {request(1, 2)});
   EXPECT_EQ(count<Call>(i.at(milliseconds(50), {CallNeeded{RequestId(1)}})), 0);
 }
 TEST(Drain, ServesWhatCameInTheGraceAndRefusesTheRest) {
   Instance i(roomy());
-  auto out = i.at(seconds(1), {DrainNotice{seconds(6)}});
+  auto out = i.at(seconds(1), {DrainStarted{seconds(6)}});
   ASSERT_EQ(count<SetHealth>(out), 1);
-  EXPECT_FALSE(Instance::only<SetHealth>(out)[0].good);
+  EXPECT_FALSE(Instance::only<SetHealth>(out)[0].healthy);
   EXPECT_EQ(count<granitegap::Run>(i.at(milliseconds(1900), {request(1)})), 1);
   auto late_read = request(2);
-  late_read.waited_unread = milliseconds(400);
+  late_read.unread_wait = milliseconds(400);
   EXPECT_EQ(count<granitegap::Run>(i.at(milliseconds(2300), {late_read})), 1);
-  EXPECT_EQ(count<Refuse>(i.at(milliseconds(2301), {request(3)})), 1);
-  EXPECT_EQ(count<Refuse>(i.at(milliseconds(6950), {repeat(4, 1)})), 1);
+  EXPECT_EQ(count<Reject>(i.at(milliseconds(2301), {request(3)})), 1);
+  EXPECT_EQ(count<Reject>(i.at(milliseconds(6950), {repeat(4, 1)})), 1);
 }
 // Guards against callers sent away while others have no room for them and this one still may run their work.
 TEST(Drain, CallersKeepTheirCreditUntilTheGraceRunsOut) {
   Instance i(roomy());  // its grace is a second
-  i.at(seconds(1), {request(1), DrainNotice{seconds(6)}});
+  i.at(seconds(1), {request(1), DrainStarted{seconds(6)}});
   i.idle(seconds(1), milliseconds(1600), 0.5);
   EXPECT_GT(i.credit, 0);
   i.idle(milliseconds(1600), milliseconds(1800), 0.5);
@@ -304,7 +304,7 @@
 void offer_stays_within_budget(std::uint32_t told, unsigned seed) {
   auto s = roomy();
   s.cold = true;
-  s.cold_from = 0.2;
+  s.cold_speed = 0.2;
   s.warm_up = seconds(18);
   s.cores = 6;
   s.callers = told;
@@ -357,22 +357,22 @@
   Instance i(roomy());
   EXPECT_TRUE(i.at(seconds(5), {RunEnded{RequestId(9), RunResult::ok, {}},
                                 CallEnded{RequestId(9), CallResult::ok, {}}, CallNeeded{RequestId(9)},
-                                CallerGone{RequestId(9)}, TimerFired{TimerToken{99}, {}, {}, {}, {}}})
+                                RequestAbandoned{RequestId(9)}, TimerFired{TimerToken{99}, {}, {}, {}, {}}})
                   .empty());
   i.at(seconds(1), {request(1)});  // time runs backward: read as the latest time seen
   const auto timers = Instance::only<SetTimer>(i.all);
-  EXPECT_EQ(timers.back().after, Duration(seconds(4)));
+  EXPECT_EQ(timers.back().delay, Duration(seconds(4)));
 }
 TEST(Hosts, NoSettingsAtAllAreReadWithCautionAndNamedOnce) {
   Instance i(Settings{});
   EXPECT_EQ(count<Log>(i.all), 1);
-  EXPECT_EQ(count<Refuse>(i.at(milliseconds(1), {request(1)})), 1);
+  EXPECT_EQ(count<Reject>(i.at(milliseconds(1), {request(1)})), 1);
 }
 
 // ---- Full size: many seldom callers, two cores ----
 TEST(Calls, AQuickCallLeavesTheCountAtOnce) {
   auto s = roomy();
-  s.call_share = 1;
+  s.call_quota = 1;
   Instance i(s);
   std::vector<Event> first;
   for (std::uint32_t k = 0; k < 2; ++k) first.push_back(request(k + 1, 2, seconds(8)));
@@ -384,7 +384,7 @@
 }
 TEST(Calls, AFreshInstanceDoesNotSpendAWholeWindowAtOnce) {
   auto s = roomy();
-  s.call_share = 0.9;
+  s.call_quota = 0.9;
   s.cores = 16;
   Instance i(s);
   std::vector<Event> in, calls;
@@ -399,9 +399,9 @@
 }
 TEST(Calls, ThatSlowDownUseLessOfTheShare) {
   auto s = roomy();
-  s.call_share = 20;
+  s.call_quota = 20;
   s.cores = 16;
-  for (auto& c : s.classes) c.aim = c.deadline = seconds(60);
+  for (auto& c : s.classes) c.latency_objective = c.deadline = seconds(60);
   const auto in_hand = [&](Duration took) {
     Instance i(s);
     std::uint32_t id = 0;
@@ -427,26 +427,26 @@
     for (std::uint32_t k = 0; k < 6; ++k) events.push_back(request(k + 1));
     i.at(milliseconds(1), events);
     i.idle(milliseconds(20), milliseconds(250) + overloaded, 1.0);  // D_t is 2.5 runs of 100 ms
-    const auto out = Instance::only<Refuse>(i.at(milliseconds(251) + overloaded, {request(90)}));
+    const auto out = Instance::only<Reject>(i.at(milliseconds(251) + overloaded, {request(90)}));
     EXPECT_EQ(out.size(), 1u);
-    return !out.empty() && out[0].do_not_try_elsewhere;
+    return !out.empty() && out[0].do_not_retry_elsewhere;
   };
   EXPECT_FALSE(stay(milliseconds(300)));  // a spike: others may have room
   EXPECT_TRUE(stay(milliseconds(800)));
 }
 TEST(Bar, WhereRequestsWaitUnreadTheLeastWorthGoesFirst) {
   auto s = roomy();
-  for (auto& c : s.classes) c.aim = c.deadline = seconds(20);
+  for (auto& c : s.classes) c.latency_objective = c.deadline = seconds(20);
   Instance i(s);
   std::uint32_t id = 0;
   int refused[3] = {};
   for (int k = 0; k < 400; ++k) {
     const auto at = milliseconds(20 * (k + 1));
     auto r = request(++id, std::uint32_t(k % 2), seconds(18));  // class 1 is worth three times class 0
-    r.waited_unread = seconds(3);
+    r.unread_wait = seconds(3);
     i.at(at, {TimerFired{TimerToken{0}, 1.0, {}, {}, {}}});
     const auto out = i.at(at + milliseconds(1), {r});
-    if (k > 200) refused[k % 2] += count<Refuse>(out);
+    if (k > 200) refused[k % 2] += count<Reject>(out);
     for (const auto& run : Instance::only<granitegap::Run>(out))
       i.at(at + milliseconds(2), {RunEnded{run.id, RunResult::ok, milliseconds(1)}});
   }
@@ -460,17 +460,17 @@
   for (int k = 0; k < 200; ++k) {
     const auto at = milliseconds(20 * (k + 1));
     auto r = request(++id, 0, seconds(3));
-    r.waited_unread = milliseconds(900);  // a pause, not load
+    r.unread_wait = milliseconds(900);  // a pause, not load
     i.at(at, {TimerFired{TimerToken{0}, 0.3, {}, {}, {}}});
     for (const auto& run : Instance::only<granitegap::Run>(i.at(at + milliseconds(1), {r})))
       i.at(at + milliseconds(2), {RunEnded{run.id, RunResult::ok, milliseconds(1)}});
   }
-  EXPECT_EQ(count<Refuse>(i.all), 0);
+  EXPECT_EQ(count<Reject>(i.all), 0);
 }
 TEST(Shares, WellUnderOneASecondAllowForChance) {
   auto s = roomy();
   s.servers = 300;
-  s.tenants[0].allowance_per_s = 90;  // 0.3 a second here
+  s.tenants[0].quota_per_s = 90;  // 0.3 a second here
   Instance i(s);
   const auto hold = [&](Duration at) {  // two run, some wait past D_t
     std::vector<Event> events;
@@ -485,7 +485,7 @@
   i.idle(milliseconds(20), seconds(20), 0.3);  // six seconds' worth and more is saved up
   hold(seconds(20));
   for (std::uint32_t k = 0; k < 4; ++k)  // four in a row are chance, not traffic over a share
-    EXPECT_EQ(count<Refuse>(i.at(milliseconds(20250 + k), {request(200 + k)})), 0) << k;
+    EXPECT_EQ(count<Reject>(i.at(milliseconds(20250 + k), {request(200 + k)})), 0) << k;
 }
 TEST(Hosts, AbsurdCountsGaugesAndAllowancesChangeNoRule) {
   const double bad[] = {0, -3, 1e18, std::numeric_limits<double>::quiet_NaN(),
@@ -493,8 +493,8 @@
   for (const double v : bad) {
     auto s = roomy();
     s.servers = s.callers = v;
-    s.call_share = v;
-    for (auto& t : s.tenants) t.allowance_per_s = v;
+    s.call_quota = v;
+    for (auto& t : s.tenants) t.quota_per_s = v;
     Instance i(s);
     std::vector<Event> events;
     for (std::uint32_t k = 0; k < 9; ++k) events.push_back(request(k + 1));
@@ -516,7 +516,7 @@
     i.at(at + milliseconds(1), {r});
     i.at(at + milliseconds(2), {RunEnded{RequestId(k + 1), RunResult::ok, milliseconds(1)}});
   }
-  EXPECT_EQ(count<Refuse>(i.all), 0);
+  EXPECT_EQ(count<Reject>(i.all), 0);
   i.idle(seconds(61), seconds(67), 0.5);
   EXPECT_GE(i.credit, 2 + 4);  // all forgotten: the whole pool, not a part of it for each caller ever seen
 }
@@ -528,7 +528,7 @@
   static Settings settings() {
     auto s = roomy();
     s.cold = false;
-    s.list_follows = true;
+    s.endpoint_list_follows_health = true;
     return s;
   }
   // Requests one after the other, each of so many ms on the cores, read so late.
@@ -536,7 +536,7 @@
              Duration update = milliseconds(20), double core_use = 1.0) {
     for (int k = 0; k < requests; ++k) {
       auto r = request(++last, 0, seconds(4));
-      r.waited_unread = unread;
+      r.unread_wait = unread;
       i.at(at, {r});
       const auto until = at + took;
       for (; at < until; at += update) i.at(at, {TimerFired{TimerToken{0}, core_use, on_cores, {}, {}}});
@@ -545,7 +545,7 @@
   }
   std::vector<bool> health() {
     std::vector<bool> said;
-    for (const auto& h : Instance::only<SetHealth>(i.all)) said.push_back(h.good);
+    for (const auto& h : Instance::only<SetHealth>(i.all)) said.push_back(h.healthy);
     return said;
   }
   Instance i{settings()};
--- a/tests/admission_property_test.cpp
+++ b/tests/admission_property_test.cpp
@@ -55,7 +55,7 @@
 }
 TEST(FourRules, ATinyShareOfCallsIsKept) {
   auto s = tight_settings();
-  s.call_share = 0.3;
+  s.call_quota = 0.3;
   sweep(s, {.arrivals_per_s = 40, .steps = 2600}, 9);
 }
 TEST(FourRules, ScarceMemoryIsKept) {
@@ -66,19 +66,19 @@
 }
 TEST(FourRules, CallsThatComeBackAtOnceDoNotCrowdTheCores) {
   auto s = tight_settings();
-  s.downstream = Downstream::tier;
-  s.call_share = 1e6;
+  s.downstream = Downstream::next_tier;
+  s.call_quota = 1e6;
   s.memory_kb = 1e6;
   s.overload_factor = 1.5;
-  for (auto& c : s.classes) c.aim = milliseconds(3900);
+  for (auto& c : s.classes) c.latency_objective = milliseconds(3900);
   sweep(s, {.arrivals_per_s = 60, .steps = 2600, .together = true}, 9);
 }
 TEST(FourRules, ASmallServerAmongHundredsBreaksNone) {
   auto s = tight_settings();
   s.servers = 300;
   s.callers = 900;
-  s.call_share = 0.4;
-  for (auto& t : s.tenants) t.allowance_per_s = 60;  // a fifth of a request a second here
+  s.call_quota = 0.4;
+  for (auto& t : s.tenants) t.quota_per_s = 60;  // a fifth of a request a second here
   const auto t = sweep(s, {.arrivals_per_s = 25, .steps = 2600, .callers = 900, .full_table = 90}, 9);
   EXPECT_GT(t.served, 100);
   EXPECT_GT(t.refused, 100);
--- a/tests/fake_host.h
+++ b/tests/fake_host.h
@@ -55,8 +55,8 @@
   static constexpr Duration kTick = milliseconds(5);
 
   double roll() { return std::uniform_real_distribution<double>(0, 1)(rng_); }
-  const ClassSettings& cls(const Req& r) { return s_.classes[std::size_t(r.in.cls)]; }
-  bool once(const Req& r) { return *cls(r).effect != Effect::repeatable; }
+  const ClassSettings& cls(const Req& r) { return s_.classes[std::size_t(r.in.class_id)]; }
+  bool once(const Req& r) { return *cls(r).idempotency != Idempotency::idempotent; }
 
   void step(bool arrivals) {
     now_ += kTick;
@@ -64,7 +64,7 @@
     if (script_.drain_at >= 0 && step_ == script_.drain_at) {
       drained_ = now_;
       stop_ = now_ + milliseconds(4000);
-      events.push_back(DrainNotice{milliseconds(4000)});
+      events.push_back(DrainStarted{milliseconds(4000)});
     }
     work(events);
     end_calls(events);
@@ -73,7 +73,7 @@
     for (auto it = timers_.begin(); it != timers_.end() && it->first <= now_;) {
       TimerFired fired;
       fired.token = it->second;
-      fired.core_use = running() >= int(*s_.cores) ? 1.0 : double(running()) / *s_.cores;
+      fired.core_utilization = running() >= int(*s_.cores) ? 1.0 : double(running()) / *s_.cores;
       if (script_.full_table > 0) fired.connections = script_.full_table;
       events.push_back(fired);
       it = timers_.erase(it);
@@ -129,57 +129,58 @@
     for (auto& [id, r] : requests_) {
       if ((r.state == State::at_call || r.state == State::calling || r.state == State::paused) &&
           (r.answered || r.gone)) {
-        if (r.state == State::calling) lingering_.push_back(now_ + *s_.call_linger);
+        if (r.state == State::calling) lingering_.push_back(now_ + *s_.abandoned_call_linger);
         settle(r, RunResult::cancelled, events);
         continue;
       }
       if (r.state != State::calling || r.call_ends > now_) continue;
       const double p = script_.together ? 0 : roll();
       const auto result = p < 0.7    ? CallResult::ok
-                          : p < 0.8  ? CallResult::refused
+                          : p < 0.8  ? CallResult::rejected
                           : p < 0.85 ? CallResult::unreachable
                           : p < 0.9  ? CallResult::error
                           : p < 0.95 ? CallResult::timed_out
-                                     : CallResult::cut_off;
-      if (result == CallResult::timed_out) lingering_.push_back(now_ + *s_.call_linger);
+                                     : CallResult::connection_lost;
+      if (result == CallResult::timed_out) lingering_.push_back(now_ + *s_.abandoned_call_linger);
       r.state = result == CallResult::ok ? State::running : State::at_call;
-      if (result != CallResult::ok && result != CallResult::refused && result != CallResult::unreachable)
+      if (result != CallResult::ok && result != CallResult::rejected && result != CallResult::unreachable)
         r.call_may_have_run = true;
       events.push_back(CallEnded{id, result, milliseconds(100)});
     }
   }
   void leave(std::vector<Event>& events) {
-    if (!*s_.tells_gone || roll() > 0.01) return;
+    if (!*s_.reports_cancellation || roll() > 0.01) return;
     for (auto& [id, r] : requests_) {
       if (r.answered || r.gone || r.state == State::over || roll() > 0.1) continue;
       r.gone = true;
       if (r.state == State::held || r.state == State::paused || r.state == State::reusing)
         r.state = State::over;
-      events.push_back(CallerGone{id});
+      events.push_back(RequestAbandoned{id});
       return;
     }
   }
   void arrive(std::vector<Event>& events) {
     Req r;
     r.in.id = RequestId(next_id_++);
-    r.in.cls = ClassId(std::uint32_t(roll() * double(s_.classes.size())));
+    r.in.class_id = ClassId(std::uint32_t(roll() * double(s_.classes.size())));
     r.in.tenant = TenantId(std::uint32_t(roll() * 2));
     r.in.caller = CallerId(std::uint32_t(roll() * script_.callers));
-    r.in.memory = Kilobytes(std::int64_t(10000 + roll() * 60000));
-    r.in.waited_unread = milliseconds(int(roll() * (script_.full_table > 0 ? 1500 : 200)));
-    r.reached = now_ - r.in.waited_unread;
-    if (*s_.passes_deadline) r.in.caller_waits = milliseconds(int(50 + roll() * 2000));
-    r.due = std::max(now_, r.in.caller_waits ? now_ + *r.in.caller_waits
-                                             : r.reached + *s_.classes[std::size_t(r.in.cls)].deadline);
+    r.in.memory = MemorySize(std::int64_t(10000 + roll() * 60000));
+    r.in.unread_wait = milliseconds(int(roll() * (script_.full_table > 0 ? 1500 : 200)));
+    r.reached = now_ - r.in.unread_wait;
+    if (*s_.passes_deadline) r.in.caller_timeout = milliseconds(int(50 + roll() * 2000));
+    r.due =
+        std::max(now_, r.in.caller_timeout ? now_ + *r.in.caller_timeout
+                                           : r.reached + *s_.classes[std::size_t(r.in.class_id)].deadline);
     r.work = 0.02 + roll() * roll() * 0.8;
     if (roll() < 0.7)
       r.in.cost_hint = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(r.work));
     if (roll() < 0.6) r.call_at = r.work * roll();
-    if (*s_.classes[std::size_t(r.in.cls)].effect == Effect::once_by_key) {
+    if (*s_.classes[std::size_t(r.in.class_id)].idempotency == Idempotency::with_key) {
       const auto key = std::uint64_t(roll() * 12);
       keys_[r.in.id] = key;
       const auto it = table_.find(key);
-      if (it != table_.end() && it->second.second >= r.reached) r.in.repeats = it->second.first;
+      if (it != table_.end() && it->second.second >= r.reached) r.in.duplicate_of = it->second.first;
     }
     events.push_back(r.in);
     requests_.emplace(r.in.id, r);
@@ -192,7 +193,7 @@
     const auto key = keys_.find(r.in.id);
     if (key == keys_.end() || r.ran) return;
     const auto last = last_run_.find(key->second);
-    if (last != last_run_.end() && r.reached <= last->second + *cls(r).repeat_window)
+    if (last != last_run_.end() && r.reached <= last->second + *cls(r).idempotency_window)
       broken.insert("duplicate: two tries of one key ran");
     last_run_[key->second] = r.reached;
   }
@@ -221,7 +222,7 @@
     if (r.state == State::held || r.state == State::paused || r.state == State::reusing)
       r.state = State::over;
   }
-  void on(const Refuse& a, std::vector<Event>&) {
+  void on(const Reject& a, std::vector<Event>&) {
     auto* r = get(a.id);
     if (!r || r->state == State::over) return;
     if (r->ran && once(*r)) broken.insert("duplicate: refused what had run");
@@ -250,41 +251,41 @@
     if (r->call_may_have_run && once(*r)) broken.insert("duplicate: repeated a call that may have run");
     ++calls;
     r->state = State::calling;
-    r->call_ends = now_ + std::min<Duration>(a.limit, milliseconds(int(10 + roll() * script_.call_ms)));
+    r->call_ends = now_ + std::min<Duration>(a.timeout, milliseconds(int(10 + roll() * script_.call_ms)));
     if (script_.together) r->call_ends = TimePoint{} + ((now_ - TimePoint{}) / seconds(3) + 1) * seconds(3);
   }
   void on(const SkipCall& a, std::vector<Event>&) {
     auto* r = get(a.id);
     if (!r || r->state != State::at_call) return;
-    if (cls(*r).skip_worth.value_or(0) <= 0) broken.insert("skipped a call that can't be");
+    if (cls(*r).degraded_weight_fraction.value_or(0) <= 0) broken.insert("skipped a call that can't be");
     ++skipped;
     r->state = State::running;
   }
-  void on(const Remember& a, std::vector<Event>&) {
+  void on(const CacheResult& a, std::vector<Event>&) {
     const auto key = keys_.find(a.id);
-    if (key != keys_.end()) table_[key->second] = {a.id, now_ + a.keep_for};
+    if (key != keys_.end()) table_[key->second] = {a.id, now_ + a.ttl};
   }
-  void on(const Forget& a, std::vector<Event>&) {
+  void on(const EvictResult& a, std::vector<Event>&) {
     const auto key = keys_.find(a.id);
     if (key != keys_.end() && table_.count(key->second) && table_[key->second].first == a.id)
       table_.erase(key->second);
   }
-  void on(const Reuse& a, std::vector<Event>&) {
+  void on(const ReuseResult& a, std::vector<Event>&) {
     auto* r = get(a.id);
     if (!r || r->state != State::held) return;
-    if (!r->in.repeats) broken.insert("reused what repeats nothing");
+    if (!r->in.duplicate_of) broken.insert("reused what repeats nothing");
     ++reused;
-    r->original = r->in.repeats.value_or(RequestId{});
+    r->original = r->in.duplicate_of.value_or(RequestId{});
     r->state = State::reusing;
   }
   void on(const SetTimer& a, std::vector<Event>&) {
-    timers_.emplace(now_ + std::max<Duration>(a.after, Duration(1)), a.token);
+    timers_.emplace(now_ + std::max<Duration>(a.delay, Duration(1)), a.token);
   }
   void on(const SetHealth&, std::vector<Event>&) {}
   void on(const AdvertiseCredit& a, std::vector<Event>&) {
     if (!(a.credit >= 0)) broken.insert("advertised no number");
   }
-  void on(const CloseIdle&, std::vector<Event>&) {}
+  void on(const CloseIdleConnections&, std::vector<Event>&) {}
   void on(const Log&, std::vector<Event>&) {}
 
   void check() {
@@ -295,18 +296,18 @@
         std::count_if(table_.begin(), table_.end(), [&](auto& e) { return e.second.second >= now_; });
     std::erase_if(lingering_, [&](auto t) { return t <= now_; });
     int on_calls = int(lingering_.size());
-    memory += double(kept) * *s_.key_kb;
+    memory += double(kept) * *s_.table_entry_kb;
     for (auto& [id, r] : requests_) {
       if (r.state == State::over) continue;
       if (!r.answered && !r.gone && now_ > r.due + *s_.answer_slack) broken.insert("lost: answer overdue");
       on_calls += r.state == State::calling;
       memory += double(std::int64_t(r.in.memory)) / 1000 *
-                (r.state == State::held || r.state == State::reusing ? 1 : *s_.run_factor);
+                (r.state == State::held || r.state == State::reusing ? 1 : *s_.run_memory_factor);
     }
     if (memory > *s_.memory_kb) broken.insert("fall-over: memory");
-    mean(crowd_, running(), *s_.fall_window, *s_.cores * (1 + (*s_.overload_factor - 1) * warmth()),
+    mean(crowd_, running(), *s_.overload_window, *s_.cores * (1 + (*s_.overload_factor - 1) * warmth()),
          "fall-over: crowd");
-    mean(in_hand_, on_calls, *s_.call_window, *s_.call_share, "fall-over: calls");
+    mean(in_hand_, on_calls, *s_.call_window, *s_.call_quota, "fall-over: calls");
     if (stop_ && now_ >= *stop_) {
       stopped_ = true;
       for (auto& [id, r] : requests_)
@@ -316,7 +317,7 @@
   double warmth() const {
     if (!*s_.cold) return 1;
     const double part = double(now_.time_since_epoch().count()) / double(s_.warm_up->count());
-    return *s_.cold_from + (1 - *s_.cold_from) * std::min(1.0, part);
+    return *s_.cold_speed + (1 - *s_.cold_speed) * std::min(1.0, part);
   }
   void mean(std::deque<double>& samples, double value, Duration window, double bound, const char* name) {
     const auto n = std::size_t(window / kTick);
@@ -350,50 +351,50 @@
   Settings s;
   s.classes.resize(3);
   for (auto& c : s.classes) {
-    c.aim = milliseconds(1500);
+    c.latency_objective = milliseconds(1500);
     c.deadline = milliseconds(4000);
-    c.repeat_window = milliseconds(6000);
-    c.worth = 1;
-    c.late_worth = 0;
-    c.skip_worth = 0;
-    c.calls = true;
+    c.idempotency_window = milliseconds(6000);
+    c.priority_weight = 1;
+    c.late_weight_fraction = 0;
+    c.degraded_weight_fraction = 0;
+    c.makes_calls = true;
   }
-  s.classes[0].effect = Effect::repeatable;
-  s.classes[0].skip_worth = 0.5;
-  s.classes[1].effect = Effect::once_by_key;
-  s.classes[1].worth = 3;
-  s.classes[2].effect = Effect::once_unsafe;
+  s.classes[0].idempotency = Idempotency::idempotent;
+  s.classes[0].degraded_weight_fraction = 0.5;
+  s.classes[1].idempotency = Idempotency::with_key;
+  s.classes[1].priority_weight = 3;
+  s.classes[2].idempotency = Idempotency::none;
   s.tenants.resize(2);
-  for (auto& t : s.tenants) t.allowance_per_s = 200, t.share = 0.5;
+  for (auto& t : s.tenants) t.quota_per_s = 200, t.share = 0.5;
   s.cores = 2;
   s.servers = 10;
   s.callers = 4;
-  s.layer = 0;
-  s.run_factor = 8;
+  s.tier = 0;
+  s.run_memory_factor = 8;
   s.overload_factor = 3;
-  s.cold_from = 0.2;
-  s.call_share = 1.2;
+  s.cold_speed = 0.2;
+  s.call_quota = 1.2;
   s.memory_kb = 4000;
-  s.key_kb = 60;
-  s.over_share_worth = 0.05;
+  s.table_entry_kb = 60;
+  s.over_quota_weight_fraction = 0.05;
   s.answer_slack = milliseconds(80);
   s.drain_grace = milliseconds(1000);
-  s.fall_window = milliseconds(1500);
+  s.overload_window = milliseconds(1500);
   s.warm_up = seconds(8);
   s.call_window = milliseconds(5000);
-  s.call_linger = milliseconds(200);
-  s.fresh = Duration{};
-  s.heeded = seconds(1);
-  s.tick = milliseconds(5);
-  s.max_advice = seconds(1);
+  s.abandoned_call_linger = milliseconds(200);
+  s.response_max_age = Duration{};
+  s.advertised_value_ttl = seconds(1);
+  s.tick_interval = milliseconds(5);
+  s.max_retry_after = seconds(1);
   s.cold = false;
   s.passes_deadline = true;
-  s.tells_gone = true;
-  s.deep_checks = false;
-  s.worth_by_work = true;
+  s.reports_cancellation = true;
+  s.deep_health_checks = false;
+  s.weight_by_work = true;
   s.suspend = SuspendKind::drop;
   s.downstream = Downstream::shared;
-  s.free_number = FreeNumber::credit;
+  s.advertised_value = AdvertisedValue::credits;
   return s;
 }
 
--- a/tests/server_parts_test.cpp
+++ b/tests/server_parts_test.cpp
@@ -33,8 +33,8 @@
   CHECK(c.catalog.tenants == std::vector<std::string>{"x y"});
   CHECK(c.catalog.keyed == std::vector<bool>{true});
   CHECK(c.parsed.settings.cores == 6.0);
-  CHECK(c.parsed.settings.classes.at(0).aim == Duration(100500));
-  CHECK(c.parsed.settings.classes.at(0).calls == false);
+  CHECK(c.parsed.settings.classes.at(0).latency_objective == Duration(100500));
+  CHECK(c.parsed.settings.classes.at(0).makes_calls == false);
   CHECK(c.parsed.gauges == std::vector<std::string>{"core_use", "links"});
 }
 
@@ -67,7 +67,7 @@
   r.rid = std::move(rid);
   r.token = "t";
   r.reached = edge::UnixTime(reached);
-  r.memory = Kilobytes(20000);
+  r.memory = MemorySize(20000);
   r.body = std::move(body);
   return r;
 }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -13,15 +13,15 @@
       "orgs.count=1\norgs.0.allowance_per_s=98.0\nspecifics.gauges=core_use,links\n");
   EXPECT_EQ(p.settings.cores, 6.0);
   EXPECT_EQ(p.settings.suspend, SuspendKind::drop);
-  EXPECT_EQ(p.settings.free_number, FreeNumber::credit);
+  EXPECT_EQ(p.settings.advertised_value, AdvertisedValue::credits);
   ASSERT_EQ(p.settings.classes.size(), 2U);
-  EXPECT_EQ(p.settings.classes[0].aim, Duration(1300500));
-  EXPECT_EQ(p.settings.classes[1].effect, Effect::once_by_key);
-  EXPECT_EQ(p.settings.classes[0].calls, true);
-  EXPECT_EQ(p.settings.classes[1].skip_worth, 0.5);
-  EXPECT_EQ(p.settings.tenants.at(0).allowance_per_s, 98.0);
+  EXPECT_EQ(p.settings.classes[0].latency_objective, Duration(1300500));
+  EXPECT_EQ(p.settings.classes[1].idempotency, Idempotency::with_key);
+  EXPECT_EQ(p.settings.classes[0].makes_calls, true);
+  EXPECT_EQ(p.settings.classes[1].degraded_weight_fraction, 0.5);
+  EXPECT_EQ(p.settings.tenants.at(0).quota_per_s, 98.0);
   EXPECT_EQ(p.gauges, (std::vector<std::string>{"core_use", "links"}));
-  EXPECT_TRUE(p.settings.unusable.empty());
+  EXPECT_TRUE(p.settings.invalid_keys.empty());
 }
 
 TEST(Settings, NamesWhatItCannotUseAndIgnoresWhatItDoesNotKnow) {
@@ -30,11 +30,11 @@
       "pair\n\n"
       "classes.count=99999999999\n");
   EXPECT_FALSE(p.settings.cores);
-  EXPECT_FALSE(p.settings.fall_window);
+  EXPECT_FALSE(p.settings.overload_window);
   EXPECT_FALSE(p.settings.memory_kb);
   EXPECT_FALSE(p.settings.suspend);
   EXPECT_TRUE(p.settings.classes.empty());
-  EXPECT_EQ(p.settings.unusable.size(), 5U);
+  EXPECT_EQ(p.settings.invalid_keys.size(), 5U);
 }
 
 }  // namespace
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -89,12 +89,12 @@
   EXPECT_EQ(decoded.records[0].instance, 3);
   const auto& r = std::get<RequestArrived>(std::get<Event>(decoded.records[0].body));
   EXPECT_EQ(r.id, RequestId(0x5d3a91c4));
-  EXPECT_EQ(r.caller_waits, Duration(240000));
+  EXPECT_EQ(r.caller_timeout, Duration(240000));
   EXPECT_EQ(r.cost_hint, Duration(12000));
-  EXPECT_EQ(r.memory, Kilobytes(24500));
-  EXPECT_EQ(r.waited_unread, Duration(1850));
-  EXPECT_EQ(r.repeats, RequestId(0x0e6f2b19));
-  EXPECT_FALSE(r.marked_retry);
+  EXPECT_EQ(r.memory, MemorySize(24500));
+  EXPECT_EQ(r.unread_wait, Duration(1850));
+  EXPECT_EQ(r.duplicate_of, RequestId(0x0e6f2b19));
+  EXPECT_FALSE(r.is_retry);
 }
 TEST(Wire, ActionsAreWrittenAsThePageShowsThem) {
   wire::Reply reply(12);
--- a/tools/fleet/recovery_simulation.cpp
+++ b/tools/fleet/recovery_simulation.cpp
@@ -24,32 +24,32 @@
 Settings settings_of(const RecoverySimulationOptions& o, bool cold) {
   Settings s;
   ClassSettings c;
-  c.aim = kAim;
+  c.latency_objective = kAim;
   c.deadline = kDeadline;
-  c.worth = 1;
-  c.late_worth = 0.2;
-  c.effect = Effect::repeatable;
+  c.priority_weight = 1;
+  c.late_weight_fraction = 0.2;
+  c.idempotency = Idempotency::idempotent;
   s.classes = {c};
   s.cores = 1;
   s.servers = double(o.servers);
   s.callers = 16;
-  s.run_factor = 8;
+  s.run_memory_factor = 8;
   s.overload_factor = 8;
-  s.cold_from = o.cold_from;
-  s.call_share = 0;
+  s.cold_speed = o.cold_from;
+  s.call_quota = 0;
   s.memory_kb = 49134;
-  s.key_kb = 200;
+  s.table_entry_kb = 200;
   s.answer_slack = kSlack;
   s.drain_grace = seconds(2);
   s.warm_up = o.warm_up;
-  s.heeded = seconds(1);
-  s.tick = milliseconds(2);
-  s.max_advice = seconds(1);
+  s.advertised_value_ttl = seconds(1);
+  s.tick_interval = milliseconds(2);
+  s.max_retry_after = seconds(1);
   s.cold = cold;
-  s.advice = s.worth_by_work = true;
+  s.forwards_retry_after = s.weight_by_work = true;
   s.suspend = SuspendKind::none;
   s.downstream = Downstream::none;
-  s.free_number = FreeNumber::credit;
+  s.advertised_value = AdvertisedValue::credits;
   return s;
 }
 
@@ -119,7 +119,7 @@
     double use = 0;
     std::uint32_t next_id = 1;
     TimePoint ticked{};
-    BoundSet bound;
+    AdmissionLimits bound;
   };
   struct Later {
     TimePoint at;
@@ -183,7 +183,7 @@
     in.id = id;
     in.caller = CallerId(std::uint32_t(random_() % 16));
     in.cost_hint = o_.cost;
-    in.memory = Kilobytes(24500);
+    in.memory = MemorySize(24500);
     s.events.emplace_back(in);
   }
 
@@ -201,13 +201,13 @@
       it->second.running = true;
       s.running.push_back(run->id);
       ++f_.runs;
-    } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-      if (s.recovery && refuse->keep_off.count() > 0) s.recovery->turned_away(now_);
+    } else if (const auto* refuse = std::get_if<Reject>(&action)) {
+      if (s.recovery && refuse->retry_after.count() > 0) s.recovery->turned_away(now_);
       give_up(s, refuse->id);
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
       give_up(s, fail->id);
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-      s.timers.push({now_ + timer->after, timer->token});
+      s.timers.push({now_ + timer->delay, timer->token});
     }
   }
 
@@ -260,8 +260,8 @@
     while (!s.timers.empty() && s.timers.top().at <= now_) {
       TimerFired fired;
       fired.token = s.timers.top().token;
-      fired.core_use = s.use;
-      fired.on_cores = double(s.running.size());
+      fired.core_utilization = s.use;
+      fired.runnable_tasks = double(s.running.size());
       s.timers.pop();
       s.events.emplace_back(fired);
     }
@@ -273,8 +273,8 @@
         f_.max_over_proven = std::max(f_.max_over_proven, s.recovery->offered() / s.recovery->proven());
       f_.offered[std::size_t(sec(now_ - kBegin))] +=
           s.recovery->offered() * sec(kTickEvery) / double(servers_.size());
-      const BoundSet bound{s.recovery->wait_bound(), s.recovery->offered()};
-      if (bound.max_wait != s.bound.max_wait || bound.offered != s.bound.offered)
+      const AdmissionLimits bound{s.recovery->wait_bound(), s.recovery->offered()};
+      if (bound.max_wait_ratio != s.bound.max_wait_ratio || bound.credit_fraction != s.bound.credit_fraction)
         s.events.emplace_back(s.bound = bound);
     }
     while (!s.events.empty()) {
