--- a/src/state_transfer/actor.cpp
+++ b/src/state_transfer/actor.cpp
@@ -10,7 +10,7 @@
 #include <chrono>
 
 #include "membership_udp/actor.h"
-#include "net/accept.h"
+#include "net/accept_loop.h"
 
 namespace granitegap::state_transfer {
 namespace {
@@ -101,15 +101,15 @@
 
 asio::awaitable<void> Actor::run_server() {
   // A named variable: GCC 12 destroys a temporary in a co_await expression twice.
-  const net::Take take = [this](Tcp::socket socket, const asio::ip::address& from) {
+  const net::ConnectionHandler take = [this](Tcp::socket socket, const asio::ip::address& from) {
     if (callbacks_.may_request(from) && admit_request())
       asio::co_spawn(executor_, serve_connection(std::move(socket)), asio::detached);
   };
-  co_await net::accept_each(acceptor_, closed_, take);
+  co_await net::accept_connections(acceptor_, closed_, take);
 }
 
 asio::awaitable<void> Actor::serve_connection(Tcp::socket socket) {
-  const net::Counted counted(open_connections_);
+  const net::ScopedCount counted(open_connections_);
   const SocketDeadline deadline(socket, std::chrono::steady_clock::now() + kConnectionTimeout);
   const auto bytes = co_await read_message(socket, kMaxQueryBytes);
   if (!bytes) co_return;
