--- a/src/main.cpp
+++ b/src/main.cpp
@@ -96,11 +96,11 @@
     if (const char* folder = std::getenv("TMPDIR")) extras.shared_folder = folder;
   }
   if (extras.declared && extras.declared->membership)
-    extras.declared->membership->options.plain = options.plain_membership;
+    extras.declared->membership->options.baseline_mode = options.plain_membership;
   // Guards against gathers that wait until they are due for a leave that the module can never give.
   const auto& settings = config.parsed.settings;
   if (extras.declared && !extras.declared->spec.gathers.empty() && settings.downstream != Downstream::none &&
-      settings.call_share.value_or(0) <= 0) {
+      settings.call_quota.value_or(0) <= 0) {
     std::fprintf(stderr,
                  "granitegap: %s: the platform's settings allow no calls: expected downstream none, or a "
                  "call_share above 0\n",
@@ -145,7 +145,7 @@
     return kUnusable;
   }
   for (;;) {
-    const auto reply = membership_udp::ask(*address, std::chrono::seconds(2), recovery_report);
+    const auto reply = membership_udp::query_status(*address, std::chrono::seconds(2), recovery_report);
     if (!reply) {
       std::fprintf(stderr, "granitegap: no answer from %s within 2 s\n", text.c_str());
       return 1;
--- a/tests/membership_process_test.cpp
+++ b/tests/membership_process_test.cpp
@@ -36,12 +36,13 @@
   explicit Trial(std::size_t size) : ProcessFleet(options(size)) {}
   void form() {
     start_all();
-    ASSERT_TRUE(wait_until([&] { return converged() && all_count(names().size()); }, kLong)) << describe();
+    ASSERT_TRUE(wait_until([&] { return has_converged() && all_count(names().size()); }, kLong))
+        << describe();
   }
   // The agreed fleet has so many for everybody.
   bool all_count(std::size_t n) const {
     for (const auto& name : running())
-      if (const auto v = view(name); !v || v->agreed != n) return false;
+      if (const auto v = view(name); !v || v->fleet_size != n) return false;
     return true;
   }
   LocalConnectivity local_connectivity(const std::string& name) const {
@@ -63,9 +64,9 @@
   EXPECT_TRUE(f.wait_until(
       [&] {
         const auto v = f.view("n1");
-        for (const auto& l : v->lines)
+        for (const auto& l : v->members)
           if (l.stage != membership::Stage::serving) return false;
-        return v->lines.size() == 3;
+        return v->members.size() == 3;
       },
       kLong));
   const auto json = nlohmann::json::parse(membership_udp::to_json(f.view("n0").value()));
@@ -97,9 +98,9 @@
   Trial f(5);
   f.form();
   f.kill("n2");
-  EXPECT_TRUE(f.wait_until([&] { return f.all_see("n2", Status::dead); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.all_report("n2", Status::dead); }, kLong));
   f.start("n2");
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   f.only_these_died({"n2"});
 }
 
@@ -109,7 +110,7 @@
   f.kill("n2");
   f.start("n2");
   EXPECT_TRUE(f.wait_until(
-      [&] { return f.converged() && f.count_in_log("n0", "membership: n2 has restarted") == 1; }, kLong));
+      [&] { return f.has_converged() && f.count_in_log("n0", "membership: n2 has restarted") == 1; }, kLong));
   for (const auto& name : f.names()) EXPECT_EQ(f.count_in_log(name, "lives under this name"), 0u);
 }
 
@@ -121,7 +122,7 @@
   f.shift_clock("n2", -1h);
   f.start("n2");
   EXPECT_TRUE(f.wait_until(
-      [&] { return f.converged() && f.count_in_log("n0", "membership: n2 has restarted") == 1; }, kLong));
+      [&] { return f.has_converged() && f.count_in_log("n0", "membership: n2 has restarted") == 1; }, kLong));
   // Its clock alone would have put it an hour behind its earlier life.
   EXPECT_GT(f.view("n2")->incarnation, before);
   EXPECT_LT(f.view("n2")->incarnation, before + 3'600'000);
@@ -139,7 +140,7 @@
   f.shift_clock("n2", 0ms);
   f.start("n2");
   EXPECT_TRUE(f.wait_until(
-      [&] { return f.converged() && f.count_in_log("n0", "membership: n2 has restarted") == 1; }, kLong));
+      [&] { return f.has_converged() && f.count_in_log("n0", "membership: n2 has restarted") == 1; }, kLong));
   EXPECT_GT(f.view("n2")->incarnation, before);
 }
 
@@ -150,9 +151,9 @@
   Trial f(6, o);
   f.form();
   f.pause("n3");
-  EXPECT_TRUE(f.wait_until([&] { return f.all_see("n3", Status::suspect); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.all_report("n3", Status::suspect); }, kLong));
   f.resume("n3");
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   f.only_these_died({});
 }
 
@@ -167,7 +168,7 @@
     f.reload_operator_file(name, name < "n3" ? ProcessFleet::Names{"n0"} : ProcessFleet::Names{"n3"});
   EXPECT_TRUE(f.wait_until([&] { return f.all_count(3); }, kLong));
   f.reload_operator_file("n1", {"n0", "n4"});
-  EXPECT_TRUE(f.wait_until([&] { return f.converged() && f.all_count(6); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged() && f.all_count(6); }, kLong));
   EXPECT_EQ(f.count_in_log("n1", "reload: operator file taken over"), 2u);
 }
 
@@ -175,9 +176,9 @@
   Trial f(6);
   f.form();
   f.pause("n3");
-  EXPECT_TRUE(f.wait_until([&] { return f.all_see("n3", Status::dead); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.all_report("n3", Status::dead); }, kLong));
   f.resume("n3");
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   f.only_these_died({"n3"});
 }
 
@@ -188,12 +189,12 @@
   EXPECT_TRUE(f.wait_until(
       [&] {
         for (const auto& name : f.running())
-          if (f.view(name)->majority) return false;
+          if (f.view(name)->has_quorum) return false;
         return true;
       },
       kLong));
   for (const char* name : {"n0", "n1", "n2"}) f.resume(name);
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   f.only_these_died({});
 }
 
@@ -204,14 +205,14 @@
   const auto shown = [&](const std::string& at) {
     const auto v = f.view(at);
     bool unheard = false, not_reaching = false;
-    for (const auto& l : v->lines) {
+    for (const auto& l : v->members) {
       if (l.name == "n2") unheard = l.unheard_from == std::vector<std::string>{"n1"};
       if (l.name == "n1") not_reaching = l.not_reaching == std::vector<std::string>{"n2"};
     }
     return unheard && not_reaching;
   };
   EXPECT_TRUE(f.wait_until([&] { return shown("n1") && shown("n2") && shown("n5"); }, kLong));
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   f.heal(cut);
   EXPECT_TRUE(f.wait_until([&] { return !shown("n1") && !shown("n2"); }, kLong));
   f.only_these_died({});
@@ -221,12 +222,13 @@
   Trial f(6);
   f.form();
   const auto cut = f.partition({"n4"}, {});
-  EXPECT_TRUE(f.wait_until([&] { return f.local_connectivity("n4") == LocalConnectivity::unheard; }, kLong));
-  EXPECT_FALSE(f.view("n4")->majority);
-  EXPECT_TRUE(f.wait_until([&] { return f.seen_status("n0", "n4") == Status::dead; }, kLong));
+  EXPECT_TRUE(
+      f.wait_until([&] { return f.local_connectivity("n4") == LocalConnectivity::outbound_broken; }, kLong));
+  EXPECT_FALSE(f.view("n4")->has_quorum);
+  EXPECT_TRUE(f.wait_until([&] { return f.status_of("n0", "n4") == Status::dead; }, kLong));
   f.heal(cut);
   EXPECT_TRUE(f.wait_until(
-      [&] { return f.converged() && f.local_connectivity("n4") == LocalConnectivity::ok; }, kLong));
+      [&] { return f.has_converged() && f.local_connectivity("n4") == LocalConnectivity::ok; }, kLong));
   f.only_these_died({"n4"});
 }
 
@@ -234,10 +236,11 @@
   Trial f(6);
   f.form();
   const auto cut = f.partition({}, {"n4"});
-  EXPECT_TRUE(f.wait_until([&] { return f.local_connectivity("n4") == LocalConnectivity::deaf; }, kLong));
+  EXPECT_TRUE(
+      f.wait_until([&] { return f.local_connectivity("n4") == LocalConnectivity::inbound_broken; }, kLong));
   f.heal(cut);
   EXPECT_TRUE(f.wait_until(
-      [&] { return f.converged() && f.local_connectivity("n4") == LocalConnectivity::ok; }, kLong));
+      [&] { return f.has_converged() && f.local_connectivity("n4") == LocalConnectivity::ok; }, kLong));
   f.only_these_died({"n4"});
 }
 
@@ -248,12 +251,12 @@
   EXPECT_TRUE(f.wait_until(
       [&] {
         for (const auto& name : f.names())
-          if (f.view(name)->majority || !f.view(name)->uncertain) return false;
+          if (f.view(name)->has_quorum || !f.view(name)->uncertain) return false;
         return true;
       },
       kLong));
   f.heal(cut);
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   f.only_these_died({});
 }
 
@@ -266,12 +269,12 @@
   EXPECT_TRUE(f.wait_until(
       [&] {
         for (const auto& name : f.names())
-          if (f.view(name)->majority || !f.view(name)->uncertain) return false;
+          if (f.view(name)->has_quorum || !f.view(name)->uncertain) return false;
         return true;
       },
       kLong));
   f.heal_all();
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong)) << f.describe();
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong)) << f.describe();
   f.only_these_died({});
 }
 
@@ -285,12 +288,12 @@
   EXPECT_TRUE(f.wait_until(
       [&] {
         for (const auto& name : zone)
-          if (f.seen_status("n1", name) != Status::dead || f.view(name)->majority) return false;
-        return f.view("n1")->majority;
+          if (f.status_of("n1", name) != Status::dead || f.view(name)->has_quorum) return false;
+        return f.view("n1")->has_quorum;
       },
       kLong));
   f.heal(cut);
-  EXPECT_TRUE(f.wait_until([&] { return f.converged() && f.all_count(9); }, kLong)) << f.describe();
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged() && f.all_count(9); }, kLong)) << f.describe();
   f.only_these_died(zone);
 }
 
@@ -301,14 +304,14 @@
   EXPECT_TRUE(f.wait_until(
       [&] {
         const auto small = f.view("n5"), large = f.view("n0");
-        return large->majority && f.seen_status("n0", "n5") == Status::dead && !small->majority &&
+        return large->has_quorum && f.status_of("n0", "n5") == Status::dead && !small->has_quorum &&
                small->uncertain;
       },
       kLong));
   const auto small = f.view("n5").value();
-  for (const auto& l : small.lines) EXPECT_EQ(l.certain, Status::alive) << l.name;
+  for (const auto& l : small.members) EXPECT_EQ(l.certain_status, Status::alive) << l.name;
   f.heal(cut);
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
 }
 
 TEST(Fleet, LossAndBurstsKillNobody) {
@@ -325,7 +328,7 @@
   // So much has passed, whatever the machine's pace.
   EXPECT_TRUE(f.wait_until([&] { return f.network_counters().lost > 800; }, kLong));
   f.heal_all();
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   f.only_these_died({});
 }
 
@@ -340,7 +343,7 @@
       },
       kLong));
   f.kill(duplicate);
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong)) << f.describe();
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong)) << f.describe();
 }
 
 TEST(Fleet, ForeignAndBrokenDatagramsChangeNothing) {
@@ -356,7 +359,7 @@
     f.inject("n1", "n0", membership_udp::encode(valid, "another"));
     f.inject("n1", "n0", membership_udp::encode(valid, "trial"));  // of a life that never was
   }
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   f.only_these_died({});
   EXPECT_EQ(f.count_in_log("n0", "has restarted"), 0u);
 }
@@ -377,13 +380,13 @@
   // Until the way round is known to all, one may be suspect for a moment: it is seen to hold, not at once.
   const auto carried = [&] {
     for (const auto& name : f.names())
-      if (const auto v = f.view(name); !v || v->local_connectivity != LocalConnectivity::ok || !v->majority)
+      if (const auto v = f.view(name); !v || v->local_connectivity != LocalConnectivity::ok || !v->has_quorum)
         return false;
-    return f.converged();
+    return f.has_converged();
   };
   EXPECT_TRUE(f.wait_until(carried, kLong)) << f.describe();
   f.heal_all();
-  EXPECT_TRUE(f.wait_until([&] { return f.converged() && f.view("n0")->majority; }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged() && f.view("n0")->has_quorum; }, kLong));
   f.only_these_died({});
 }
 
@@ -393,11 +396,11 @@
   o.ipv6 = true;
   Trial f(4, o);
   f.form();
-  EXPECT_EQ(f.view("n0")->lines.front().address.front(), '[');
+  EXPECT_EQ(f.view("n0")->members.front().address.front(), '[');
   f.kill("n2");
-  EXPECT_TRUE(f.wait_until([&] { return f.all_see("n2", Status::dead); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.all_report("n2", Status::dead); }, kLong));
   f.start("n2");
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   f.only_these_died({"n2"});
 }
 
@@ -434,7 +437,7 @@
   EXPECT_TRUE(f.wait_until(
       [&] {
         const auto v = f.view("n0");
-        return f.all_see("n3", Status::dead) && f.all_see("n4", Status::dead) && v && v->majority;
+        return f.all_report("n3", Status::dead) && f.all_report("n4", Status::dead) && v && v->has_quorum;
       },
       kLong));
   const auto apart = advice();
@@ -449,7 +452,7 @@
   f.terminate("n3");
   EXPECT_TRUE(f.wait_until([&] { return f.has_exited("n3"); }, kLong));
   EXPECT_EQ(f.exit_status("n3"), 0);
-  EXPECT_TRUE(f.wait_until([&] { return f.all_see("n3", Status::left); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.all_report("n3", Status::left); }, kLong));
   EXPECT_TRUE(f.wait_until([&] { return f.all_count(3); }, kLong));
   f.only_these_died({});
 }
@@ -461,7 +464,7 @@
   f.terminate("n3");
   EXPECT_TRUE(f.wait_until([&] { return f.has_exited("n3"); }, kLong));
   EXPECT_EQ(f.exit_status("n3"), 0);
-  EXPECT_TRUE(f.wait_until([&] { return f.all_see("n3", Status::dead); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.all_report("n3", Status::dead); }, kLong));
 }
 
 }  // namespace
--- a/tests/recovery_process_test.cpp
+++ b/tests/recovery_process_test.cpp
@@ -194,7 +194,7 @@
   Trial f(o);
   f.up("n0");
   f.up("n1");
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
   const auto duplicate = f.start_duplicate("n0");
   EXPECT_TRUE(f.wait_until([&] { return f.says("another process lives under this name"); }, kLong));
@@ -216,7 +216,7 @@
   o.seeds = 1;
   Trial f(o);
   f.start_all();
-  ASSERT_TRUE(f.wait_until([&] { return f.converged(); }, kLong)) << f.describe();
+  ASSERT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong)) << f.describe();
   for (const char* name : {"n2", "n3"})
     ASSERT_TRUE(f.wait_until([&] { return members_in(f.state_folder(name)) == 3; }, kLong));
   f.kill("n0");
@@ -227,8 +227,8 @@
   f.start("n2");
   ASSERT_TRUE(f.wait_until(
       [&] {
-        return f.seen_status("n1", "n2") == membership::Status::alive &&
-               f.seen_status("n2", "n1") == membership::Status::alive;
+        return f.status_of("n1", "n2") == membership::Status::alive &&
+               f.status_of("n2", "n1") == membership::Status::alive;
       },
       kLong))
       << f.describe();
@@ -322,7 +322,7 @@
     ASSERT_EQ(::mkfifo(note.c_str(), 0600), 0);  // whoever opens it waits
     f.up();
     ASSERT_TRUE(f.wait_until([&] { return f.says("does not answer: keyed requests are refused"); }, kLong));
-    const auto way = membership_udp::ask(f.bound("n0"), 2s, true);
+    const auto way = membership_udp::query_status(f.bound("n0"), 2s, true);
     ASSERT_TRUE(way && way->recovery_report);
     EXPECT_GT(way->recovery_report->keyed_wait_ms, 1'000'000'000u);  // no end in sight
     EXPECT_EQ(f.report(kToken)->code, standin::ResponseCode::rejected);
@@ -361,7 +361,7 @@
     return o;
   }
   std::optional<membership_udp::RecoveryReport> way(const std::string& name) const {
-    const auto r = membership_udp::ask(bound(name), 2s, true);
+    const auto r = membership_udp::query_status(bound(name), 2s, true);
     return r ? r->recovery_report : std::nullopt;
   }
   bool in_service(const std::string& name) const {
@@ -394,7 +394,7 @@
   }
   void form() {
     start_all();
-    ASSERT_TRUE(wait_until([&] { return converged(); }, kLong)) << describe();
+    ASSERT_TRUE(wait_until([&] { return has_converged(); }, kLong)) << describe();
     ASSERT_TRUE(all_in_service()) << describe();
     // Each knows of all others that they may be asked.
     ASSERT_TRUE(wait_until(
@@ -402,8 +402,8 @@
           for (const auto& name : running()) {
             const auto v = view(name);
             if (!v) return false;
-            for (const auto& l : v->lines)
-              if (l.recovery_status.donor_port == 0 || l.recovery_status.full_ms == 0) return false;
+            for (const auto& l : v->members)
+              if (l.recovery_status.donor_port == 0 || l.recovery_status.full_service_ms == 0) return false;
           }
           return true;
         },
@@ -430,8 +430,8 @@
   EXPECT_TRUE(f.wait_until(
       [&] {
         const auto v = f.view("n0");
-        for (const auto& l : v->lines)
-          if (l.name == "n2") return l.recovery_status.full_ms > 0;
+        for (const auto& l : v->members)
+          if (l.name == "n2") return l.recovery_status.full_service_ms > 0;
         return false;
       },
       kLong));
@@ -462,7 +462,7 @@
           << f.describe();
     }
   }
-  ASSERT_TRUE(f.wait_until([&] { return f.converged(); }, kLong)) << f.describe();
+  ASSERT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong)) << f.describe();
   ASSERT_TRUE(f.all_in_service()) << f.describe();
   for (const auto& name : f.names()) EXPECT_TRUE(f.way(name)->sources.empty()) << f.log(name);
 }
@@ -488,7 +488,7 @@
       [&] {
         for (const char* mine : {"n0", "n1", "n2"})
           for (const char* theirs : {"n3", "n4", "n5"})
-            if (f.seen_status(mine, theirs) == membership::Status::alive) return false;
+            if (f.status_of(mine, theirs) == membership::Status::alive) return false;
         return true;
       },
       kLong));
@@ -498,7 +498,7 @@
   const auto asked = f.way("n2").value();
   for (const auto& s : asked.sources) EXPECT_TRUE(s.name == "n0" || s.name == "n1") << s.name;
   f.heal_all();
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   EXPECT_TRUE(f.all_in_service());
 }
 
@@ -609,7 +609,7 @@
   f.pause("n1");  // it fills a quarter of them
   for (int k = 0; k < 12; ++k) EXPECT_TRUE(f.whole(k % 2 ? "n0" : "n2", "paused" + std::to_string(k)));
   f.resume("n1");
-  EXPECT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
 }
 
 // What was kept outlives its process, by its snapshot, and the fleet's by those that are asked.
@@ -653,7 +653,7 @@
   const auto learned = f.way("n0").value();
   for (const auto& s : learned.sources) EXPECT_NE(s.name, "n3");
   f.resume("n3");
-  ASSERT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  ASSERT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   EXPECT_EQ(f.count_in_log("n0", "recovery: learned from"), before + 1);  // once a life
 }
 
@@ -669,7 +669,7 @@
   ASSERT_TRUE(f.has_learned("n0")) << f.log("n0");
   const auto learned = f.way("n0").value();
   for (const auto& s : learned.sources) EXPECT_NE(s.name, "n3");
-  ASSERT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  ASSERT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
 }
 
 // Kernels that stay cold: what they do at that pace is proven, and that is full service.
@@ -682,7 +682,7 @@
     f.reboot_kernel(name);
   }
   for (const auto& name : f.names()) f.start(name);
-  ASSERT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  ASSERT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   EXPECT_TRUE(f.all_in_service()) << f.describe();
 }
 
@@ -713,7 +713,7 @@
   for (auto& a : asks) a.join();
   EXPECT_EQ(answered, 320);
   EXPECT_LE(service.max_open(), 8u);
-  ASSERT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  ASSERT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   EXPECT_TRUE(f.all_in_service());
 }
 
@@ -722,11 +722,11 @@
   Ways f(4, "pause_most: 1s");
   f.form();
   f.pause("n1");
-  ASSERT_TRUE(f.wait_until([&] { return f.all_see("n1", membership::Status::dead); }, kLong));
+  ASSERT_TRUE(f.wait_until([&] { return f.all_report("n1", membership::Status::dead); }, kLong));
   f.resume("n1");
   EXPECT_TRUE(f.wait_until([&] { return f.says("this process stood still for long", "n1"); }, kLong))
       << f.log("n1");
-  ASSERT_TRUE(f.wait_until([&] { return f.converged(); }, kLong));
+  ASSERT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   ASSERT_TRUE(f.all_in_service()) << f.describe();
   EXPECT_EQ(f.way("n1")->recoveries, 1u);
 }
--- a/tools/fleet/process_fleet.cpp
+++ b/tools/fleet/process_fleet.cpp
@@ -353,17 +353,17 @@
   return on_io([&] { return network_->fault_injector().counters(); });
 }
 
-std::optional<membership_udp::Reply> ProcessFleet::view(const std::string& name,
-                                                        std::chrono::milliseconds within) const {
+std::optional<membership_udp::StatusReply> ProcessFleet::view(const std::string& name,
+                                                              std::chrono::milliseconds within) const {
   const auto& p = at(name);
   if (!p.pid || p.status || p.paused) return std::nullopt;
-  return membership_udp::ask(membership_udp::address_of(p.bound), within);
+  return membership_udp::query_status(membership_udp::address_of(p.bound), within);
 }
 
-std::optional<Status> ProcessFleet::seen_status(const std::string& who, const std::string& of) const {
+std::optional<Status> ProcessFleet::status_of(const std::string& who, const std::string& of) const {
   const auto v = view(who);
   if (!v) return std::nullopt;
-  for (const auto& l : v->lines)
+  for (const auto& l : v->members)
     if (l.name == of) return l.status;
   return std::nullopt;
 }
@@ -379,7 +379,7 @@
                       ended.si_pid == p.pid;
     all += name + (p.status || gone ? " (ended)" : p.paused ? " (paused)" : "") + ":";
     if (const auto v = gone ? std::nullopt : view(name))
-      for (const auto& l : v->lines)
+      for (const auto& l : v->members)
         all += " " + l.name + "/" + std::to_string(l.incarnation) + " " + membership::text_of(l.status) + ",";
     all += "\n" + text + "\n";
   }
@@ -398,7 +398,7 @@
   return all;
 }
 
-bool ProcessFleet::converged() const {
+bool ProcessFleet::has_converged() const {
   Names living;  // a paused one lives too
   for (const auto& [name, p] : processes_)
     if (p.pid && !p.status) living.insert(p.name);
@@ -406,16 +406,16 @@
     const auto v = view(name);
     if (!v) return false;
     Names alive;
-    for (const auto& l : v->lines)
+    for (const auto& l : v->members)
       if (l.status == Status::alive) alive.insert(l.name);
     if (alive != living) return false;
   }
   return true;
 }
 
-bool ProcessFleet::all_see(const std::string& of, Status status) const {
+bool ProcessFleet::all_report(const std::string& of, Status status) const {
   for (const auto& name : running())
-    if (at(name).name != of && seen_status(name, of) != status) return false;
+    if (at(name).name != of && status_of(name, of) != status) return false;
   return true;
 }
 
--- a/tools/fleet/process_fleet.h
+++ b/tools/fleet/process_fleet.h
@@ -3,7 +3,7 @@
 //
 //   ProcessFleet fleet(options);
 //   fleet.start_all();
-//   fleet.wait_until([&] { return fleet.converged(); }, 20s);
+//   fleet.wait_until([&] { return fleet.has_converged(); }, 20s);
 //   fleet.pause("n3");  fleet.partition({"n1"}, {"n2"});  fleet.kill("n4");
 //
 // Waits are for conditions on what the processes report, queried as `granitegap members` queries it.
@@ -128,14 +128,14 @@
   standin::FaultInjector::Counters network_counters() const;
 
   // The membership view of a process; absent if it does not run or does not answer in time.
-  std::optional<membership_udp::Reply> view(
+  std::optional<membership_udp::StatusReply> view(
       const std::string& name, std::chrono::milliseconds timeout = std::chrono::seconds(2)) const;
   // The status that `observer` reports for `member`; absent if either is unknown.
-  std::optional<membership::Status> seen_status(const std::string& observer, const std::string& member) const;
+  std::optional<membership::Status> status_of(const std::string& observer, const std::string& member) const;
   // Whether every running process reports exactly the living processes as alive.
-  bool converged() const;
+  bool has_converged() const;
   // Whether every other running process reports `member` with this status.
-  bool all_see(const std::string& member, membership::Status status) const;
+  bool all_report(const std::string& member, membership::Status status) const;
   // Polls the condition until it holds; false if it did not within the timeout.
   bool wait_until(const std::function<bool()>& condition, std::chrono::milliseconds timeout) const;
 
