--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -44,7 +44,7 @@
         extras.guarded);
   if (!extras.declared || !extras.declared->recovery) return edge;
   const auto& r = *extras.declared->recovery;
-  if (r.wait_out) edge.wait_out_lost_memory(r.max_clock_back, !r.folder.empty(), started);
+  if (r.quarantine_keys) edge.wait_out_lost_memory(r.max_clock_back, !r.directory.empty(), started);
   if (r.guided) {
     recovery::RecoveryOptions rules;
     rules.first = r.first;
@@ -59,7 +59,9 @@
 }
 
 std::size_t Server::sockets_for_door(const Extras& extras) {
-  return extras.declared && extras.declared->fills() ? cache_fill_http::CacheFillServer::kMaxConnections : 0;
+  return extras.declared && extras.declared->cache_fill_enabled()
+             ? cache_fill_http::CacheFillServer::kMaxConnections
+             : 0;
 }
 
 // Calls below, and the door where others ask, take their descriptors from the same limit, and never more than
@@ -68,7 +70,7 @@
   auto all = config.limits.sockets;
   if (extras.admin) all -= std::min(admin::AdminServer::kDescriptors, all / 4);
   if (!extras.declared) return all;
-  return all - std::min(extras.declared->connections + sockets_for_door(extras), all / 2);
+  return all - std::min(extras.declared->dependency_connections + sockets_for_door(extras), all / 2);
 }
 
 Server::Server(asio::io_context& context, config::Config config, Extras extras,
@@ -90,27 +92,28 @@
   if (extras_.admin) try {
       admin_ = std::make_unique<admin::AdminServer>(
           context.get_executor(), address<asio::ip::tcp>(*extras_.admin),
-          [this](admin::Call call) { return answer(call); }, log_);
+          [this](admin::Command call) { return answer(call); }, log_);
     } catch (const std::exception& e) {
       throw UnusableAddress("the operators' door at " + text_of(*extras_.admin) + ": " + e.what());
     }
   if (extras_.listening) share_door();
   if (!extras_.declared) return;
-  if (extras_.declared->fills()) {
+  if (extras_.declared->cache_fill_enabled()) {
     auto& m = *extras_.declared->membership;
     cache_fill_server_ = std::make_unique<cache_fill_http::CacheFillServer>(
         context.get_executor(),
-        asio::ip::tcp::endpoint(membership_udp::endpoint_of(m.bind).address(), extras_.declared->fill_port),
+        asio::ip::tcp::endpoint(membership_udp::endpoint_of(m.bind).address(),
+                                extras_.declared->cache_fill_port),
         log_);
-    m.fill_port = cache_fill_server_->port();
+    m.cache_fill_port = cache_fill_server_->port();
   }
   if (extras_.declared->membership) join_fleet();
   if (cache_fill_server_)
     cache_fill_server_->begin(
         fleet_->member().self().boot_id,
-        {[this](const asio::ip::address& who) { return fleet_->may_ask(who); },
+        {[this](const asio::ip::address& who) { return fleet_->is_authorized(who); },
          [this](edge::CacheFillQuery asked) { return module_.mailbox().post(std::move(asked)); }});
-  if (const auto& r = extras_.declared->recovery; r && !r->folder.empty()) keep_learned(*r);
+  if (const auto& r = extras_.declared->recovery; r && !r->directory.empty()) keep_learned(*r);
   if (const auto& r = extras_.declared->recovery; r && r->guided && fleet_) learn_from_others();
   // Ends of calls always find room: the limits on open calls bound their number.
   const auto apart = config_.limits.sockets - sockets_for_peers(config_, extras_);
@@ -118,19 +121,19 @@
                   [this](deps::CallReport report) { module_.mailbox().post_control(std::move(report)); });
 }
 
-void Server::keep_learned(const operators::Declared::Recovery& recovery) {
-  snapshot::PersistenceActor::Hooks hooks;
-  hooks.found = [this](const recovery::PreviousIncarnation& found) {
+void Server::keep_learned(const operators::OperatorConfig::Recovery& recovery) {
+  snapshot::PersistenceActor::Callbacks callbacks;
+  callbacks.previous_incarnation_found = [this](const recovery::PreviousIncarnation& found) {
     module_.mailbox().post_control(edge::PreviousIncarnationFound{found});
   };
-  hooks.learned = [this](warm_state::WarmState what) {
-    if (fleet_) fleet_->also_call(what.members);
+  callbacks.warm_state_loaded = [this](warm_state::WarmState what) {
+    if (fleet_) fleet_->set_join_addresses(what.members);
     module_.mailbox().post_control(edge::WarmStateReceived{std::move(what)});
   };
-  hooks.collect = [this] { return collect(); };
+  callbacks.collect_warm_state = [this] { return collect(); };
   persistence_ =
-      std::make_unique<snapshot::PersistenceActor>(context_.get_executor(), recovery.folder, config_.name,
-                                                   recovery.snapshot_every, std::move(hooks), log_);
+      std::make_unique<snapshot::PersistenceActor>(context_.get_executor(), recovery.directory, config_.name,
+                                                   recovery.snapshot_every, std::move(callbacks), log_);
 }
 
 warm_state::WarmState Server::collect() const {
@@ -140,8 +143,8 @@
   const auto& member = fleet_->member();
   what.boot_id = std::uint64_t(member.self().boot_id);
   const auto& roster = member.roster();
-  for (membership::Index i = 0; i < roster.places(); ++i)
-    if (const auto& e = roster.at(i); e.known && e.certain == membership::Status::alive)
+  for (membership::Index i = 0; i < roster.slot_count(); ++i)
+    if (const auto& e = roster.at(i); e.known && e.certain_status == membership::Status::alive)
       what.members.push_back(e.address);
   return what;
 }
@@ -167,46 +170,47 @@
   for (std::size_t k = 0; k < w.reached_ms.size(); ++k)
     if (*reached[k]) w.reached_ms[k] = ms(**reached[k]);
   if (learning_)
-    for (const auto& name : learning_->from())
-      w.sources.push_back({name, std::uint64_t(ms(now - std::min(learning_->learned_at(), now)))});
+    for (const auto& name : learning_->donors())
+      w.sources.push_back({name, std::uint64_t(ms(now - std::min(learning_->transferred_at(), now)))});
   return w;
 }
 
 void Server::learn_from_others() {
   const auto& m = *extras_.declared->membership;
   const auto& member = fleet_->member();
-  state_transfer::Actor::Place place{m.cluster,
-                                     config_.name,
-                                     m.zone,
-                                     membership_udp::endpoint_of(m.bind).address(),
-                                     extras_.declared->recovery->donate_port,
-                                     config_.seed ^ std::uint64_t(member.self().boot_id)};
+  state_transfer::Actor::Options options{m.cluster,
+                                         config_.name,
+                                         m.zone,
+                                         membership_udp::endpoint_of(m.bind).address(),
+                                         extras_.declared->recovery->state_transfer_port,
+                                         config_.seed ^ std::uint64_t(member.self().boot_id)};
   recovery::DonorSelectionOptions rules;
   rules.most = extras_.declared->recovery->max_learn;
-  state_transfer::Actor::Hooks hooks;
-  hooks.clock = [this] { return clocks_().steady; };
-  hooks.offer = [this] {
+  state_transfer::Actor::Callbacks callbacks;
+  callbacks.clock = [this] { return clocks_().steady; };
+  callbacks.make_response = [this] {
     const auto& me = fleet_->member();
     recovery::TransferResponse o;
     o.by = config_.name;
     o.boot_id = me.self().boot_id;
     const auto* course = module_.edge().course();
     o.in_service = course && course->phase() == recovery::Phase::full;
-    o.sure = me.majority() && !me.uncertain() && me.local_connectivity() == membership::LocalConnectivity::ok;
-    o.view_age = fleet_->silence();
+    o.sure =
+        me.has_quorum() && !me.uncertain() && me.local_connectivity() == membership::LocalConnectivity::ok;
+    o.view_age = fleet_->time_since_last_received();
     if (o.in_service) o.what = collect();
     return o;
   };
-  hooks.may_ask = [this](const asio::ip::address& who) { return fleet_->may_ask(who); };
-  hooks.learned = [this](warm_state::WarmState what, std::size_t sources) {
+  callbacks.may_request = [this](const asio::ip::address& who) { return fleet_->is_authorized(who); };
+  callbacks.finished = [this](warm_state::WarmState what, std::size_t sources) {
     if (sources > 0) {
-      fleet_->also_call(what.members);
+      fleet_->set_join_addresses(what.members);
       module_.mailbox().post_control(edge::WarmStateReceived{std::move(what), sources});
     }
     module_.mailbox().post_control(edge::StateTransferFinished{sources});
   };
-  learning_ = std::make_unique<state_transfer::Actor>(context_.get_executor(), std::move(place), rules,
-                                                      std::move(hooks), log_);
+  learning_ = std::make_unique<state_transfer::Actor>(context_.get_executor(), std::move(options), rules,
+                                                      std::move(callbacks), log_);
 }
 
 // A life of its own at each start: the platform's seed is new then, and the clock tells most lives apart.
@@ -219,14 +223,14 @@
   membership_udp::Actor::Hooks hooks;
   hooks.clock = [this] { return clocks_().steady; };
   hooks.recovery_report = [this] { return recovery_report(); };
-  hooks.own = [this] {
+  hooks.local_state = [this] {
     auto s = module_.edge().standing(clocks_().steady);
     if (learning_) s.recovery_status.donor_port = learning_->port();
-    return membership_udp::Actor::Own{s.stage, s.warmth, s.pressed, std::move(s.endpoint_health),
-                                      s.recovery_status};
+    return membership_udp::Actor::LocalState{s.stage, s.warmth, s.pressed, std::move(s.endpoint_health),
+                                             s.recovery_status};
   };
   hooks.view = [this](std::shared_ptr<const membership::View> view) {
-    if (learning_) learning_->view(view);
+    if (learning_) learning_->update_view(view);
     module_.mailbox().post_control(edge::MembershipUpdate{std::move(view)});
   };
   fleet_ = std::make_unique<membership_udp::Actor>(context_.get_executor(), *extras_.declared->membership,
@@ -241,37 +245,38 @@
   auto opened = hot_restart::SharedLeaseTable::open(
       extras_.shared_folder, config_.name, config_.seed ^ std::uint64_t(now.unix.time_since_epoch().count()),
       edge.longest_span(), now.unix);
-  if (const auto* no = std::get_if<hot_restart::LeaseTableError>(&opened)) {
-    log_.line("no keyed request runs: the door is shared and its table can't be: " + no->why,
-              {{"event", "claims_unusable"}, {"why", no->why}});
+  if (const auto* error = std::get_if<hot_restart::LeaseTableError>(&opened)) {
+    log_.line("no keyed request runs: the door is shared and its table can't be: " + error->message(),
+              {{"event", "claims_unusable"}, {"why", error->message()}});
     edge.claim_keyed({[](const auto&, auto, auto) { return false; }, {}});
     return;
   }
   shared_.emplace(std::get<hot_restart::SharedLeaseTable>(std::move(opened)));
-  if (shared_->wiped())
+  if (shared_->was_reset())
     log_.line("keyed requests wait for one window: the table of claims was not to be believed",
               {{"event", "claims_wiped"}});
   const auto token = [this](const edge::Request& r) {
-    return hot_restart::token_of(config_.catalog.classes[std::size_t(r.cls)], r.token);
+    return hot_restart::hash_key(config_.catalog.classes[std::size_t(r.cls)], r.token);
   };
   edge.claim_keyed({[this, token](const edge::Request& r, Duration span, edge::UnixTime at) {
-                      return shared_->claim(token(r), r.reached, span, at) == hot_restart::Verdict::mine;
+                      return shared_->acquire(token(r), r.reached, span, at) ==
+                             hot_restart::LeaseDecision::acquired;
                     },
-                    [this, token](const edge::Request& r) { shared_->never_ran(token(r)); }});
+                    [this, token](const edge::Request& r) { shared_->release(token(r)); }});
 }
 
 // Of what this process knows now: no queue stands between a call and its answer.
-admin::Reply Server::answer(admin::Call call) {
+admin::Reply Server::answer(admin::Command call) {
   auto& boot_id = module_.edge().lifecycle();
-  if (call == admin::Call::health) {
+  if (call == admin::Command::health) {
     std::string text = lifecycle::text_of(boot_id.phase());
-    if (boot_id.up() && !link_.up()) text += ", kernel link down";
+    if (boot_id.up() && !link_.is_up()) text += ", kernel link down";
     if (boot_id.up() && !boot_id.stopping() && module_.edge().held_unfit())
       text += ", held unfit by the module";
     return {boot_id.up() && !boot_id.stopping(), text};
   }
   const auto before = boot_id.phase();
-  const bool done = call == admin::Call::quiesce ? boot_id.quiesce() : boot_id.resume();
+  const bool done = call == admin::Command::quiesce ? boot_id.quiesce() : boot_id.resume();
   if (!done) return {false, "stopping: nothing leads back"};
   if (boot_id.phase() != before) {
     module_.mailbox().post_control(edge::LifecycleChanged{});
@@ -286,25 +291,25 @@
   spawn(link_.run());
   spawn(load_reporter_.run());
   spawn(listener_.run());
-  spawn(listener_.mind_peers());
+  spawn(listener_.enforce_timeouts());
   if (caller_) spawn(caller_->mind_idle());
   if (fleet_) {
     spawn(fleet_->receive());
-    if (fleet_->has_second()) spawn(fleet_->receive_second());
+    if (fleet_->has_secondary()) spawn(fleet_->receive_secondary());
     spawn(fleet_->run());
   }
   if (cache_fill_server_) spawn(cache_fill_server_->serve());
   if (admin_) {
     spawn(admin_->serve());
-    const auto door = admin_->local();
+    const auto door = admin_->local_endpoint();
     log_.line("operators' door at " + door.address().to_string() + ":" + std::to_string(door.port()),
               {{"event", "operators_door"}, {"port", std::int64_t(door.port())}});
   }
   if (persistence_) spawn(persistence_->run());
   if (learning_) {
-    learning_->begin();
-    spawn(learning_->serve());
-    spawn(learning_->learn());
+    learning_->start_transfer();
+    spawn(learning_->run_server());
+    spawn(learning_->run_client());
   } else if (module_.edge().course()) {
     module_.mailbox().post_control(edge::StateTransferFinished{});  // there is nobody to ask
   }
@@ -338,10 +343,10 @@
 void Server::carry_out(edge::Command&& command) { link_.send(command); }
 void Server::carry_out(edge::LoadReport&& report) {
   const auto& boot_id = module_.edge().lifecycle();
-  if (shared_ && boot_id.up() && !boot_id.stopping()) shared_->serves();
+  if (shared_ && boot_id.up() && !boot_id.stopping()) shared_->mark_serving();
   load_reporter_.report(report);
 }
-void Server::carry_out(edge::CloseIdlePeers&& idle) { listener_.close_idle(idle.idle_for); }
+void Server::carry_out(edge::CloseIdlePeers&& idle) { listener_.close_idle_connections(idle.idle_for); }
 void Server::carry_out(edge::LogEvent&& remark) {
   log_.line(remark.text, {{"event", remark.event}, {"subject", remark.subject}});
 }
@@ -354,7 +359,7 @@
 
 void Server::carry_out(edge::StateTransferWanted&&) {
   if (learning_)
-    learning_->begin();
+    learning_->start_transfer();
   else
     module_.mailbox().post_control(edge::StateTransferFinished{});
 }
@@ -366,8 +371,8 @@
 void Server::drain() {
   if (std::exchange(leaving_, true)) return;
   // First of all no successor to anybody any more: guards against two that leave the door to each other.
-  if (shared_) shared_->leaves();
-  const bool successor = shared_ && shared_->another_serves();
+  if (shared_) shared_->mark_draining();
+  const bool successor = shared_ && shared_->another_process_serves();
   module_.edge().lifecycle().stop(successor);
   const auto left = successor ? time_to_hand_over() : config_.stop;
   log_.line("notice to leave: " + std::to_string(left.count()) + " ms left" +
@@ -381,7 +386,7 @@
 std::chrono::milliseconds Server::time_to_hand_over() const {
   Duration longest{};
   for (const auto& c : config_.parsed.settings.classes)
-    longest = std::max(longest, c.deadline.value_or(c.aim.value_or(1s)));
+    longest = std::max(longest, c.deadline.value_or(c.latency_objective.value_or(1s)));
   const auto most = std::chrono::duration_cast<milliseconds>(std::min<Duration>(longest, kMaxDeadline));
   return std::min(config_.stop, most + kAfterDeadline);
 }
@@ -391,8 +396,8 @@
 asio::awaitable<void> Server::hand_over(std::chrono::milliseconds within) {
   using Clock = std::chrono::steady_clock;
   const auto end = Clock::now() + within - std::min(kLastMoment, within / 8);
-  load_reporter_.fall_silent();
-  listener_.leave_door();
+  load_reporter_.stop_reporting();
+  listener_.start_draining(net::BacklogPolicy::leave);
   asio::steady_timer timer(context_);
   while (Clock::now() < end) {
     timer.expires_after(kLook);
@@ -430,21 +435,22 @@
   if (!fixed.empty())
     log_.line("reload: changed but kept until a restart: " + fixed,
               {{"event", "reload_kept"}, {"kept", fixed}});
-  link_.move_to(kernel);
-  load_reporter_.move_to(service);
+  link_.set_endpoint(kernel);
+  load_reporter_.set_service(service);
 }
 
-void Server::reload(std::variant<operators::Declared, operators::Errors> loaded) {
+void Server::reload(std::variant<operators::OperatorConfig, operators::Errors> loaded) {
   const auto keep = [&](const operators::Errors& errors) {
     for (const auto& e : errors)
       log_.line("reload: keeping the old operator file: " + e.text(),
                 {{"event", "reload_refused"}, {"field", e.field}});
   };
   if (const auto* errors = std::get_if<operators::Errors>(&loaded)) return keep(*errors);
-  auto& fresh = std::get<operators::Declared>(loaded);
-  if (const auto errors = operators::bind(fresh, config_.catalog); !errors.empty()) return keep(errors);
+  auto& fresh = std::get<operators::OperatorConfig>(loaded);
+  if (const auto errors = operators::resolve_classes(fresh, config_.catalog); !errors.empty())
+    return keep(errors);
   if (!extras_.declared) return;
-  if (fresh.connections != extras_.declared->connections)
+  if (fresh.dependency_connections != extras_.declared->dependency_connections)
     log_.line("reload: changed but kept until a restart: connections",
               {{"event", "reload_kept"}, {"kept", "connections"}});
   if (fresh.membership.has_value() != (fleet_ != nullptr))
@@ -455,9 +461,9 @@
   if (fresh.recovery != extras_.declared->recovery)
     log_.line("reload: changed but kept until a restart: recovery",
               {{"event", "reload_kept"}, {"kept", "recovery"}});
-  const auto connections = extras_.declared->connections;
+  const auto connections = extras_.declared->dependency_connections;
   extras_.declared = std::move(fresh);
-  extras_.declared->connections = connections;
+  extras_.declared->dependency_connections = connections;
   log_.line(
       "reload: operator file taken over: " + std::to_string(extras_.declared->spec.dependencies.size()) +
           " dependencies, " + std::to_string(extras_.declared->spec.gathers.size()) + " classes gather",
@@ -473,13 +479,13 @@
   const auto end = Clock::now() + config_.stop - std::min(kLastMoment, config_.stop / 8);
   asio::steady_timer timer(context_, end - std::min(kDoorBefore, config_.stop / 4));
   co_await timer.async_wait(asio::use_awaitable);
-  listener_.close_door();
+  listener_.start_draining(net::BacklogPolicy::accept);
   bool closing = false;
   const auto crossed = Clock::now() + std::min(kCrossing, config_.stop / 16);
   while (Clock::now() < end) {
     timer.expires_after(kLook);
     co_await timer.async_wait(asio::use_awaitable);
-    if (Clock::now() < crossed || !module_.at_rest() || !listener_.at_rest()) continue;
+    if (Clock::now() < crossed || !module_.at_rest() || !listener_.is_quiescent()) continue;
     // Nothing is owed any more: the fleet hears that this one leaves, and it waits for some of them to know.
     if (fleet_) fleet_->leave();
     // Before an end is written down nothing more may run; what came in the meantime is answered first.
@@ -487,14 +493,14 @@
       module_.mailbox().post_control(edge::Closing{});
       continue;
     }
-    if (persistence_) persistence_->end();
-    if ((!fleet_ || fleet_->has_left()) && (!persistence_ || persistence_->over())) break;
+    if (persistence_) persistence_->shut_down();
+    if ((!fleet_ || fleet_->has_left()) && (!persistence_ || persistence_->finished())) break;
   }
   end_all();
 }
 
 void Server::end_all() {
-  const bool all = module_.at_rest() && listener_.at_rest();
+  const bool all = module_.at_rest() && listener_.is_quiescent();
   log_.line(all ? "left: all answered" : "left: with answers unsent",
             {{"event", all ? "left" : "left_unsent"}});
   if (caller_) caller_->close_all();
--- a/tests/recovery_controller_test.cpp
+++ b/tests/recovery_controller_test.cpp
@@ -30,7 +30,7 @@
   p.metadata.stage = Stage::serving;
   p.metadata.recovery_status.phase = std::uint8_t(1 + std::uint8_t(phase));
   p.metadata.recovery_status.donor_port = 9000;
-  p.metadata.generation = 1'000'000;
+  p.metadata.boot_incarnation = 1'000'000;
   p.address.port = 7000;
   p.address.ip[0] = 127;
   p.boot_id = membership::BootId(p.hash);
@@ -41,7 +41,7 @@
   for (std::size_t k = 0; k < able; ++k) v.peers.push_back(peer("f" + std::to_string(k), Phase::full));
   for (std::size_t k = 0; k < returning; ++k)
     v.peers.push_back(peer("r" + std::to_string(k), Phase::ramping));
-  v.agreed = 1 + able + returning + gone;
+  v.fleet_size = 1 + able + returning + gone;
   return v;
 }
 
@@ -64,7 +64,7 @@
     v.peers.push_back(peer("new" + std::to_string(k), Phase::blank));
     v.peers.back().metadata = {};
   }
-  v.agreed = 9;
+  v.fleet_size = 9;
   EXPECT_EQ(fleet_status_of(v).others, 4u);
   EXPECT_DOUBLE_EQ(fleet_status_of(v).returning, 0);
 }
@@ -74,18 +74,18 @@
   auto v = seen(8, 0);
   v.peers.push_back(peer("x", Phase::ramping, "b"));
   v.peers.push_back(peer("y", Phase::ramping, "b"));
-  v.agreed = 11;
+  v.fleet_size = 11;
   EXPECT_DOUBLE_EQ(fleet_status_of(v).returning, 0.5);
 }
 
 TEST(FleetStatus, WhoLeftInOrderIsNotMissedAndWhoSaysNothingGoesByItsStage) {
   auto v = seen(4, 0);
   v.peers.push_back(peer("gone", Phase::full));
-  v.peers.back().present = Status::left;
+  v.peers.back().status = Status::left;
   auto silent = peer("old", Phase::full);
   silent.metadata.recovery_status = {};
   v.peers.push_back(silent);
-  v.agreed = 6;
+  v.fleet_size = 6;
   EXPECT_DOUBLE_EQ(fleet_status_of(v).returning, 0);
   v.peers.back().metadata.stage = Stage::starting;
   EXPECT_DOUBLE_EQ(fleet_status_of(v).returning, 0.2);
@@ -346,7 +346,7 @@
   View v;
   for (int k = 0; k < 6; ++k) {
     auto p = peer("p" + std::to_string(k), Phase::full, k < 2 ? "mine" : "other");
-    p.metadata.generation = std::uint64_t(10 - k) * 1'000'000;
+    p.metadata.boot_incarnation = std::uint64_t(10 - k) * 1'000'000;
     v.peers.push_back(p);
   }
   v.peers.push_back(peer("new", Phase::ramping, "mine"));
@@ -494,7 +494,7 @@
   TransferResponse o{77, "n1", membership::BootId(5), true, true, 1500ms, says(5s, 9ms, 3s)};
   o.what.members = {membership::Address{{127, 0, 0, 1}, 5, false}};
   const auto bytes = state_transfer::encode(o);
-  const auto back = state_transfer::decode_offer(bytes);
+  const auto back = state_transfer::decode_response(bytes);
   ASSERT_TRUE(std::holds_alternative<TransferResponse>(back));
   const auto& read = std::get<TransferResponse>(back);
   EXPECT_EQ(read.nonce, o.nonce);
@@ -504,17 +504,19 @@
   EXPECT_EQ(read.what.endpoints, o.what.endpoints);
   EXPECT_EQ(read.what.members, o.what.members);
   for (std::size_t k = 0; k < bytes.size(); ++k) {
-    EXPECT_TRUE(std::holds_alternative<snapshot::Fault>(state_transfer::decode_offer(bytes.substr(0, k))));
+    EXPECT_TRUE(
+        std::holds_alternative<snapshot::StorageError>(state_transfer::decode_response(bytes.substr(0, k))));
     auto bad = bytes;
     bad[k] = char(bad[k] ^ 0x10);
-    EXPECT_TRUE(std::holds_alternative<snapshot::Fault>(state_transfer::decode_offer(bad))) << k;
+    EXPECT_TRUE(std::holds_alternative<snapshot::StorageError>(state_transfer::decode_response(bad))) << k;
   }
-  const auto asked = state_transfer::encode(state_transfer::Asked{"c", "n2", 9});
-  EXPECT_EQ(std::get<state_transfer::Asked>(state_transfer::decode_question(asked)).nonce, 9u);
-  EXPECT_TRUE(std::holds_alternative<snapshot::Fault>(state_transfer::decode_question(bytes)));
-  EXPECT_FALSE(state_transfer::length_of(std::string("\xff\xff\xff\xff", 4), 1000));
-  EXPECT_FALSE(state_transfer::length_of(std::string(4, '\0'), 1000));
-  EXPECT_EQ(state_transfer::length_of(state_transfer::framed(asked).substr(0, 4), 1000), asked.size());
+  const auto asked = state_transfer::encode(state_transfer::TransferQuery{"c", "n2", 9});
+  EXPECT_EQ(std::get<state_transfer::TransferQuery>(state_transfer::decode_query(asked)).nonce, 9u);
+  EXPECT_TRUE(std::holds_alternative<snapshot::StorageError>(state_transfer::decode_query(bytes)));
+  EXPECT_FALSE(state_transfer::parse_length_prefix(std::string("\xff\xff\xff\xff", 4), 1000));
+  EXPECT_FALSE(state_transfer::parse_length_prefix(std::string(4, '\0'), 1000));
+  EXPECT_EQ(state_transfer::parse_length_prefix(state_transfer::add_length_prefix(asked).substr(0, 4), 1000),
+            asked.size());
 }
 
 }  // namespace
