--- a/src/frames/request_parser.cpp
+++ b/src/frames/request_parser.cpp
@@ -117,7 +117,7 @@
     has_memory_ = true;
     const auto megabytes = parse_decimal(value);
     if (!megabytes || *megabytes <= 0 || *megabytes >= kMaxMemoryMegabytes) return false;
-    request_.memory = Kilobytes(std::llround(*megabytes * 1000));
+    request_.memory = MemorySize(std::llround(*megabytes * 1000));
     return true;
   }
   // Nothing goes by the priority; but a value out of range makes the request malformed.
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -24,8 +24,8 @@
   CHECK(c.catalog.tenants == std::vector<std::string>{"x y"});
   CHECK(c.catalog.keyed == std::vector<bool>{true});
   CHECK(c.parsed.settings.cores == 6.0);
-  CHECK(c.parsed.settings.classes.at(0).aim == Duration(100500));
-  CHECK(c.parsed.settings.classes.at(0).calls == false);
+  CHECK(c.parsed.settings.classes.at(0).latency_objective == Duration(100500));
+  CHECK(c.parsed.settings.classes.at(0).makes_calls == false);
   CHECK(c.parsed.gauges == std::vector<std::string>{"core_use", "links"});
 }
 
--- a/tests/idempotency_table_test.cpp
+++ b/tests/idempotency_table_test.cpp
@@ -16,7 +16,7 @@
   r.rid = std::move(rid);
   r.token = "t";
   r.reached = edge::UnixTime(reached);
-  r.memory = Kilobytes(20000);
+  r.memory = MemorySize(20000);
   r.body = std::move(body);
   return r;
 }
