--- a/bench/micro.cpp
+++ b/bench/micro.cpp
@@ -232,8 +232,8 @@
     const TimePoint now(std::chrono::hours(2));
     warm_state::WarmState what;
     for (std::size_t n = 0; n < 100000; ++n)
-      what.parts.push_back({spec->dependencies[n % 16].name, "/" + std::to_string(n),
-                            std::make_shared<const std::string>(256, 'x'), Duration(1)});
+      what.cached_responses.push_back({spec->dependencies[n % 16].name, "/" + std::to_string(n),
+                                       std::make_shared<const std::string>(256, 'x'), Duration(1)});
     for (const auto& d : spec->dependencies)
       for (const auto& e : d.endpoints)
         what.endpoints.push_back({d.name, e.host, e.port, std::chrono::seconds(30), 1, milliseconds(5), {}});
--- a/src/deps/scatter_gather_fleet.cpp
+++ b/src/deps/scatter_gather_fleet.cpp
@@ -104,10 +104,12 @@
   for (const auto& hot : cache_.hottest(kHotLooked)) {
     warm_state::CachedResponse part{deps_[hot.dependency].spec.name, *hot.path, hot.body,
                                     std::max(now - hot.stored, Duration{})};
-    if (!warm_state::fits(part) || part.age >= cached_for(hot.dependency)) continue;
-    bytes += warm_state::bytes_of(part);
-    if (bytes > warm_state::kMaxPartBytes || to.parts.size() >= warm_state::kMaxParts) break;
-    to.parts.push_back(std::move(part));
+    if (!warm_state::is_within_limits(part) || part.age >= cached_for(hot.dependency)) continue;
+    bytes += warm_state::size_of(part);
+    if (bytes > warm_state::kMaxCachedResponseBytes ||
+        to.cached_responses.size() >= warm_state::kMaxCachedResponses)
+      break;
+    to.cached_responses.push_back(std::move(part));
   }
 }
 
@@ -123,7 +125,7 @@
 ScatterGather::Used ScatterGather::learn(const warm_state::WarmState& from, TimePoint now) {
   Used used;
   // The hottest last, so that it is the newest here too.
-  for (auto p = from.parts.rbegin(); p != from.parts.rend(); ++p)
+  for (auto p = from.cached_responses.rbegin(); p != from.cached_responses.rend(); ++p)
     for (std::uint32_t d = 0; d < deps_.size(); ++d) {
       if (deps_[d].spec.name != p->dependency || p->age < Duration{} || p->age >= cached_for(d)) continue;
       const auto key = key_of(d, p->path, hash_seed_);
@@ -137,7 +139,8 @@
       if (d.spec.name != e.dependency) continue;
       for (std::uint32_t i = 0; i < d.endpoints.places(); ++i)
         if (d.endpoints.address(i) == EndpointSpec{e.host, e.port})
-          used.endpoints += d.endpoints.learn(i, {e.out_for, e.latency, e.heard_ago, e.times_out}, now);
+          used.endpoints +=
+              d.endpoints.learn(i, {e.ejected_for, e.latency, e.latency_age, e.consecutive_ejections}, now);
     }
   return used;
 }
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -101,12 +101,12 @@
 }
 
 void Edge::wait_out_lost_memory(Duration max_clock_back, bool has_folder, TimePoint started) {
-  recovery::RestartQuarantine::Rules rules;
+  recovery::RestartQuarantine::Options rules;
   const auto by_class = key_rules(settings_.settings);
   for (std::size_t i = 0; i < by_class.size(); ++i)
-    rules.windows.push_back(catalog_.is_keyed(ClassId(i)) ? by_class[i].window : Duration{});
-  rules.max_clock_back = max_clock_back;
-  rules.has_folder = has_folder;
+    rules.idempotency_windows.push_back(catalog_.is_keyed(ClassId(i)) ? by_class[i].window : Duration{});
+  rules.max_clock_setback = max_clock_back;
+  rules.has_state_directory = has_folder;
   lost_memory_.emplace(std::move(rules), started);
 }
 
@@ -115,16 +115,16 @@
 bool Edge::waits_out(const Request& request) {
   if (!lost_memory_ || !catalog_.is_keyed(request.cls)) return false;
   const auto reached = now_.steady - std::max(now_.unix - request.reached, Duration{});
-  if (!lost_memory_->in_doubt(request.cls, reached)) return false;
+  if (!lost_memory_->is_quarantined(request.cls, reached)) return false;
   const auto most = settings_.settings.max_advice.value_or(Duration{});
-  const auto until = lost_memory_->until(request.cls);
+  const auto until = lost_memory_->quarantined_until(request.cls);
   const auto left = until == TimePoint::max() ? most : std::max(until - now_.steady, Duration(1000));
   out_.emplace_back(Answer{request.from, Outcome::refused, nullptr, hint_, std::min(left, most), false});
   return true;
 }
 
 void Edge::on(const WarmStateReceived& news) {
-  if (course_ && news.from_others == 0) course_->expected(news.what.members.size(), now_.steady);
+  if (course_ && news.from_others == 0) course_->on_last_known_members(news.what.members.size(), now_.steady);
   if (!gatherer_) return;
   const auto from = news.from_others == 0 ? std::string("an earlier life")
                                           : std::to_string(news.from_others) + " other members";
@@ -156,7 +156,7 @@
 }
 
 void Edge::on(const StateTransferFinished& over) {
-  if (course_) course_->learned(over.sources, now_.steady);
+  if (course_) course_->on_state_transferred(over.sources, now_.steady);
 }
 
 // What recovery has found reaches the module as a bound: it stays the one that admits, orders and refuses.
@@ -167,61 +167,61 @@
   }
   tell_course();
   if (!module_) return;
-  const BoundSet bound{course_->wait_bound(), course_->offered()};
+  const BoundSet bound{course_->max_wait_factor(), course_->advertised_share()};
   if (bound.max_wait == bound_.max_wait && bound.offered == bound_.offered) return;
   bound_ = bound;
   events_.emplace_back(bound);
 }
 
 void Edge::tell_course() {
-  using News = recovery::RecoveryController::News;
+  using recovery::RecoveryEvent;
   const auto ms = [](Duration d) {
     return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(d).count());
   };
   const auto reached = [&](const std::optional<Duration>& d) { return d ? ms(*d) : std::string("-"); };
-  const auto& m = course_->milestones();
-  for (const auto& news : course_->take_news()) switch (news.what) {
-      case News::phase:
-        remark(std::string("recovery: ") + recovery::text_of(news.at) +
-                   (news.at == recovery::Phase::ramping
-                        ? ", about " + ms(course_->left(now_.steady)) + " ms to full service"
+  const auto& m = course_->timeline();
+  for (const auto& event : course_->take_events()) switch (event.type) {
+      case RecoveryEvent::phase_changed:
+        remark(std::string("recovery: ") + recovery::text_of(event.phase) +
+                   (event.phase == recovery::Phase::slow_start
+                        ? ", about " + ms(course_->remaining(now_.steady)) + " ms to full service"
                         : ""),
-               "recovery_phase", recovery::text_of(news.at));
+               "recovery_phase", recovery::text_of(event.phase));
         break;
-      case News::kind:
+      case RecoveryEvent::scope_changed:
         remark(std::string("recovery: this start is ") +
-                   (news.of == recovery::Kind::alone  ? "one among healthy ones"
-                    : news.of == recovery::Kind::wave ? "one of a wave"
-                                                      : "one of most of the fleet's"),
-               "recovery_kind", recovery::text_of(news.of));
+                   (event.scope == recovery::RestartScope::single    ? "one among healthy ones"
+                    : event.scope == recovery::RestartScope::partial ? "one of a wave"
+                                                                     : "one of most of the fleet's"),
+               "recovery_kind", recovery::text_of(event.scope));
         break;
-      case News::full:
-        remark("recovery: full service after " + reached(m.full) + " ms, guessed " + reached(m.estimate) +
-                   "; first answer " + reached(m.first_answer) + ", good health " + reached(m.good_health) +
-                   ", half " + reached(m.half) + ", 0.95 " + reached(m.most) + "; learned from " +
-                   std::to_string(m.sources),
-               "recovery_full", reached(m.full));
+      case RecoveryEvent::entered_service:
+        remark("recovery: full service after " + reached(m.in_service) + " ms, guessed " +
+                   reached(m.estimated_in_service) + "; first answer " + reached(m.first_response) +
+                   ", good health " + reached(m.first_healthy) + ", half " + reached(m.half_share) +
+                   ", 0.95 " + reached(m.nearly_full_share) + "; learned from " + std::to_string(m.donors),
+               "recovery_full", reached(m.in_service));
         break;
-      case News::paused:
+      case RecoveryEvent::pause_detected:
         out_.emplace_back(StateTransferWanted{});
         remark("recovery: this process stood still for long: what it remembers is old", "recovery_paused");
         break;
-      case News::guarding:
-        remark(news.guarded ? "recovery: waits are bounded while others come back or callers press"
-                            : "recovery: waits are not bounded any more",
-               "recovery_guard", news.guarded ? "on" : "off");
+      case RecoveryEvent::overload_guard_changed:
+        remark(event.overload_guard ? "recovery: waits are bounded while others come back or callers press"
+                                    : "recovery: waits are not bounded any more",
+               "recovery_guard", event.overload_guard ? "on" : "off");
         break;
     }
 }
 
 void Edge::on(const PreviousIncarnationFound& news) {
   if (!lost_memory_) return;
-  lost_memory_->learn(news.found, now_.steady);
+  lost_memory_->on_previous_incarnation(news.found, now_.steady);
   say_how_long();
 }
 
 void Edge::say_how_long() {
-  const auto until = lost_memory_->longest();
+  const auto until = lost_memory_->last_quarantine_end();
   if (until == TimePoint::max() || until <= now_.steady) return;
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(until - now_.steady).count();
   remark("keyed requests wait " + std::to_string(ms) + " ms for what an earlier life may have run",
@@ -229,7 +229,7 @@
 }
 
 Duration Edge::keyed_wait(TimePoint now) const {
-  const auto until = lost_memory_ ? lost_memory_->longest() : TimePoint::min();
+  const auto until = lost_memory_ ? lost_memory_->last_quarantine_end() : TimePoint::min();
   if (until == TimePoint::max()) return Duration::max();
   return until <= now ? Duration{} : until - now;
 }
@@ -337,8 +337,8 @@
   const bool anew = module_ && booted.cold && born > born_ + kBootsApart;  // its machine has restarted
   if (course_ && (!module_ || anew)) {
     const auto warm_up = settings_.settings.warm_up.value_or(std::chrono::seconds(60));
-    course_->kernel(booted.cold, born + warm_up - now_.steady, now_.steady);
-    course_->health(good_, now_.steady);
+    course_->on_kernel_ready(booted.cold, born + warm_up - now_.steady, now_.steady);
+    course_->on_health_check(good_, now_.steady);
   }
   if (anew) born_ = born;
   lifecycle_.kernel_up();
@@ -483,7 +483,7 @@
 void Edge::apply(const Refuse& a) {
   auto* o = find(a.id);
   if (!o) return;
-  if (course_ && a.keep_off.count() > 0) course_->turned_away(now_.steady);
+  if (course_ && a.keep_off.count() > 0) course_->on_request_rejected(now_.steady);
   // 'Refused' promises that this try never ran.
   answer(*o, o->ran ? Outcome::failed : Outcome::refused, nullptr, keep_off(a.keep_off),
          a.do_not_try_elsewhere);
@@ -495,8 +495,8 @@
 // while there is nothing more to be had than the last time.
 Duration Edge::keep_off(Duration advised) {
   const auto most = settings_.settings.max_advice.value_or(advised);
-  if (course_ && course_->phase() != recovery::Phase::full && advised.count() > 0 && advised < most) {
-    const auto window = std::min(most - advised, course_->left(now_.steady) / 4);
+  if (course_ && course_->phase() != recovery::Phase::in_service && advised.count() > 0 && advised < most) {
+    const auto window = std::min(most - advised, course_->remaining(now_.steady) / 4);
     return advised + Duration(std::int64_t(double(window.count()) *
                                            std::uniform_real_distribution<double>(0, 1)(spread_)));
   }
@@ -550,7 +550,7 @@
   from_store_ = a.from_store;
   const bool good = a.good && !drain_from_;
   if (std::exchange(good_, good) != good) report_health();
-  if (course_) course_->health(good_, now_.steady);
+  if (course_) course_->on_health_check(good_, now_.steady);
 }
 
 void Edge::apply(const AdvertiseCredit& a) {
@@ -610,8 +610,8 @@
   if (!fleet_) fleet_ = std::make_unique<Fleet>(Fleet{0, std::mt19937_64(seed_)});
   // Without a majority the missing may be this one: its advice stays as it is.
   fleet_->missing = news.view->majority ? membership::missing_share(*news.view) : 0;
-  if (course_) course_->fleet(recovery::fleet_status_of(*news.view), now_.steady);
-  if (lost_memory_) lost_memory_->another_lives(news.view->duplicate, now_.steady);
+  if (course_) course_->on_fleet_status(recovery::fleet_status_of(*news.view), now_.steady);
+  if (lost_memory_) lost_memory_->on_name_conflict(news.view->duplicate, now_.steady);
   if (gatherer_) gatherer_->fleet(news.view, now_.steady);
 }
 
@@ -620,10 +620,11 @@
   if (gatherer_) s.endpoint_health = gatherer_->endpoint_health(now);
   if (hint_) s.pressed = std::uint8_t(std::clamp(100 / (1 + std::max(*hint_, 0.0)), 0.0, 100.0));
   if (course_) {
-    const auto full = course_->milestones().full;
+    const auto full = course_->timeline().in_service;
     s.recovery_status = {
-        std::uint8_t(1 + std::uint8_t(course_->phase())), std::uint8_t(std::lround(100 * course_->offered())),
-        0, std::uint32_t(full ? std::clamp<std::int64_t>(full->count() / 1000, 1, 0xfffffff0) : 0)};
+        recovery::metadata_value_of(course_->phase()),
+        std::uint8_t(std::lround(100 * course_->advertised_share())), 0,
+        std::uint32_t(full ? std::clamp<std::int64_t>(full->count() / 1000, 1, 0xfffffff0) : 0)};
   }
   if (!module_) return s;
   const double warm_up = double(settings_.settings.warm_up.value_or(std::chrono::seconds(60)).count());
@@ -706,7 +707,7 @@
 void Edge::answer(Open& o, Outcome outcome, Result result, Duration backoff, bool last) {
   if (std::exchange(o.answered, true)) return;
   --unanswered_;
-  if (course_) course_->answered(outcome == Outcome::served, now_.steady);
+  if (course_) course_->on_response(outcome == Outcome::served, now_.steady);
   out_.emplace_back(Answer{o.request.from, outcome, std::move(result), hint_, backoff, last});
 }
 
@@ -718,7 +719,7 @@
   auto& o = open_.at(id);
   events_.emplace_back(RunEnded{id, how, took});
   if (course_ && how != RunResult::moot)
-    course_->ran(
+    course_->on_run_finished(
         how == RunResult::ok && !o.answered && now_.unix - o.request.reached <= aim_of(o.request.cls),
         now_.steady);
   answer(o, how == RunResult::ok ? Outcome::served : Outcome::failed, result);
--- a/src/recovery/donor_selection.cpp
+++ b/src/recovery/donor_selection.cpp
@@ -4,101 +4,117 @@
 #include <tuple>
 #include <utility>
 
-#include "recovery/recovery_controller.h"
+#include "recovery/recovery_phase.h"
 
 namespace granitegap::recovery {
+namespace {
 
 using membership::Status;
+using Peer = membership::View::Peer;
 
-DonorSelection::DonorSelection(DonorSelectionOptions rules, std::string zone, std::uint64_t seed)
-    : rules_(rules), zone_(std::move(zone)), random_(seed) {}
+// Generations are start times in milliseconds; members started within the same second rank alike.
+constexpr membership::Incarnation kGenerationsPerSecond = 1000;
+
+bool is_donor(const Peer& peer) {
+  const auto& status = peer.metadata.recovery_status;
+  return peer.present == Status::alive && status.phase == metadata_value_of(Phase::in_service) &&
+         status.donor_port != 0;
+}
+
+}  // namespace
+
+DonorSelection::DonorSelection(DonorSelectionOptions options, std::string zone, std::uint64_t seed)
+    : options_(options), zone_(std::move(zone)), random_(seed) {}
 
 void DonorSelection::begin(TimePoint now) {
-  begun_ = true;
-  until_ = now + rules_.most;
+  started_ = true;
+  deadline_ = now + options_.total_timeout;
   open_.clear();
   asked_.clear();
-  offers_.clear();
-  from_.clear();
+  states_.clear();
+  donors_.clear();
 }
 
-void DonorSelection::view(const membership::View& view, TimePoint now) {
-  // What a view in doubt leaves out may be there all the same, and what it has may not: it still tells whom
-  // to ask, as whoever answers proves itself.
+// An uncertain view is used as well: a donor proves itself by its response.
+void DonorSelection::on_view(const membership::View& view, TimePoint now) {
   candidates_.clear();
-  std::size_t told = 0;
-  for (const auto& p : view.peers) {
-    told += p.present == Status::alive && p.metadata.version > 0;
-    if (p.present != Status::alive || p.metadata.recovery_status.phase != 1 + std::uint8_t(Phase::full) ||
-        p.metadata.recovery_status.donor_port == 0)
-      continue;
-    auto at = p.address;
-    at.port = p.metadata.recovery_status.donor_port;
-    candidates_.push_back({p.name, p.metadata.zone, p.boot_id, p.metadata.generation, at, random_()});
+  std::size_t met = 0;
+  for (const auto& peer : view.peers) {
+    met += peer.present == Status::alive && peer.metadata.version > 0;
+    if (!is_donor(peer)) continue;
+    auto address = peer.address;
+    address.port = peer.metadata.recovery_status.donor_port;
+    candidates_.push_back(
+        {peer.name, peer.metadata.zone, peer.boot_id, peer.metadata.generation, address, random_()});
   }
-  std::sort(candidates_.begin(), candidates_.end(), [&](const Candidate& a, const Candidate& b) {
-    const auto rank = [&](const Candidate& c) {
-      return std::tuple(c.zone != zone_, c.generation / 1000,
-                        c.chance);  // milliseconds to seconds: about alike
-    };
-    return rank(a) < rank(b);
-  });
-  if (std::exchange(told_, told) != told) settled_ = now + rules_.settle;
+  const auto rank = [this](const Candidate& c) {
+    return std::tuple(c.zone != zone_, c.generation / kGenerationsPerSecond, c.random_rank);
+  };
+  std::sort(candidates_.begin(), candidates_.end(),
+            [&](const Candidate& a, const Candidate& b) { return rank(a) < rank(b); });
+  if (std::exchange(members_met_, met) != met) settled_at_ = now + options_.settle_time;
 }
 
-std::vector<TransferRequest> DonorSelection::ask(TimePoint now) {
-  std::vector<TransferRequest> fresh;
-  std::erase_if(open_,
-                [&](const TransferRequest& q) { return now >= q.until; });  // it dawdles: the next one's turn
-  if (!begun_ || over(now)) return fresh;
-  for (const auto& c : candidates_) {
-    if (offers_.size() + open_.size() >= rules_.donors || asked_.size() >= rules_.tries) break;
-    if (!asked_.insert(c.name).second) continue;
-    open_.push_back({random_() | 1, c.name, c.boot_id, c.at, std::min(now + rules_.each, until_), now});
-    fresh.push_back(open_.back());
-  }
-  return fresh;
+void DonorSelection::drop_overdue_requests(TimePoint now) {
+  std::erase_if(open_, [&](const TransferRequest& request) { return now >= request.deadline; });
 }
 
-DonorSelection::Verdict DonorSelection::answered(const TransferResponse& offer, TimePoint now) {
-  const auto q = std::find_if(open_.begin(), open_.end(), [&](auto& o) { return o.nonce == offer.nonce; });
-  if (q == open_.end() || now >= q->until || now >= until_) {
-    if (q != open_.end()) open_.erase(q);
-    return Verdict::late;
+std::vector<TransferRequest> DonorSelection::next_requests(TimePoint now) {
+  std::vector<TransferRequest> requests;
+  drop_overdue_requests(now);
+  if (!started_ || finished(now)) return requests;
+  for (const auto& candidate : candidates_) {
+    if (states_.size() + open_.size() >= options_.wanted_donors) break;
+    if (asked_.size() >= options_.max_requests) break;
+    if (!asked_.insert(candidate.name).second) continue;
+    const auto nonce = random_() | 1;
+    const auto deadline = std::min(now + options_.request_timeout, deadline_);
+    open_.push_back({nonce, candidate.name, candidate.boot_id, candidate.address, deadline, now});
+    requests.push_back(open_.back());
   }
-  const bool same = q->name == offer.by && q->boot_id == offer.boot_id;
-  // As of when it was asked, at the worst: guards against an answer that took long and counts as new.
-  const auto on_its_way = now - q->asked;
-  open_.erase(q);
-  if (!same) return Verdict::foreign;
-  if (!offer.in_service) return Verdict::knows_nothing;
-  offers_.push_back(warm_state::aged(offer.what, on_its_way));
-  if (!offer.sure || offer.view_age > rules_.max_view) offers_.back().members.clear();
-  from_.push_back(offer.by);
-  return Verdict::taken;
+  return requests;
 }
 
-void DonorSelection::failed(std::uint64_t nonce, TimePoint) {
-  std::erase_if(open_, [&](const TransferRequest& q) { return q.nonce == nonce; });
+DonorSelection::Verdict DonorSelection::on_response(const TransferResponse& response, TimePoint now) {
+  const auto found = std::find_if(open_.begin(), open_.end(),
+                                  [&](const auto& request) { return request.nonce == response.nonce; });
+  if (found == open_.end()) return Verdict::late;
+  const auto request = *found;
+  open_.erase(found);
+  if (now >= request.deadline || now >= deadline_) return Verdict::late;
+  if (request.donor != response.donor || request.boot_id != response.boot_id) return Verdict::wrong_donor;
+  if (!response.in_service) return Verdict::not_in_service;
+  // At worst the state was collected when it was asked for, so a response that took long is so much older.
+  auto& state = states_.emplace_back(warm_state::age_by(response.state, now - request.sent_at));
+  if (!response.view_certain || response.view_age > options_.max_view_age) state.members.clear();
+  donors_.push_back(response.donor);
+  return Verdict::accepted;
 }
 
-bool DonorSelection::over(TimePoint now) const {
-  if (!begun_ || now >= until_ || offers_.size() >= rules_.donors) return true;
-  // Guards against an end after the first one met: the others' words are still on their way.
-  if (told_ == 0 || now < settled_ || !open_.empty()) return false;
+void DonorSelection::on_failure(std::uint64_t nonce) {
+  std::erase_if(open_, [&](const TransferRequest& request) { return request.nonce == nonce; });
+}
+
+bool DonorSelection::all_candidates_asked() const {
   return std::all_of(candidates_.begin(), candidates_.end(),
-                     [&](const Candidate& c) { return asked_.contains(c.name); }) ||
-         asked_.size() >= rules_.tries;
+                     [this](const Candidate& candidate) { return asked_.contains(candidate.name); });
+}
+
+bool DonorSelection::finished(TimePoint now) const {
+  if (!started_ || now >= deadline_ || states_.size() >= options_.wanted_donors) return true;
+  // Guards against an end after the first member was met: metadata of the others is still on its way.
+  if (members_met_ == 0 || now < settled_at_ || !open_.empty()) return false;
+  return all_candidates_asked() || asked_.size() >= options_.max_requests;
 }
 
-std::optional<TimePoint> DonorSelection::next(TimePoint now) const {
-  if (over(now)) return std::nullopt;
-  auto at = until_;
-  for (const auto& q : open_) at = std::min(at, q.until);
-  if (open_.empty() && told_ > 0 && settled_ > now) at = std::min(at, settled_);
-  return at;
+std::optional<TimePoint> DonorSelection::next_deadline(TimePoint now) const {
+  if (finished(now)) return std::nullopt;
+  auto next = deadline_;
+  for (const auto& request : open_) next = std::min(next, request.deadline);
+  if (open_.empty() && members_met_ > 0 && settled_at_ > now) next = std::min(next, settled_at_);
+  return next;
 }
 
-warm_state::WarmState DonorSelection::result() const { return warm_state::merged(offers_); }
+warm_state::WarmState DonorSelection::result() const { return warm_state::merge(states_); }
 
 }  // namespace granitegap::recovery
--- a/src/recovery/recovery_controller.cpp
+++ b/src/recovery/recovery_controller.cpp
@@ -2,285 +2,251 @@
 
 #include <algorithm>
 #include <cmath>
-#include <map>
 #include <utility>
 
 namespace granitegap::recovery {
 namespace {
 
-using membership::Stage;
-using membership::Status;
-
-// A wrong first guess is taken back only once the view has said so for this long: guards against a kind that
-// goes to and fro while members come and go.
-constexpr Duration kKindSettles = std::chrono::seconds(3);
-constexpr double kClearlyLess = 0.5;  // of the threshold that was passed
-
-// Who says nothing of a way back is taken by its stage.
-bool in_service(const membership::View::Peer& p) {
-  if (p.present != Status::alive) return false;
-  if (p.metadata.recovery_status.phase > 0)
-    return p.metadata.recovery_status.phase == 1 + std::uint8_t(Phase::full);
-  return p.metadata.stage != Stage::starting;
-}
+// A smaller scope is accepted only after the view has shown it for so long: guards against oscillation while
+// members come and go.
+constexpr Duration kScopeHysteresis = std::chrono::seconds(3);
+// And only below this part of the threshold that had been passed.
+constexpr double kScopeHysteresisFactor = 0.5;
+
+constexpr double kHalfShare = 0.5;
+constexpr double kNearlyFullShare = 0.95;
+
+// A step that gets neither enough runs nor an idle time ends after so many idle steps.
+constexpr int kMaxStepInIdleSteps = 4;
+// The slow start ends after so many calm periods, calm or not.
+constexpr int kMaxSlowStartInCalmPeriods = 4;
+// Rejections further apart than so many minimal steps are separate overloads.
+constexpr int kOverloadGapInSteps = 2;
+// A pause leaves this part of the verified share.
+constexpr double kShareKeptAfterPause = 0.5;
+// Keeps the logarithm in remaining() finite.
+constexpr double kMinShareForEstimate = 1e-3;
 
 }  // namespace
 
-const char* text_of(Phase phase) {
-  switch (phase) {
-    case Phase::blank:
-      return "blank";
-    case Phase::learning:
-      return "learning";
-    case Phase::ramping:
-      return "ramping";
-    case Phase::full:
-      return "full";
-  }
-  return "?";
-}
-
-const char* text_of(Kind kind) {
-  switch (kind) {
-    case Kind::unknown:
-      return "unknown";
-    case Kind::alone:
-      return "alone";
-    case Kind::wave:
-      return "wave";
-    case Kind::most:
-      return "most";
-  }
-  return "?";
-}
+RecoveryController::RecoveryController(RecoveryOptions options, TimePoint started)
+    : options_(options),
+      started_at_(started),
+      phase_since_(started),
+      last_tick_(started),
+      advertised_share_(options.initial_share),
+      verified_share_(options.initial_share),
+      last_rejected_(started),
+      calm_since_(started),
+      step_{.began = started} {}
 
-// Zones count alike: one that is lost whole weighs as a zone, however few machines it has. The larger of that
-// and the plain share, so that many small troubles don't hide either. Who has left in order is not missed.
-FleetStatus fleet_status_of(const membership::View& view) {
-  struct Zone {
-    double members = 0, returning = 0;
-  };
-  std::map<std::string_view, Zone> zones;
-  FleetStatus f;
-  std::size_t there = 0, unknown = 0;
-  for (const auto& p : view.peers) {
-    if (p.present == Status::left) continue;
-    if (p.present == Status::alive && p.metadata.version == 0) {  // just met: it has not said anything yet
-      ++unknown;
-      continue;
-    }
-    const bool good = in_service(p);
-    there += p.present == Status::alive;
-    f.able += good;
-    auto& z = zones[p.metadata.zone];
-    z.members += 1;
-    z.returning += !good;
-  }
-  // Who was agreed on and is not known any more is missed too.
-  const auto agreed = std::max<std::size_t>(view.agreed, 1) - 1;
-  f.others = std::max(agreed - std::min(agreed, unknown), there);
-  f.sure = view.majority && !view.uncertain && view.local_connectivity == membership::LocalConnectivity::ok;
-  if (f.others == 0) return f;
-  f.missing = double(f.others - there) / double(f.others);
-  f.returning = double(f.others - std::min(f.able, f.others)) / double(f.others);
-  double by_zone = 0;
-  for (const auto& [name, z] : zones) by_zone += z.returning / z.members / double(zones.size());
-  f.returning = std::max(f.returning, by_zone);
-  return f;
+void RecoveryController::report(RecoveryEvent::Type type) {
+  events_.push_back({type, phase_, scope_, overload_guard_});
 }
 
-RecoveryController::RecoveryController(RecoveryOptions rules, TimePoint started)
-    : rules_(rules),
-      started_(started),
-      since_(started),
-      ticked_(started),
-      step_from_(started),
-      offered_(rules.first),
-      proven_(rules.first),
-      away_at_(started),
-      calm_since_(started) {}
-
 void RecoveryController::enter(Phase phase, TimePoint now) {
   if (phase_ == phase) return;
   phase_ = phase;
-  since_ = step_from_ = now;
-  good_ = bad_ = away_ = 0;
-  news_.push_back({News::phase, phase, kind_, guarding_});
-  if (phase != Phase::ramping) return;
+  phase_since_ = now;
+  step_ = {.began = now};
+  report(RecoveryEvent::phase_changed);
+  if (phase != Phase::slow_start) return;
   calm_since_ = now;
-  milestones_.estimate = span(now) + left(now);
+  timeline_.estimated_in_service = elapsed(now) + remaining(now);
 }
 
-// Another life of its service: what was reached is counted anew.
-void RecoveryController::begin_again(Phase phase, TimePoint now) {
-  ++recovery_count_;
-  started_ = now;
-  milestones_ = {};
-  pressed_since_.reset();
+void RecoveryController::restart_recovery(Phase phase, TimePoint now) {
+  ++recoveries_;
+  started_at_ = now;
+  timeline_ = {};
+  overloaded_since_.reset();
   enter(phase, now);
 }
 
-void RecoveryController::fleet(const FleetStatus& facts, TimePoint now) {
-  facts_ = facts;
-  viewed_ = true;
-  judge_kind(now);
-  const bool guard = facts_.others > 0 && facts_.returning >= rules_.wave_share;
-  if (guard) calm_since_ = std::max(calm_since_, now);
-  if (guard && phase_ == Phase::full && !std::exchange(guarding_, true))
-    news_.push_back({News::guarding, phase_, kind_, guarding_});
+void RecoveryController::set_overload_guard(bool active) {
+  if (overload_guard_ == active) return;
+  overload_guard_ = active;
+  report(RecoveryEvent::overload_guard_changed);
+}
+
+void RecoveryController::on_fleet_status(const FleetStatus& status, TimePoint now) {
+  fleet_ = status;
+  has_fleet_status_ = true;
+  update_scope(now);
+  if (fleet_.peers == 0 || fleet_.recovering_share < options_.partial_restart_share) return;
+  calm_since_ = std::max(calm_since_, now);
+  if (phase_ == Phase::in_service) set_overload_guard(true);
+}
+
+void RecoveryController::on_last_known_members(std::size_t members, TimePoint now) {
+  last_known_members_ = members;
+  update_scope(now);
 }
 
-void RecoveryController::expected(std::size_t members, TimePoint now) {
-  expected_ = members;
-  judge_kind(now);
+RestartScope RecoveryController::observed_scope() const {
+  if (has_fleet_status_ && fleet_.peers > 0) {
+    if (fleet_.recovering_share >= options_.majority_restart_share) return RestartScope::majority;
+    if (fleet_.recovering_share >= options_.partial_restart_share) return RestartScope::partial;
+    return RestartScope::single;
+  }
+  // The previous incarnation knew other members and none is visible: the most careful assumption.
+  if (last_known_members_ > 0) return RestartScope::majority;
+  return RestartScope::unknown;
 }
 
-void RecoveryController::judge_kind(TimePoint now) {
-  if (phase_ == Phase::full) return;
-  auto found = Kind::unknown;
-  if (viewed_ && facts_.others > 0)
-    found = facts_.returning >= rules_.max_share    ? Kind::most
-            : facts_.returning >= rules_.wave_share ? Kind::wave
-                                                    : Kind::alone;
-  else if (expected_ > 0)
-    found = Kind::most;  // an earlier life knew others, and nobody is seen: the careful guess
-  // The other way only for good reason: clearly under what was passed, seen by a view beyond doubt, for a
-  // while.
-  if (found < kind_ && kind_ != Kind::unknown) {
-    const double passed = kind_ == Kind::most ? rules_.max_share : rules_.wave_share;
-    const bool less = viewed_ && facts_.sure && facts_.returning < kClearlyLess * passed;
-    if (!less) {
-      low_since_ = {};
+bool RecoveryController::clearly_below_threshold() const {
+  const double threshold =
+      scope_ == RestartScope::majority ? options_.majority_restart_share : options_.partial_restart_share;
+  return has_fleet_status_ && fleet_.certain && fleet_.recovering_share < kScopeHysteresisFactor * threshold;
+}
+
+// A larger scope is accepted at once, a smaller one only from a certain view and after kScopeHysteresis.
+void RecoveryController::update_scope(TimePoint now) {
+  if (phase_ == Phase::in_service) return;
+  const auto observed = observed_scope();
+  if (observed < scope_) {
+    if (!clearly_below_threshold()) {
+      scope_lower_since_.reset();
       return;
     }
-    if (low_since_ == TimePoint{}) low_since_ = now;
-    if (now - low_since_ < kKindSettles) return;
+    if (!scope_lower_since_) scope_lower_since_ = now;
+    if (now - *scope_lower_since_ < kScopeHysteresis) return;
   }
-  low_since_ = {};
-  if (found == Kind::unknown || std::exchange(kind_, found) == found) return;
-  news_.push_back({News::kind, phase_, kind_, guarding_});
+  scope_lower_since_.reset();
+  if (observed == RestartScope::unknown || observed == scope_) return;
+  scope_ = observed;
+  report(RecoveryEvent::scope_changed);
 }
 
-void RecoveryController::learned(std::size_t sources, TimePoint now) {
-  milestones_.sources = std::max(milestones_.sources, sources);
-  learned_ = true;
-  if (phase_ == Phase::learning) enter(Phase::ramping, now);
+void RecoveryController::on_state_transferred(std::size_t donors, TimePoint now) {
+  timeline_.donors = std::max(timeline_.donors, donors);
+  state_transferred_ = true;
+  if (phase_ == Phase::transferring_state) enter(Phase::slow_start, now);
 }
 
-void RecoveryController::kernel(bool cold, Duration warm_up_left, TimePoint now) {
-  const bool first = !std::exchange(kernel_, true);
-  ticked_ = now;
-  warm_at_ = now + (cold ? std::max(warm_up_left, Duration{}) : Duration{});
-  if (first && phase_ == Phase::blank) {
-    enter(Phase::learning, now);
-    if (learned_) enter(Phase::ramping, now);
+void RecoveryController::on_kernel_ready(bool cold, Duration warm_up_left, TimePoint now) {
+  const bool first = !std::exchange(kernel_ready_, true);
+  last_tick_ = now;
+  kernel_warm_at_ = now + (cold ? std::max(warm_up_left, Duration{}) : Duration{});
+  if (first && phase_ == Phase::starting) {
+    enter(Phase::transferring_state, now);
+    if (state_transferred_) enter(Phase::slow_start, now);
     return;
   }
   if (first || !cold) return;
-  offered_ = proven_ = rules_.first;
-  begin_again(Phase::ramping, now);
+  advertised_share_ = verified_share_ = options_.initial_share;
+  restart_recovery(Phase::slow_start, now);
 }
 
-void RecoveryController::answered(bool served, TimePoint now) {
-  if (served && !milestones_.first_answer) milestones_.first_answer = span(now);
+void RecoveryController::on_response(bool served, TimePoint now) {
+  if (served && !timeline_.first_response) timeline_.first_response = elapsed(now);
 }
 
-void RecoveryController::health(bool good, TimePoint now) {
-  if (good && kernel_ && !milestones_.good_health) milestones_.good_health = span(now);
+void RecoveryController::on_health_check(bool healthy, TimePoint now) {
+  if (healthy && kernel_ready_ && !timeline_.first_healthy) timeline_.first_healthy = elapsed(now);
 }
 
-void RecoveryController::ran(bool in_aim, TimePoint) { ++(in_aim ? good_ : bad_); }
+void RecoveryController::on_run_finished(bool within_objective, TimePoint) {
+  ++(within_objective ? step_.within_objective : step_.missed_objective);
+}
 
-void RecoveryController::turned_away(TimePoint now) {
-  ++away_;
-  away_at_ = now;
-  if (!pressed_since_) pressed_since_ = now;
+void RecoveryController::on_request_rejected(TimePoint now) {
+  ++step_.rejected;
+  last_rejected_ = now;
+  if (!overloaded_since_) overloaded_since_ = now;
 }
 
-void RecoveryController::offer(double share, TimePoint now) {
-  offered_ = std::clamp(share, rules_.first, 1.0);
-  if (offered_ >= 0.5 && !milestones_.half) milestones_.half = span(now);
-  if (offered_ >= 0.95 && !milestones_.most) milestones_.most = span(now);
+void RecoveryController::advertise(double share, TimePoint now) {
+  advertised_share_ = std::clamp(share, options_.initial_share, 1.0);
+  if (advertised_share_ >= kHalfShare && !timeline_.half_share) timeline_.half_share = elapsed(now);
+  if (advertised_share_ >= kNearlyFullShare && !timeline_.nearly_full_share)
+    timeline_.nearly_full_share = elapsed(now);
 }
 
-// A step is judged by the runs that ended in it.
+// A step is judged by the runs that ended in it. Without enough of them nothing is verified and nothing taken
+// back; it ends all the same after a while, as runs may be so long that there are never enough.
 void RecoveryController::end_step(TimePoint now) {
-  const auto passed = now - step_from_;
-  if (passed < rules_.step) return;
-  const auto all = good_ + bad_;
-  const bool enough = all >= rules_.proof;
-  const bool idle = all < rules_.proof && away_ == 0 && passed >= rules_.idle_step;
-  if (!enough && !idle) {
-    // Too few runs end, and callers are turned away: nothing is proven, and nothing is taken back. Guards
-    // against runs so long that no step ever ends.
-    if (passed < 4 * rules_.idle_step) return;
-  }
-  const bool well = enough ? double(good_) >= rules_.proof_share * double(all) : bad_ == 0;
-  if (well && (enough || idle)) {
-    proven_ = std::max(proven_, offered_);
-    offer(std::max(offered_, proven_ * rules_.growth), now);
-  } else if (!well) {
-    offer(offered_ / rules_.growth, now);
-    proven_ = std::min(proven_, offered_);
+  const auto length = now - step_.began;
+  if (length < options_.min_step) return;
+  const auto runs = step_.within_objective + step_.missed_objective;
+  const bool enough = runs >= options_.min_step_runs;
+  const bool idle = !enough && step_.rejected == 0 && length >= options_.idle_step;
+  if (!enough && !idle && length < kMaxStepInIdleSteps * options_.idle_step) return;
+  const bool succeeded = enough ? double(step_.within_objective) >= options_.min_success_share * double(runs)
+                                : step_.missed_objective == 0;
+  if (!succeeded) {
+    advertise(advertised_share_ / options_.growth_factor, now);
+    verified_share_ = std::min(verified_share_, advertised_share_);
+  } else if (enough || idle) {
+    verified_share_ = std::max(verified_share_, advertised_share_);
+    advertise(std::max(advertised_share_, verified_share_ * options_.growth_factor), now);
   }
-  good_ = bad_ = away_ = 0;
-  step_from_ = now;
-}
-
-// Waits over their bound for so long that callers are turned away all the time, on a process in full service:
-// the same fixed point is reached without a restart, and left by the same bound.
-void RecoveryController::mind_pressure(TimePoint now) {
-  if (now - away_at_ > rules_.step * 2) pressed_since_.reset();
-  if (phase_ != Phase::full || guarding_ || !pressed_since_) return;
-  if (now - *pressed_since_ < rules_.pressed_for) return;
-  guarding_ = true;
+  step_ = {.began = now};
+}
+
+void RecoveryController::on_pause(TimePoint now) {
+  report(RecoveryEvent::pause_detected);
+  if (!kernel_ready_) return;
+  advertised_share_ = verified_share_ =
+      std::max(options_.initial_share, verified_share_ * kShareKeptAfterPause);
+  overload_guard_ = false;
+  state_transferred_ = false;
+  restart_recovery(Phase::transferring_state, now);
+}
+
+bool RecoveryController::is_calm(TimePoint now) const { return now - calm_since_ >= options_.calm_period; }
+
+// All is advertised, and the fleet is calm or has been given long enough; then only the bound on waits stays.
+void RecoveryController::complete_slow_start(TimePoint now) {
+  const bool calm = is_calm(now);
+  const bool overdue = now - phase_since_ >= kMaxSlowStartInCalmPeriods * options_.calm_period;
+  if (advertised_share_ < 1 || !(calm || overdue)) return;
+  overload_guard_ = !calm;
+  // It has been in service since the calm period began, but not before it advertised nearly everything.
+  const auto since = elapsed(now) - (calm ? options_.calm_period : Duration{});
+  timeline_.in_service = std::max(timeline_.nearly_full_share.value_or(Duration{}), since);
+  enter(Phase::in_service, now);
+  report(RecoveryEvent::entered_service);
+}
+
+// Rejections without a break on a process in service: the same metastable state can be reached without a
+// restart, and the same bound ends it.
+void RecoveryController::detect_overload(TimePoint now) {
+  if (now - last_rejected_ > options_.min_step * kOverloadGapInSteps) overloaded_since_.reset();
+  if (phase_ != Phase::in_service || overload_guard_ || !overloaded_since_) return;
+  if (now - *overloaded_since_ < options_.overload_period) return;
   calm_since_ = now;
-  news_.push_back({News::guarding, phase_, kind_, guarding_});
+  set_overload_guard(true);
 }
 
 void RecoveryController::tick(TimePoint now) {
-  const auto gap = now - std::exchange(ticked_, std::max(ticked_, now));
-  if (gap > rules_.max_pause) {
-    news_.push_back({News::paused, phase_, kind_, guarding_});
-    if (kernel_) {
-      offered_ = proven_ = std::max(rules_.first, proven_ / 2);
-      guarding_ = learned_ = false;
-      begin_again(Phase::learning, now);
-    }
-    return;
-  }
-  judge_kind(now);
-  if (phase_ == Phase::learning && now - since_ >= rules_.max_learn) enter(Phase::ramping, now);
-  if (phase_ == Phase::ramping) end_step(now);
-  if (away_at_ > calm_since_) calm_since_ = away_at_;
-  const bool calm = now - calm_since_ >= rules_.calm_for;
-  if (phase_ == Phase::ramping && offered_ >= 1 && (calm || now - since_ >= 4 * rules_.calm_for)) {
-    guarding_ = !calm;  // all is offered: what is left is the bound
-    // It is in full service since nobody was turned away any more, and not before it offered all.
-    milestones_.full =
-        std::max(milestones_.most.value_or(Duration{}), span(now) - (calm ? rules_.calm_for : Duration{}));
-    enter(Phase::full, now);
-    news_.push_back({News::full, phase_, kind_, guarding_});
-  }
-  if (phase_ == Phase::full && guarding_ && calm) {
-    guarding_ = false;
-    news_.push_back({News::guarding, phase_, kind_, guarding_});
-  }
-  mind_pressure(now);
-}
-
-std::optional<double> RecoveryController::wait_bound() const {
-  if (phase_ == Phase::full && !guarding_) return std::nullopt;
-  return rules_.wait_bound;
-}
-
-// The kernel's own warm-up, or the steps that are left, whichever is longer.
-Duration RecoveryController::left(TimePoint now) const {
-  if (phase_ == Phase::full) return {};
-  const double steps = std::ceil(std::log(1 / std::max(offered_, 1e-3)) / std::log(rules_.growth));
-  const auto ramp = rules_.step * std::int64_t(std::max(steps, 0.0));
-  const auto learn = phase_ == Phase::ramping ? Duration{} : rules_.max_learn;
-  return learn + std::max<Duration>(ramp, kernel_ ? std::max(warm_at_ - now, Duration{}) : Duration{});
+  const auto gap = now - last_tick_;
+  last_tick_ = std::max(last_tick_, now);
+  if (gap > options_.max_tick_gap) return on_pause(now);
+  update_scope(now);
+  const bool transfer_overdue = now - phase_since_ >= options_.max_state_transfer;
+  if (phase_ == Phase::transferring_state && transfer_overdue) enter(Phase::slow_start, now);
+  if (phase_ == Phase::slow_start) end_step(now);
+  calm_since_ = std::max(calm_since_, last_rejected_);
+  if (phase_ == Phase::slow_start) complete_slow_start(now);
+  if (phase_ == Phase::in_service && is_calm(now)) set_overload_guard(false);
+  detect_overload(now);
+}
+
+std::optional<double> RecoveryController::max_wait_factor() const {
+  if (phase_ == Phase::in_service && !overload_guard_) return std::nullopt;
+  return options_.max_wait_factor;
+}
+
+// The kernel's own warm-up or the steps that are left, whichever takes longer.
+Duration RecoveryController::remaining(TimePoint now) const {
+  if (phase_ == Phase::in_service) return {};
+  const double growth_left = 1 / std::max(advertised_share_, kMinShareForEstimate);
+  const double steps = std::ceil(std::log(growth_left) / std::log(options_.growth_factor));
+  const Duration slow_start = options_.min_step * std::int64_t(std::max(steps, 0.0));
+  const Duration transfer = phase_ == Phase::slow_start ? Duration{} : options_.max_state_transfer;
+  const Duration warm_up = kernel_ready_ ? std::max(kernel_warm_at_ - now, Duration{}) : Duration{};
+  return transfer + std::max(slow_start, warm_up);
 }
 
 }  // namespace granitegap::recovery
--- a/src/recovery/recovery_controller.h
+++ b/src/recovery/recovery_controller.h
@@ -1,21 +1,27 @@
-// How a process comes back: what kind of start it is, how much it may offer while it proves itself, and when
-// it is in full service. No I/O, no clock, no randomness; times are this process's steady ones.
+// Slow start after a restart: which phase of recovery a process is in, what share of its capacity it may
+// advertise, and whether waits are bounded (docs/recovery.md).
 //
-//            the kernel is up            what others know has come, or      offered all, and nothing
-//                                        nobody is left to ask              pressed for a while
-//   blank ----------------> learning ------------------------------> ramping ----------------> full
-//                              ^                                        ^  ^                     |
-//                              |   it was paused for long               |  |  the kernel is new  |
-//                              +----------------------------------------|--+---------------------+
-//                                                                       |  waits over their bound for long:
-//                                                                       +- callers that come again keep it
-//                                                                       there
+//            the kernel is up            warm state has come, or        all advertised, and no request
+//                                        no donor is left               rejected for a while
+//   starting ----------> transferring_state -------------> slow_start -------------> in_service
+//                              ^                              ^  ^                        |
+//                              |   a long pause               |  |  the kernel restarted  |
+//                              +------------------------------|--+------------------------+
+//                                                             |
+//                                                             +- rejected requests keep it there
 //
-// What it offers grows by proven work, never by time alone: a step ends when enough runs ended within their
-// aim, and the next one offers at most `growth` times as much; a step in which too many did not goes back as
-// far. Where nobody asks for anything nothing can be proven and nothing is at risk: then it grows slowly.
+// The advertised share grows by completed work and not by time alone, as a fixed slow-start window would let
+// a kernel fail that warms up for longer. A step ends when enough runs met their latency objective; the next
+// one advertises at most `growth_factor` times as much. A step with too many missed objectives goes back by
+// the same factor. Where no requests arrive nothing is at risk, and the share grows slowly.
 //
-// Why a bound on waits at all, and for survivors too: docs/recovery.md, 'The fixed point'.
+// The bound on waits avoids a metastable failure: callers that retry without limit keep a fleet overloaded
+// after its kernels are warm (Bronson et al., Metastable Failures in Distributed Systems, HotOS 2021; Huang
+// et al., OSDI 2022). It holds for members that did not restart as well, while part of the fleet is
+// recovering.
+//
+// No I/O, no clock, no randomness: decisions are a function of the calls. Time points are those of this
+// process's steady clock. Not thread-safe; its owner calls it from one thread.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -24,113 +30,148 @@
 #include <vector>
 
 #include "granitegap/policy.h"
-#include "membership/views.h"
+#include "recovery/fleet_status.h"
+#include "recovery/recovery_phase.h"
 
 namespace granitegap::recovery {
 
-enum class Phase : std::uint8_t { blank, learning, ramping, full };
-// One among healthy ones; a part of the fleet at once; most of it.
-enum class Kind : std::uint8_t { unknown, alone, wave, most };
-const char* text_of(Phase phase);
-const char* text_of(Kind kind);
-
+// Shares are 0 to 1; durations are granitegap::Duration (microseconds).
 struct RecoveryOptions {
-  Duration max_learn =
-      std::chrono::milliseconds(800);  // waited for others' knowledge, since the kernel is up
-  double first = 0.1;                  // offered before anything is proven
-  double growth = 1.5;                 // offered never exceeds so many times what was proven
-  double wait_bound = 1;  // of an arrival on the cores, in targets of its class, while a bound holds
-  double wave_share = 0.2, max_share = 0.5;        // of the fleet, from which a start is one of many
-  Duration step = std::chrono::milliseconds(300);  // the shortest
-  std::uint32_t proof = 4;                         // runs within their aim that end a step
-  double proof_share = 0.8;                        // of the runs of a step that must be so
-  Duration idle_step = std::chrono::seconds(2);    // where nobody asks
-  Duration calm_for = std::chrono::seconds(3);     // no arrival turned away, before the bound is lifted
-  Duration max_pause = std::chrono::seconds(5);    // past it, what was in memory is old
-  Duration pressed_for = std::chrono::seconds(2);  // waits over their bound so long: back to a bound
+  // The longest time in `transferring_state`, from when the kernel is up.
+  Duration max_state_transfer = std::chrono::milliseconds(800);
+  double initial_share = 0.1;  // advertised before any run has ended
+  double growth_factor = 1.5;  // the advertised share never exceeds this times the verified share
+  // While waits are bounded: the longest expected wait of an arrival, in latency objectives of its class.
+  double max_wait_factor = 1;
+  // The recovering share of the fleet from which a restart counts as partial, and as one of the majority.
+  double partial_restart_share = 0.2, majority_restart_share = 0.5;
+  Duration min_step = std::chrono::milliseconds(300);  // the shortest step of the slow start
+  std::uint32_t min_step_runs = 4;                     // runs that a step needs to be judged
+  double min_success_share = 0.8;                      // of a step's runs, within their latency objective
+  Duration idle_step = std::chrono::seconds(2);        // the length of a step without requests
+  // So long without a rejected request, before the bound on waits is lifted.
+  Duration calm_period = std::chrono::seconds(3);
+  // A longer gap between two ticks is a pause (SIGSTOP, a suspended machine) after which state is stale.
+  Duration max_tick_gap = std::chrono::seconds(5);
+  // Requests rejected for so long without a break bring the bound back.
+  Duration overload_period = std::chrono::seconds(2);
+};
+
+// When the milestones of a recovery were reached, since its start; nullopt: not yet.
+struct RecoveryTimeline {
+  std::optional<Duration> first_response;
+  std::optional<Duration> first_healthy;
+  std::optional<Duration> half_share;            // 0.5 of the capacity advertised
+  std::optional<Duration> nearly_full_share;     // 0.95 of it
+  std::optional<Duration> in_service;            // Phase::in_service
+  std::optional<Duration> estimated_in_service;  // the estimate of it, made when the slow start began
+  std::size_t donors = 0;                        // members whose warm state was used
 };
 
-// What a view says of the fleet's start.
-struct FleetStatus {
-  double returning = 0;    // share that is missing or not in full service, this one aside; 0 to 1
-  double missing = 0;      // of it, not there at all
-  std::size_t others = 0;  // agreed on
-  std::size_t able = 0;    // of these, in full service: who may be asked
-  bool sure = false;       // a majority is seen and nothing is in doubt
+// A change for the log, with the state at that moment.
+struct RecoveryEvent {
+  enum Type : std::uint8_t {
+    phase_changed,
+    scope_changed,
+    entered_service,
+    pause_detected,
+    overload_guard_changed
+  } type{};
+  Phase phase{};
+  RestartScope scope{};
+  bool overload_guard = false;
 };
-FleetStatus fleet_status_of(const membership::View& view);
 
 class RecoveryController {
  public:
-  RecoveryController(RecoveryOptions rules, TimePoint started);
+  RecoveryController(RecoveryOptions options, TimePoint started);
 
-  // Things that happen. `now` never goes back; earlier is read as the latest seen.
-  void fleet(const FleetStatus& facts, TimePoint now);
-  // What the last life knew of the fleet's size, before there is a view.
-  void expected(std::size_t members, TimePoint now);
-  void learned(std::size_t sources, TimePoint now);  // all answers are in, or nobody is left to ask
-  void kernel(bool cold, Duration warm_up_left, TimePoint now);
-  void answered(bool served, TimePoint now);
-  void health(bool good, TimePoint now);
-  // A run ended: within its aim, or not (late, failed).
-  void ran(bool in_aim, TimePoint now);
-  // An arrival was turned away for its wait, or for load.
-  void turned_away(TimePoint now);
-  // A while has passed; at least every `step`. A gap between two of them over max_pause is a pause.
+  // Inputs. `now` must not decrease.
+  void on_fleet_status(const FleetStatus& status, TimePoint now);
+  // The number of other members that the previous incarnation knew, until there is a view.
+  void on_last_known_members(std::size_t members, TimePoint now);
+  // The state transfer is over: all donors have responded, or none is left.
+  void on_state_transferred(std::size_t donors, TimePoint now);
+  // The kernel is up. `cold`: it started anew and warms up for `warm_up_left`; else the link to it was
+  // re-established.
+  void on_kernel_ready(bool cold, Duration warm_up_left, TimePoint now);
+  void on_response(bool served, TimePoint now);
+  void on_health_check(bool healthy, TimePoint now);
+  // A run has ended, within its latency objective or not (too late, or failed).
+  void on_run_finished(bool within_objective, TimePoint now);
+  // An arrival was rejected for its expected wait, or to shed load.
+  void on_request_rejected(TimePoint now);
+  // To be called at least every RecoveryOptions::min_step. A gap over max_tick_gap is taken for a pause.
   void tick(TimePoint now);
 
   Phase phase() const { return phase_; }
-  Kind kind() const { return kind_; }
-  // 0 to 1, of what it would announce by itself.
-  double offered() const { return offered_; }
-  double proven() const { return proven_; }
-  // The bound on waits; absent while none holds. Survivors of a wave have one without a ramp.
-  std::optional<double> wait_bound() const;
-  // Of the time until full service; zero once there.
-  Duration left(TimePoint now) const;
-  TimePoint since() const { return since_; }  // of the phase
-  TimePoint started() const { return started_; }
+  RestartScope restart_scope() const { return scope_; }
+  // The share of its capacity that the process may advertise, 0 to 1.
+  double advertised_share() const { return advertised_share_; }
+  // The largest share at which runs have met their latency objectives, 0 to 1.
+  double verified_share() const { return verified_share_; }
+  // The bound on the expected wait of an arrival, in latency objectives of its class; nullopt: none.
+  std::optional<double> max_wait_factor() const;
+  // Whether waits are bounded although the process is in service.
+  bool overload_guard_active() const { return overload_guard_; }
+  // The estimated time until the process is in service; zero once it is.
+  Duration remaining(TimePoint now) const;
+  TimePoint phase_since() const { return phase_since_; }
+  // When the current recovery began.
+  TimePoint started_at() const { return started_at_; }
+  const RecoveryTimeline& timeline() const { return timeline_; }
+  // How often a recovery began anew in this process, after a pause or a restart of the kernel.
+  std::uint32_t recoveries() const { return recoveries_; }
+  // The events since the last call, oldest first.
+  std::vector<RecoveryEvent> take_events() { return std::exchange(events_, {}); }
 
-  struct RecoveryTimeline {  // since the start, or since the last way back; absent: not yet
-    std::optional<Duration> first_answer, good_health, half, most, full;
-    std::optional<Duration> estimate;  // of `full`, made when the ramp began
-    std::size_t sources = 0;           // that were learned from
-  };
-  const RecoveryTimeline& milestones() const { return milestones_; }
-  std::uint32_t recoveries() const { return recovery_count_; }
-
-  // For whoever logs: each once, in order.
-  struct News {
-    enum What : std::uint8_t { phase, kind, full, paused, guarding } what{};
-    Phase at{};  // as they were then
-    Kind of{};
-    bool guarded = false;
+ private:
+  // The runs and rejections of the current step of the slow start.
+  struct Step {
+    TimePoint began;
+    std::uint32_t within_objective = 0;
+    std::uint32_t missed_objective = 0;
+    std::uint32_t rejected = 0;
   };
-  std::vector<News> take_news() { return std::exchange(news_, {}); }
-  bool guarding() const { return guarding_; }
 
- private:
   void enter(Phase phase, TimePoint now);
-  void begin_again(Phase phase, TimePoint now);
-  void judge_kind(TimePoint now);
+  void restart_recovery(Phase phase, TimePoint now);
+  RestartScope observed_scope() const;
+  bool clearly_below_threshold() const;
+  void update_scope(TimePoint now);
+  void on_pause(TimePoint now);
   void end_step(TimePoint now);
-  void offer(double share, TimePoint now);
-  void mind_pressure(TimePoint now);
-  Duration span(TimePoint now) const { return now - started_; }
+  void advertise(double share, TimePoint now);
+  bool is_calm(TimePoint now) const;
+  void complete_slow_start(TimePoint now);
+  void set_overload_guard(bool active);
+  void detect_overload(TimePoint now);
+  void report(RecoveryEvent::Type type);
+  Duration elapsed(TimePoint now) const { return now - started_at_; }
 
-  RecoveryOptions rules_;
-  TimePoint started_, since_, ticked_, step_from_;
-  Phase phase_ = Phase::blank;
-  Kind kind_ = Kind::unknown;
-  double offered_, proven_;
-  FleetStatus facts_;
-  bool viewed_ = false, kernel_ = false, guarding_ = false, learned_ = false;
-  std::size_t expected_ = 0;
-  TimePoint warm_at_{}, away_at_, calm_since_, low_since_{};
-  std::optional<TimePoint> pressed_since_;
-  std::uint32_t good_ = 0, bad_ = 0, away_ = 0, recovery_count_ = 0;
-  RecoveryTimeline milestones_;
-  std::vector<News> news_;
+  RecoveryOptions options_;
+  TimePoint started_at_;
+  TimePoint phase_since_;
+  TimePoint last_tick_;
+  Phase phase_ = Phase::starting;
+  RestartScope scope_ = RestartScope::unknown;
+  double advertised_share_;
+  double verified_share_;
+  FleetStatus fleet_;
+  bool has_fleet_status_ = false;
+  bool kernel_ready_ = false;
+  bool state_transferred_ = false;
+  bool overload_guard_ = false;
+  std::size_t last_known_members_ = 0;
+  TimePoint kernel_warm_at_{};
+  TimePoint last_rejected_;
+  TimePoint calm_since_;
+  std::optional<TimePoint> scope_lower_since_;
+  std::optional<TimePoint> overloaded_since_;
+  Step step_;
+  std::uint32_t recoveries_ = 0;
+  RecoveryTimeline timeline_;
+  std::vector<RecoveryEvent> events_;
 };
 
 }  // namespace granitegap::recovery
--- a/src/recovery/restart_quarantine.h
+++ b/src/recovery/restart_quarantine.h
@@ -27,35 +27,36 @@
 
 // What is found of the life before; each by itself.
 struct PreviousIncarnation {
-  std::optional<Duration> ended_in_order;  // so long ago, by a clock that both lives share, and taken away
-  bool end_stays = false;                  // an orderly end is there and can't be taken away
-  Duration clock_behind{};                 // this Unix clock, against what an earlier life wrote
+  std::optional<Duration>
+      clean_shutdown_age;                // so long ago, by a clock that both lives share, and taken away
+  bool shutdown_record_remains = false;  // an orderly end is there and can't be taken away
+  Duration clock_setback{};              // this Unix clock, against what an earlier life wrote
 };
 
 class RestartQuarantine {
  public:
-  struct Rules {
-    std::vector<Duration> windows;                    // by class; zero: not keyed
-    Duration margin = std::chrono::seconds(2);        // clocks apart, and a request on its way
-    Duration max_clock_back = std::chrono::hours(1);  // of clock_behind
+  struct Options {
+    std::vector<Duration> idempotency_windows;             // by class; zero: not keyed
+    Duration clock_skew_margin = std::chrono::seconds(2);  // clocks apart, and a request on its way
+    Duration max_clock_setback = std::chrono::hours(1);    // of clock_behind
     // There is a directory: until it has been looked at an orderly end may stay there for a third life to
     // find, however long the disk takes.
-    bool has_folder = false;
+    bool has_state_directory = false;
   };
-  RestartQuarantine(Rules rules, TimePoint started);
+  RestartQuarantine(Options rules, TimePoint started);
   // `now` is when it was found.
-  void learn(const PreviousIncarnation& found, TimePoint now);
+  void on_previous_incarnation(const PreviousIncarnation& found, TimePoint now);
   // Whether another process under this name lives: as long as it does, what it runs is not known here.
-  void another_lives(bool there, TimePoint now);
+  void on_name_conflict(bool there, TimePoint now);
 
   // Whether a try that reached the machine at `reached` might be inside such a window; and until when those
   // of its class are: the least time point where none is, the greatest where no end is in sight.
-  bool in_doubt(ClassId cls, TimePoint reached) const { return reached < until(cls); }
-  TimePoint until(ClassId cls) const;
-  TimePoint longest() const;
+  bool is_quarantined(ClassId cls, TimePoint reached) const { return reached < quarantined_until(cls); }
+  TimePoint quarantined_until(ClassId cls) const;
+  TimePoint last_quarantine_end() const;
 
  private:
-  Rules rules_;
+  Options rules_;
   TimePoint latest_;  // an earlier life may have run one
   Duration behind_{};
   bool held_ = false, duplicate_ = false;
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -47,12 +47,12 @@
   if (r.wait_out) edge.wait_out_lost_memory(r.max_clock_back, !r.folder.empty(), started);
   if (r.guided) {
     recovery::RecoveryOptions rules;
-    rules.first = r.first;
-    rules.growth = r.growth;
-    rules.wait_bound = r.wait_bound;
-    rules.max_learn = r.max_learn;
-    rules.max_pause = r.max_pause;
-    rules.calm_for = r.calm_for;
+    rules.initial_share = r.first;
+    rules.growth_factor = r.growth;
+    rules.max_wait_factor = r.wait_bound;
+    rules.max_state_transfer = r.max_learn;
+    rules.max_tick_gap = r.max_pause;
+    rules.calm_period = r.calm_for;
     edge.guide_return(rules, started);
   }
   return edge;
@@ -135,7 +135,7 @@
 
 warm_state::WarmState Server::collect() const {
   auto what = module_.edge().learned(clocks_().steady);
-  what.by = config_.name;
+  what.process_name = config_.name;
   if (!fleet_) return what;
   const auto& member = fleet_->member();
   what.boot_id = std::uint64_t(member.self().boot_id);
@@ -153,17 +153,18 @@
   const auto ms = [](Duration d) { return std::chrono::duration_cast<milliseconds>(d).count(); };
   membership_udp::RecoveryReport w;
   w.phase = recovery::text_of(course->phase());
-  w.kind = recovery::text_of(course->kind());
-  w.since_ms = std::uint64_t(ms(now - std::min(course->since(), now)));
-  w.left_ms = std::uint64_t(ms(course->left(now)));
+  w.kind = recovery::text_of(course->restart_scope());
+  w.since_ms = std::uint64_t(ms(now - std::min(course->phase_since(), now)));
+  w.left_ms = std::uint64_t(ms(course->remaining(now)));
   w.keyed_wait_ms = std::uint64_t(ms(module_.edge().keyed_wait(now)));
-  w.offered = std::uint8_t(100 * course->offered());
-  w.proven = std::uint8_t(100 * course->proven());
-  w.bounded = course->wait_bound().has_value();
+  w.offered = std::uint8_t(100 * course->advertised_share());
+  w.proven = std::uint8_t(100 * course->verified_share());
+  w.bounded = course->max_wait_factor().has_value();
   w.recoveries = course->recoveries();
-  const auto& m = course->milestones();
-  const std::optional<Duration>* reached[] = {&m.first_answer, &m.good_health, &m.half,
-                                              &m.most,         &m.full,        &m.estimate};
+  const auto& m = course->timeline();
+  const std::optional<Duration>* reached[] = {&m.first_response, &m.first_healthy,
+                                              &m.half_share,     &m.nearly_full_share,
+                                              &m.in_service,     &m.estimated_in_service};
   for (std::size_t k = 0; k < w.reached_ms.size(); ++k)
     if (*reached[k]) w.reached_ms[k] = ms(**reached[k]);
   if (learning_)
@@ -182,19 +183,20 @@
                                      extras_.declared->recovery->donate_port,
                                      config_.seed ^ std::uint64_t(member.self().boot_id)};
   recovery::DonorSelectionOptions rules;
-  rules.most = extras_.declared->recovery->max_learn;
+  rules.total_timeout = extras_.declared->recovery->max_learn;
   state_transfer::Actor::Hooks hooks;
   hooks.clock = [this] { return clocks_().steady; };
   hooks.offer = [this] {
     const auto& me = fleet_->member();
     recovery::TransferResponse o;
-    o.by = config_.name;
+    o.donor = config_.name;
     o.boot_id = me.self().boot_id;
     const auto* course = module_.edge().course();
-    o.in_service = course && course->phase() == recovery::Phase::full;
-    o.sure = me.majority() && !me.uncertain() && me.local_connectivity() == membership::LocalConnectivity::ok;
+    o.in_service = course && course->phase() == recovery::Phase::in_service;
+    o.view_certain =
+        me.majority() && !me.uncertain() && me.local_connectivity() == membership::LocalConnectivity::ok;
     o.view_age = fleet_->silence();
-    if (o.in_service) o.what = collect();
+    if (o.in_service) o.state = collect();
     return o;
   };
   hooks.may_ask = [this](const asio::ip::address& who) { return fleet_->may_ask(who); };
--- a/src/snapshot/persistence_actor.cpp
+++ b/src/snapshot/persistence_actor.cpp
@@ -93,7 +93,7 @@
 void PersistenceActor::told(Begun b) {
   recovery::PreviousIncarnation found;
   if (b.fault) {
-    found.end_stays = true;
+    found.shutdown_record_remains = true;
     if (!std::exchange(told_fault_, true))
       log_.line("recovery: keyed requests are refused until " + folder_.string() +
                     " can be used: " + b.fault->text(),
@@ -108,18 +108,18 @@
   };
   for (const auto& bad : b.newest.faults) unbelieved("a snapshot", bad);
   auto& newest = b.newest.snapshot;
-  if (newest && newest->what.by != name_) {
-    unbelieved("a snapshot", "it is of " + newest->what.by);
+  if (newest && newest->what.process_name != name_) {
+    unbelieved("a snapshot", "it is of " + newest->what.process_name);
     newest.reset();
   }
-  if (newest) found.clock_behind = std::max(found.clock_behind, clock_behind(newest->at, b.at));
+  if (newest) found.clock_setback = std::max(found.clock_setback, clock_behind(newest->at, b.at));
   hooks_.found(found);
   if (!newest) return;
   const auto age = age_of(newest->at, b.at);
   log_.line(
       "recovery: a snapshot, " + (age ? std::to_string(age->count() / 1000) + " ms old" : "of no known age"),
       {{"event", "recovery_snapshot"}, {"age_ms", age ? std::int64_t(age->count() / 1000) : -1}});
-  hooks_.learned(warm_state::aged(std::move(newest->what), age));
+  hooks_.learned(warm_state::age_by(std::move(newest->what), age));
 }
 
 void PersistenceActor::told_ended(const Begun& b, recovery::PreviousIncarnation& found) {
@@ -133,10 +133,11 @@
   }
   if (!ended) return;
   found = previous_incarnation(*ended, b.at);
-  if (found.ended_in_order)
-    log_.line("recovery: the last life ended in order " +
-                  std::to_string(found.ended_in_order->count() / 1000) + " ms ago",
-              {{"event", "recovery_ended"}, {"ago_ms", std::int64_t(found.ended_in_order->count() / 1000)}});
+  if (found.clean_shutdown_age)
+    log_.line(
+        "recovery: the last life ended in order " + std::to_string(found.clean_shutdown_age->count() / 1000) +
+            " ms ago",
+        {{"event", "recovery_ended"}, {"ago_ms", std::int64_t(found.clean_shutdown_age->count() / 1000)}});
 }
 
 void PersistenceActor::told_write(const std::optional<Fault>& fault) {
--- a/src/snapshot/shutdown_record.cpp
+++ b/src/snapshot/shutdown_record.cpp
@@ -137,8 +137,8 @@
 
 recovery::PreviousIncarnation previous_incarnation(const Ended& ended, const Stamp& now) {
   recovery::PreviousIncarnation found;
-  if (same_boot(ended.at, now)) found.ended_in_order = now.since_boot - ended.at.since_boot;
-  found.clock_behind = clock_behind(ended.at, now);
+  if (same_boot(ended.at, now)) found.clean_shutdown_age = now.since_boot - ended.at.since_boot;
+  found.clock_setback = clock_behind(ended.at, now);
   return found;
 }
 
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -22,9 +22,9 @@
 
 std::string encode(const Snapshot& s) {
   auto what = s.what;
-  warm_state::bound(what);
+  warm_state::enforce_limits(what);
   wire::Snapshot p;
-  p.set_by(what.by);
+  p.set_by(what.process_name);
   p.set_boot_id(what.boot_id);
   p.set_boot(s.at.boot);
   p.set_since_boot_us(s.at.since_boot.count());
@@ -34,17 +34,17 @@
     to->set_dependency(e.dependency);
     to->set_host(e.host);
     to->set_port(e.port);
-    to->set_out_for_us(e.out_for.count());
-    to->set_times_out(e.times_out);
+    to->set_out_for_us(e.ejected_for.count());
+    to->set_times_out(e.consecutive_ejections);
     to->set_latency_us(e.latency.count());
-    to->set_heard_ago_us(e.heard_ago.count());
+    to->set_heard_ago_us(e.latency_age.count());
   }
   for (const auto& m : what.members) {
     auto* to = p.add_members();
     to->set_ip(m.ip.data(), m.v6 ? 16 : 4);
     to->set_port(m.port);
   }
-  for (const auto& part : what.parts) {
+  for (const auto& part : what.cached_responses) {
     auto* to = p.add_cached_responses();
     to->set_dependency(part.dependency);
     to->set_path(part.path);
@@ -69,11 +69,11 @@
   if (p.by().size() > kMaxText || p.boot().size() > kMaxText || p.since_boot_us() < 0 ||
       std::size_t(p.endpoints_size()) > warm_state::kMaxEndpoints ||
       std::size_t(p.members_size()) > warm_state::kMaxMembers ||
-      std::size_t(p.cached_responses_size()) > warm_state::kMaxParts)
+      std::size_t(p.cached_responses_size()) > warm_state::kMaxCachedResponses)
     return bad;
   Snapshot s;
   s.at = {p.boot(), Duration(p.since_boot_us()), p.unix_us()};
-  s.what.by = p.by();
+  s.what.process_name = p.by();
   s.what.boot_id = p.boot_id();
   for (const auto& e : p.endpoints()) {
     if (e.dependency().size() > kMaxText || e.host().size() > kMaxText || e.port() == 0 || e.port() > 65535 ||
@@ -95,11 +95,11 @@
     warm_state::CachedResponse part{from.dependency(), from.path(),
                                     std::make_shared<const std::string>(from.body()),
                                     Duration(from.age_us())};
-    together += warm_state::bytes_of(part);
-    if (part.dependency.size() > kMaxText || !warm_state::fits(part) || !plausible(from.age_us()) ||
-        together > warm_state::kMaxPartBytes)
+    together += warm_state::size_of(part);
+    if (part.dependency.size() > kMaxText || !warm_state::is_within_limits(part) ||
+        !plausible(from.age_us()) || together > warm_state::kMaxCachedResponseBytes)
       return bad;
-    s.what.parts.push_back(std::move(part));
+    s.what.cached_responses.push_back(std::move(part));
   }
   return s;
 }
--- a/src/state_transfer/actor.cpp
+++ b/src/state_transfer/actor.cpp
@@ -112,7 +112,7 @@
 
 void Actor::begin() {
   learning_.begin(hooks_.clock());
-  if (view_) learning_.view(*view_, hooks_.clock());
+  if (view_) learning_.on_view(*view_, hooks_.clock());
   pending_ = true;
   wake_.cancel();
 }
@@ -120,7 +120,7 @@
 void Actor::view(std::shared_ptr<const membership::View> newest) {
   view_ = std::move(newest);
   if (!pending_) return;
-  learning_.view(*view_, hooks_.clock());
+  learning_.on_view(*view_, hooks_.clock());
   wake_.cancel();
 }
 
@@ -135,20 +135,20 @@
   while (!closed_) {
     const auto now = hooks_.clock();
     if (pending_) {
-      for (auto& question : learning_.ask(now))
+      for (auto& question : learning_.next_requests(now))
         asio::co_spawn(executor_, ask(std::move(question)), asio::detached);
-      if (learning_.over(now)) {
+      if (learning_.finished(now)) {
         pending_ = false;
-        from_ = learning_.from();
+        from_ = learning_.donors();
         learned_at_ = now;
         std::string names;
-        for (const auto& n : learning_.from()) names += (names.empty() ? "" : ", ") + n;
+        for (const auto& n : learning_.donors()) names += (names.empty() ? "" : ", ") + n;
         log_.line("recovery: learned from " + (names.empty() ? std::string("nobody") : names),
                   {{"event", "learned_from"}, {"names", names}});
-        hooks_.learned(learning_.result(), learning_.sources());
+        hooks_.learned(learning_.result(), learning_.donor_count());
       }
     }
-    const auto next = pending_ ? learning_.next(now) : std::nullopt;
+    const auto next = pending_ ? learning_.next_deadline(now) : std::nullopt;
     wake_.expires_at(next ? std::chrono::steady_clock::time_point(next->time_since_epoch())
                           : std::chrono::steady_clock::time_point::max());
     error_code woken;
@@ -160,8 +160,8 @@
   Tcp::socket socket(executor_);
   bool heard = false;
   {
-    const Deadline over(socket, std::chrono::steady_clock::time_point(question.until.time_since_epoch()));
-    const auto udp = membership_udp::endpoint_of(question.at);
+    const Deadline over(socket, std::chrono::steady_clock::time_point(question.deadline.time_since_epoch()));
+    const auto udp = membership_udp::endpoint_of(question.address);
     error_code error;
     co_await socket.async_connect({udp.address(), udp.port()}, into(error));
     if (!error) {
@@ -173,12 +173,12 @@
         const auto decoded = decode_offer(*bytes);
         if (const auto* offer = std::get_if<recovery::TransferResponse>(&decoded)) {
           heard = true;
-          learning_.answered(*offer, hooks_.clock());
+          learning_.on_response(*offer, hooks_.clock());
         }
       }
     }
   }
-  if (!heard) learning_.failed(question.nonce, hooks_.clock());
+  if (!heard) learning_.on_failure(question.nonce);
   wake_.cancel();
 }
 
--- a/src/state_transfer/codec.cpp
+++ b/src/state_transfer/codec.cpp
@@ -46,16 +46,16 @@
   using namespace std::chrono;
   wire::TransferResponse p;
   p.set_nonce(o.nonce);
-  p.set_by(o.by);
+  p.set_by(o.donor);
   p.set_boot_id(std::uint64_t(o.boot_id));
   p.set_in_service(o.in_service);
-  p.set_sure(o.sure);
+  p.set_sure(o.view_certain);
   p.set_view_age_ms(std::uint32_t(
       std::clamp<std::int64_t>(duration_cast<milliseconds>(o.view_age).count(), 0, 0xffffffff)));
   // Its stamp is nobody's: what it holds is as of now, and its pieces carry their ages.
   if (o.in_service) {
     snapshot::Snapshot inner;
-    inner.what = o.what;
+    inner.what = o.state;
     p.set_warm_state(snapshot::encode(inner));
   }
   return snapshot::seal(kOffer, p.SerializeAsString());
@@ -68,15 +68,15 @@
   if (p.by().size() > kMaxText) return Fault{"reading it", "a name is too long"};
   recovery::TransferResponse o;
   o.nonce = p.nonce();
-  o.by = p.by();
+  o.donor = p.by();
   o.boot_id = membership::BootId(p.boot_id());
   o.in_service = p.in_service();
-  o.sure = p.sure();
+  o.view_certain = p.sure();
   o.view_age = std::chrono::milliseconds(p.view_age_ms());
   if (!o.in_service) return o;
   auto inner = snapshot::decode_snapshot(p.warm_state());
   if (const auto* fault = std::get_if<Fault>(&inner)) return *fault;
-  o.what = std::move(std::get<snapshot::Snapshot>(inner).what);
+  o.state = std::move(std::get<snapshot::Snapshot>(inner).what);
   return o;
 }
 
--- a/src/warm_state/warm_state.h
+++ b/src/warm_state/warm_state.h
@@ -24,8 +24,8 @@
 
 inline constexpr std::size_t kMaxEndpoints = 1024, kMaxMembers = 512;
 // Of kept answers: how many, how long a path and a body may be, and all of them together, in bytes.
-inline constexpr std::size_t kMaxParts = 512, kMaxPartPath = 1024, kMaxPartBody = 16 * 1024,
-                             kMaxPartBytes = 128 * 1024;
+inline constexpr std::size_t kMaxCachedResponses = 512, kMaxPathLength = 1024, kMaxBodyBytes = 16 * 1024,
+                             kMaxCachedResponseBytes = 128 * 1024;
 inline constexpr Duration kCachedResponseLifetime = std::chrono::hours(24);
 inline constexpr Duration kLatencyLifetime = std::chrono::seconds(60);
 inline constexpr Duration kMembersLifetime = std::chrono::hours(24);
@@ -33,10 +33,10 @@
 struct Endpoint {
   std::string dependency, host;
   std::uint16_t port = 0;
-  Duration out_for{};           // what is left of its ejection; zero: it is in
-  std::uint32_t times_out = 0;  // in a row: the next ejection lasts longer
-  Duration latency{};           // its recent peak; zero: not known
-  Duration heard_ago{};         // when that was
+  Duration ejected_for{};                   // what is left of its ejection; zero: it is in
+  std::uint32_t consecutive_ejections = 0;  // in a row: the next ejection lasts longer
+  Duration latency{};                       // its recent peak; zero: not known
+  Duration latency_age{};                   // when that was
   bool operator==(const Endpoint&) const = default;
 };
 
@@ -51,27 +51,27 @@
 };
 
 struct WarmState {
-  std::string by;             // the process's name
+  std::string process_name;   // the process's name
   std::uint64_t boot_id = 0;  // which of its lives; 0: it takes part in no fleet
   std::vector<Endpoint> endpoints;
-  std::vector<membership::Address> members;  // alive in the last certain view, without this one
-  std::vector<CachedResponse> parts;         // the hottest first
+  std::vector<membership::Address> members;      // alive in the last certain view, without this one
+  std::vector<CachedResponse> cached_responses;  // the hottest first
   bool operator==(const WarmState&) const = default;
 };
 
-std::size_t bytes_of(const CachedResponse& part);
+std::size_t size_of(const CachedResponse& part);
 // Whether it can be among what is learned at all.
-bool fits(const CachedResponse& part);
+bool is_within_limits(const CachedResponse& part);
 // Keeps to the bounds: the endpoints with most to say, members and parts as they come.
-void bound(WarmState& learned);
+void enforce_limits(WarmState& learned);
 
 // What several say of the same, in one value: of each endpoint the weighted median of its latency, where what
 // was heard longer ago weighs less; out only where most of the weight of those that speak of it says so. One
 // that differs wildly from the others moves nothing. Each member's address once, and of each kept answer the
 // youngest; those that several keep come first.
-WarmState merged(const std::vector<WarmState>& several);
+WarmState merge(const std::vector<WarmState>& several);
 
 // As it may still be used after `age`; nothing of it that fades where the age is not known.
-WarmState aged(WarmState learned, std::optional<Duration> age);
+WarmState age_by(WarmState learned, std::optional<Duration> age);
 
 }  // namespace granitegap::warm_state
--- a/tests/deps_test.cpp
+++ b/tests/deps_test.cpp
@@ -662,10 +662,10 @@
   before.run_for(seconds(1));
   warm_state::WarmState what;
   before.gatherer.export_to(what, before.now);
-  ASSERT_EQ(what.parts.size(), 4u);
+  ASSERT_EQ(what.cached_responses.size(), 4u);
 
   World after(spec, 2);  // another seed: other keys
-  EXPECT_EQ(after.gatherer.learn(warm_state::aged(what, seconds(2)), after.now).parts, 4u);
+  EXPECT_EQ(after.gatherer.learn(warm_state::age_by(what, seconds(2)), after.now).parts, 4u);
   const auto fresh = after.ask(7);
   EXPECT_EQ(parts_of(after, fresh), (std::vector{S::fresh, S::fresh}));
   EXPECT_EQ(after.outcomes[fresh].bodies[0], "data of /e/0000000000000007");
@@ -681,8 +681,8 @@
   EXPECT_EQ(after.gatherer.learn(what, after.now - seconds(30)).parts, 0u);
   // Past every declared age, and of no known age, nothing is taken over.
   World late(spec, 3);
-  EXPECT_EQ(late.gatherer.learn(warm_state::aged(what, seconds(61)), late.now).parts, 0u);
-  EXPECT_EQ(late.gatherer.learn(warm_state::aged(what, std::nullopt), late.now).parts, 0u);
+  EXPECT_EQ(late.gatherer.learn(warm_state::age_by(what, seconds(61)), late.now).parts, 0u);
+  EXPECT_EQ(late.gatherer.learn(warm_state::age_by(what, std::nullopt), late.now).parts, 0u);
   expect_sound(after);
 }
 
--- a/tests/recovery_controller_test.cpp
+++ b/tests/recovery_controller_test.cpp
@@ -38,9 +38,9 @@
 }
 View seen(std::size_t able, std::size_t returning, std::size_t gone = 0) {
   View v;
-  for (std::size_t k = 0; k < able; ++k) v.peers.push_back(peer("f" + std::to_string(k), Phase::full));
+  for (std::size_t k = 0; k < able; ++k) v.peers.push_back(peer("f" + std::to_string(k), Phase::in_service));
   for (std::size_t k = 0; k < returning; ++k)
-    v.peers.push_back(peer("r" + std::to_string(k), Phase::ramping));
+    v.peers.push_back(peer("r" + std::to_string(k), Phase::slow_start));
   v.agreed = 1 + able + returning + gone;
   return v;
 }
@@ -49,46 +49,46 @@
 
 TEST(FleetStatus, CountsWhoIsMissingOrOnItsWay) {
   const auto f = fleet_status_of(seen(6, 2, 2));
-  EXPECT_EQ(f.others, 10u);
-  EXPECT_EQ(f.able, 6u);
-  EXPECT_DOUBLE_EQ(f.returning, 0.4);
-  EXPECT_DOUBLE_EQ(f.missing, 0.2);
-  EXPECT_TRUE(f.sure);
-  EXPECT_EQ(fleet_status_of(View{}).others, 0u);
+  EXPECT_EQ(f.peers, 10u);
+  EXPECT_EQ(f.peers_in_service, 6u);
+  EXPECT_DOUBLE_EQ(f.recovering_share, 0.4);
+  EXPECT_DOUBLE_EQ(f.missing_share, 0.2);
+  EXPECT_TRUE(f.certain);
+  EXPECT_EQ(fleet_status_of(View{}).peers, 0u);
 }
 
 // Whoever was just met has said nothing yet: it is neither in service nor on its way.
 TEST(FleetStatus, WhoHasNotSaidAnythingCountsForNothing) {
   auto v = seen(4, 0);
   for (int k = 0; k < 4; ++k) {
-    v.peers.push_back(peer("new" + std::to_string(k), Phase::blank));
+    v.peers.push_back(peer("new" + std::to_string(k), Phase::starting));
     v.peers.back().metadata = {};
   }
   v.agreed = 9;
-  EXPECT_EQ(fleet_status_of(v).others, 4u);
-  EXPECT_DOUBLE_EQ(fleet_status_of(v).returning, 0);
+  EXPECT_EQ(fleet_status_of(v).peers, 4u);
+  EXPECT_DOUBLE_EQ(fleet_status_of(v).recovering_share, 0);
 }
 
 // A zone of two that is lost whole weighs as a zone among two, not as two of ten.
 TEST(FleetStatus, ZonesCountAlike) {
   auto v = seen(8, 0);
-  v.peers.push_back(peer("x", Phase::ramping, "b"));
-  v.peers.push_back(peer("y", Phase::ramping, "b"));
+  v.peers.push_back(peer("x", Phase::slow_start, "b"));
+  v.peers.push_back(peer("y", Phase::slow_start, "b"));
   v.agreed = 11;
-  EXPECT_DOUBLE_EQ(fleet_status_of(v).returning, 0.5);
+  EXPECT_DOUBLE_EQ(fleet_status_of(v).recovering_share, 0.5);
 }
 
 TEST(FleetStatus, WhoLeftInOrderIsNotMissedAndWhoSaysNothingGoesByItsStage) {
   auto v = seen(4, 0);
-  v.peers.push_back(peer("gone", Phase::full));
+  v.peers.push_back(peer("gone", Phase::in_service));
   v.peers.back().present = Status::left;
-  auto silent = peer("old", Phase::full);
+  auto silent = peer("old", Phase::in_service);
   silent.metadata.recovery_status = {};
   v.peers.push_back(silent);
   v.agreed = 6;
-  EXPECT_DOUBLE_EQ(fleet_status_of(v).returning, 0);
+  EXPECT_DOUBLE_EQ(fleet_status_of(v).recovering_share, 0);
   v.peers.back().metadata.stage = Stage::starting;
-  EXPECT_DOUBLE_EQ(fleet_status_of(v).returning, 0.2);
+  EXPECT_DOUBLE_EQ(fleet_status_of(v).recovering_share, 0.2);
 }
 
 // ---- The course ----
@@ -101,35 +101,37 @@
   void pass(Duration span, int good = 0, int bad = 0, int away = 0) {
     for (const auto end = now + span; now < end;) {
       now += 100ms;
-      for (int k = 0; k < good; ++k) ran(true, now);
-      for (int k = 0; k < bad; ++k) ran(false, now);
-      for (int k = 0; k < away; ++k) turned_away(now);
+      for (int k = 0; k < good; ++k) on_run_finished(true, now);
+      for (int k = 0; k < bad; ++k) on_run_finished(false, now);
+      for (int k = 0; k < away; ++k) on_request_rejected(now);
       tick(now);
-      EXPECT_LE(offered(), std::max(rules.first, proven() * rules.growth) + 1e-9);
+      EXPECT_LE(advertised_share(),
+                std::max(rules.initial_share, verified_share() * rules.growth_factor) + 1e-9);
     }
   }
-  void up(bool cold = true, Duration warm_up = 10s) { kernel(cold, warm_up, now); }
+  void up(bool cold = true, Duration warm_up = 10s) { on_kernel_ready(cold, warm_up, now); }
 };
 
 TEST(RecoveryController, GoesFromBlankToFullByProvenWork) {
   Way w;
-  EXPECT_EQ(w.phase(), Phase::blank);
+  EXPECT_EQ(w.phase(), Phase::starting);
   w.pass(2s);
-  EXPECT_EQ(w.phase(), Phase::blank);  // without a kernel nothing begins
+  EXPECT_EQ(w.phase(), Phase::starting);  // without a kernel nothing begins
   w.up();
-  EXPECT_EQ(w.phase(), Phase::learning);
-  w.learned(3, w.now);
-  EXPECT_EQ(w.phase(), Phase::ramping);
-  EXPECT_EQ(w.wait_bound(), 1.0);
+  EXPECT_EQ(w.phase(), Phase::transferring_state);
+  w.on_state_transferred(3, w.now);
+  EXPECT_EQ(w.phase(), Phase::slow_start);
+  EXPECT_EQ(w.max_wait_factor(), 1.0);
   w.pass(1s, 2);
-  EXPECT_GT(w.offered(), 0.1);
+  EXPECT_GT(w.advertised_share(), 0.1);
   w.pass(20s, 2);
-  EXPECT_EQ(w.phase(), Phase::full);
-  EXPECT_EQ(w.offered(), 1);
-  EXPECT_FALSE(w.wait_bound());
-  EXPECT_EQ(w.milestones().sources, 3u);
-  ASSERT_TRUE(w.milestones().full && w.milestones().half && w.milestones().most && w.milestones().estimate);
-  EXPECT_LE(*w.milestones().half, *w.milestones().most);
+  EXPECT_EQ(w.phase(), Phase::in_service);
+  EXPECT_EQ(w.advertised_share(), 1);
+  EXPECT_FALSE(w.max_wait_factor());
+  EXPECT_EQ(w.timeline().donors, 3u);
+  ASSERT_TRUE(w.timeline().in_service && w.timeline().half_share && w.timeline().nearly_full_share &&
+              w.timeline().estimated_in_service);
+  EXPECT_LE(*w.timeline().half_share, *w.timeline().nearly_full_share);
 }
 
 // Time alone proves nothing while callers ask and nothing ends well.
@@ -138,30 +140,30 @@
   w.up();
   w.pass(1s);
   w.pass(60s, 0, 0, 3);
-  EXPECT_EQ(w.phase(), Phase::ramping);
-  EXPECT_EQ(w.offered(), 0.1);
+  EXPECT_EQ(w.phase(), Phase::slow_start);
+  EXPECT_EQ(w.advertised_share(), 0.1);
   w.pass(20s, 0, 2, 3);
-  EXPECT_EQ(w.offered(), 0.1);
+  EXPECT_EQ(w.advertised_share(), 0.1);
 }
 
 TEST(RecoveryController, WhereNobodyAsksItGrowsSlowlyAndEnds) {
   Way w;
   w.up();
   w.pass(5s);
-  EXPECT_GT(w.offered(), 0.1);
-  EXPECT_EQ(w.phase(), Phase::ramping);
+  EXPECT_GT(w.advertised_share(), 0.1);
+  EXPECT_EQ(w.phase(), Phase::slow_start);
   w.pass(60s);
-  EXPECT_EQ(w.phase(), Phase::full);
+  EXPECT_EQ(w.phase(), Phase::in_service);
 }
 
 TEST(RecoveryController, StepsThatGoBadlyGoBack) {
   Way w;
   w.up();
   w.pass(3s, 2);
-  const auto before = w.offered();
+  const auto before = w.advertised_share();
   w.pass(500ms, 0, 4);
-  EXPECT_LT(w.offered(), before);
-  EXPECT_LE(w.proven(), before);
+  EXPECT_LT(w.advertised_share(), before);
+  EXPECT_LE(w.verified_share(), before);
 }
 
 // Without an answer from anybody learning ends by itself.
@@ -169,29 +171,29 @@
   Way w;
   w.up();
   w.pass(700ms);
-  EXPECT_EQ(w.phase(), Phase::learning);
+  EXPECT_EQ(w.phase(), Phase::transferring_state);
   w.pass(300ms);
-  EXPECT_EQ(w.phase(), Phase::ramping);
+  EXPECT_EQ(w.phase(), Phase::slow_start);
   Way early;  // what others know came before the kernel
-  early.learned(2, early.now);
+  early.on_state_transferred(2, early.now);
   early.up();
-  EXPECT_EQ(early.phase(), Phase::ramping);
+  EXPECT_EQ(early.phase(), Phase::slow_start);
 }
 
 TEST(RecoveryController, AKernelThatStartsAnewIsAnotherWayBack) {
   Way w;
   w.up();
   w.pass(30s, 2);
-  ASSERT_EQ(w.phase(), Phase::full);
+  ASSERT_EQ(w.phase(), Phase::in_service);
   w.up(true);
-  EXPECT_EQ(w.phase(), Phase::ramping);
-  EXPECT_EQ(w.offered(), 0.1);
-  EXPECT_FALSE(w.milestones().full);
+  EXPECT_EQ(w.phase(), Phase::slow_start);
+  EXPECT_EQ(w.advertised_share(), 0.1);
+  EXPECT_FALSE(w.timeline().in_service);
   EXPECT_EQ(w.recoveries(), 1u);
   w.pass(30s, 2);
-  EXPECT_EQ(w.phase(), Phase::full);
+  EXPECT_EQ(w.phase(), Phase::in_service);
   w.up(false);  // a link that came again to a kernel that went on
-  EXPECT_EQ(w.phase(), Phase::full);
+  EXPECT_EQ(w.phase(), Phase::in_service);
 }
 
 // A process that stood still for long takes its own memory for old, and asks again.
@@ -201,15 +203,15 @@
   w.pass(30s, 2);
   w.now += 4s;
   w.tick(w.now);
-  EXPECT_EQ(w.phase(), Phase::full);
+  EXPECT_EQ(w.phase(), Phase::in_service);
   w.now += 20s;
   w.tick(w.now);
-  EXPECT_EQ(w.phase(), Phase::learning);
-  EXPECT_EQ(w.offered(), 0.5);
-  EXPECT_TRUE(w.wait_bound());
-  w.learned(1, w.now);
+  EXPECT_EQ(w.phase(), Phase::transferring_state);
+  EXPECT_EQ(w.advertised_share(), 0.5);
+  EXPECT_TRUE(w.max_wait_factor());
+  w.on_state_transferred(1, w.now);
   w.pass(30s, 2);
-  EXPECT_EQ(w.phase(), Phase::full);
+  EXPECT_EQ(w.phase(), Phase::in_service);
   Way slow;  // a kernel that takes long to start is no pause
   slow.now += 60s;
   slow.up();
@@ -222,17 +224,17 @@
   Way w;
   w.up();
   w.pass(30s, 2);
-  ASSERT_FALSE(w.wait_bound());
-  w.fleet(fleet_status_of(seen(8, 2)), w.now);  // 0.2
-  EXPECT_TRUE(w.guarding());
-  EXPECT_TRUE(w.wait_bound());
-  EXPECT_EQ(w.phase(), Phase::full);
-  EXPECT_EQ(w.offered(), 1);
+  ASSERT_FALSE(w.max_wait_factor());
+  w.on_fleet_status(fleet_status_of(seen(8, 2)), w.now);  // 0.2
+  EXPECT_TRUE(w.overload_guard_active());
+  EXPECT_TRUE(w.max_wait_factor());
+  EXPECT_EQ(w.phase(), Phase::in_service);
+  EXPECT_EQ(w.advertised_share(), 1);
   w.pass(10s, 2, 0, 1);
-  EXPECT_TRUE(w.wait_bound());  // callers still press
-  w.fleet(fleet_status_of(seen(10, 0)), w.now);
+  EXPECT_TRUE(w.max_wait_factor());  // callers still press
+  w.on_fleet_status(fleet_status_of(seen(10, 0)), w.now);
   w.pass(5s, 2);
-  EXPECT_FALSE(w.wait_bound());
+  EXPECT_FALSE(w.max_wait_factor());
 }
 
 // The fixed point is the same without a restart, and so is the way out.
@@ -241,44 +243,44 @@
   w.up();
   w.pass(30s, 2);
   w.pass(1s, 2, 0, 1);
-  EXPECT_FALSE(w.wait_bound());  // a spike is none of its business
+  EXPECT_FALSE(w.max_wait_factor());  // a spike is none of its business
   w.pass(2s, 2, 0, 1);
-  EXPECT_TRUE(w.guarding());
+  EXPECT_TRUE(w.overload_guard_active());
   w.pass(3500ms, 2);
-  EXPECT_FALSE(w.wait_bound());
+  EXPECT_FALSE(w.max_wait_factor());
 }
 
 TEST(RecoveryController, TellsOneFromAWaveFromMost) {
   const auto kind = [](std::size_t able, std::size_t returning, std::size_t gone) {
     Way w;
-    w.fleet(fleet_status_of(seen(able, returning, gone)), w.now);
-    return w.kind();
+    w.on_fleet_status(fleet_status_of(seen(able, returning, gone)), w.now);
+    return w.restart_scope();
   };
-  EXPECT_EQ(kind(10, 1, 0), Kind::alone);
-  EXPECT_EQ(kind(7, 2, 1), Kind::wave);
-  EXPECT_EQ(kind(3, 4, 3), Kind::most);
+  EXPECT_EQ(kind(10, 1, 0), RestartScope::single);
+  EXPECT_EQ(kind(7, 2, 1), RestartScope::partial);
+  EXPECT_EQ(kind(3, 4, 3), RestartScope::majority);
   Way w;
-  w.expected(20, w.now);  // a snapshot knew of others, and nobody is seen
-  EXPECT_EQ(w.kind(), Kind::most);
+  w.on_last_known_members(20, w.now);  // a snapshot knew of others, and nobody is seen
+  EXPECT_EQ(w.restart_scope(), RestartScope::majority);
 }
 
 // A wrong first guess is corrected, once, and not by a view that comes and goes.
 TEST(RecoveryController, AWrongFirstGuessIsCorrectedWithoutOscillation) {
   Way w;
-  w.expected(20, w.now);
+  w.on_last_known_members(20, w.now);
   w.up();
-  w.fleet(fleet_status_of(seen(19, 1)), w.now);
-  EXPECT_EQ(w.kind(), Kind::most);  // not yet sure
-  for (int k = 0; k < 20; ++k) {    // to and fro
+  w.on_fleet_status(fleet_status_of(seen(19, 1)), w.now);
+  EXPECT_EQ(w.restart_scope(), RestartScope::majority);  // not yet sure
+  for (int k = 0; k < 20; ++k) {                         // to and fro
     w.pass(300ms, 0, 1, 1);
-    w.fleet(fleet_status_of(k % 2 ? seen(19, 1) : seen(8, 11)), w.now);
-    EXPECT_EQ(w.kind(), Kind::most);
+    w.on_fleet_status(fleet_status_of(k % 2 ? seen(19, 1) : seen(8, 11)), w.now);
+    EXPECT_EQ(w.restart_scope(), RestartScope::majority);
   }
-  w.fleet(fleet_status_of(seen(19, 1)), w.now);
+  w.on_fleet_status(fleet_status_of(seen(19, 1)), w.now);
   w.pass(4s, 0, 1, 1);
-  EXPECT_EQ(w.kind(), Kind::alone);
-  w.fleet(fleet_status_of(seen(4, 16)), w.now);  // worse is believed at once
-  EXPECT_EQ(w.kind(), Kind::most);
+  EXPECT_EQ(w.restart_scope(), RestartScope::single);
+  w.on_fleet_status(fleet_status_of(seen(4, 16)), w.now);  // worse is believed at once
+  EXPECT_EQ(w.restart_scope(), RestartScope::majority);
 }
 
 // Over random restarts, pauses, faults and callers: never more offered than proven times the declared factor,
@@ -298,22 +300,22 @@
           w.up(random() % 2);
           break;
         case 2:
-          w.fleet(fleet_status_of(seen(random() % 10, random() % 10, random() % 4)), w.now);
+          w.on_fleet_status(fleet_status_of(seen(random() % 10, random() % 10, random() % 4)), w.now);
           break;
         case 3:
-          w.learned(random() % 4, w.now);
+          w.on_state_transferred(random() % 4, w.now);
           break;
         default:
           w.pass(std::chrono::milliseconds(random() % 3000), int(random() % 4), int(random() % 4),
                  int(random() % 3));
       }
-      EXPECT_GE(w.offered(), w.rules.first);
-      EXPECT_LE(w.offered(), 1);
+      EXPECT_GE(w.advertised_share(), w.rules.initial_share);
+      EXPECT_LE(w.advertised_share(), 1);
     }
-    w.fleet(fleet_status_of(seen(10, 0)), w.now);
+    w.on_fleet_status(fleet_status_of(seen(10, 0)), w.now);
     w.pass(40s, 2);
-    EXPECT_EQ(w.phase(), Phase::full) << seed;
-    EXPECT_FALSE(w.wait_bound()) << seed;
+    EXPECT_EQ(w.phase(), Phase::in_service) << seed;
+    EXPECT_FALSE(w.max_wait_factor()) << seed;
   }
 }
 
@@ -322,66 +324,66 @@
 TEST(RecoveryController, AFleetComesBackThatWouldStayDownWithoutIt) {
   fleet::RecoverySimulationOptions o;
   o.servers = 12;
-  o.after = 50s;
+  o.observed_period = 50s;
   for (o.seed = 1; o.seed <= 2; ++o.seed) {
-    o.guided = true;
+    o.with_recovery = true;
     const auto guided = fleet::simulate_recovery(o);
     EXPECT_GE(guided.full_service_s, 0);
-    EXPECT_EQ(guided.still_on_the_way, 0u);
-    EXPECT_LE(guided.max_over_proven, o.rules.growth + 1e-9);
-    o.guided = false;
+    EXPECT_EQ(guided.not_in_service_at_end, 0u);
+    EXPECT_LE(guided.max_advertised_over_verified, o.recovery.growth_factor + 1e-9);
+    o.with_recovery = false;
     const auto plain = fleet::simulate_recovery(o);
     EXPECT_LT(plain.full_service_s, 0);
-    EXPECT_LT(guided.lost, plain.lost / 2);
+    EXPECT_LT(guided.lost_s, plain.lost_s / 2);
   }
 }
 
 // ---- Whom to ask ----
 
 TransferResponse answer_to(const TransferRequest& q, WarmState what = {}) {
-  return {q.nonce, q.name, q.boot_id, true, true, 0s, std::move(what)};
+  return {q.nonce, q.donor, q.boot_id, true, true, 0s, std::move(what)};
 }
 
 TEST(DonorSelection, AsksZoneNeighboursAndTheLongestLivedFirst) {
   View v;
   for (int k = 0; k < 6; ++k) {
-    auto p = peer("p" + std::to_string(k), Phase::full, k < 2 ? "mine" : "other");
+    auto p = peer("p" + std::to_string(k), Phase::in_service, k < 2 ? "mine" : "other");
     p.metadata.generation = std::uint64_t(10 - k) * 1'000'000;
     v.peers.push_back(p);
   }
-  v.peers.push_back(peer("new", Phase::ramping, "mine"));
-  auto without = peer("silent", Phase::full, "mine");
+  v.peers.push_back(peer("new", Phase::slow_start, "mine"));
+  auto without = peer("silent", Phase::in_service, "mine");
   without.metadata.recovery_status.donor_port = 0;
   v.peers.push_back(without);
   DonorSelection l({}, "mine", 1);
-  EXPECT_TRUE(l.ask(kStart).empty());  // not begun
+  EXPECT_TRUE(l.next_requests(kStart).empty());  // not begun
   l.begin(kStart);
-  EXPECT_FALSE(l.over(kStart));  // no view yet
-  l.view(v, kStart);
-  const auto q = l.ask(kStart);
+  EXPECT_FALSE(l.finished(kStart));  // no view yet
+  l.on_view(v, kStart);
+  const auto q = l.next_requests(kStart);
   ASSERT_EQ(q.size(), 3u);
-  EXPECT_EQ(q[0].name, "p1");
-  EXPECT_EQ(q[1].name, "p0");
-  EXPECT_EQ(q[2].name, "p5");
-  EXPECT_EQ(q[0].at.port, 9000);
-  EXPECT_TRUE(l.ask(kStart).empty());
+  EXPECT_EQ(q[0].donor, "p1");
+  EXPECT_EQ(q[1].donor, "p0");
+  EXPECT_EQ(q[2].donor, "p5");
+  EXPECT_EQ(q[0].address.port, 9000);
+  EXPECT_TRUE(l.next_requests(kStart).empty());
 }
 
 // One that dies, one that dawdles, one that knows nothing: each gives its place to the next.
 TEST(DonorSelection, WhoFailsGivesItsPlaceToTheNext) {
   DonorSelection l({}, "a", 1);
   l.begin(kStart);
-  l.view(seen(8, 0), kStart);
-  auto q = l.ask(kStart);
+  l.on_view(seen(8, 0), kStart);
+  auto q = l.next_requests(kStart);
   ASSERT_EQ(q.size(), 3u);
-  l.failed(q[0].nonce, kStart);
-  EXPECT_EQ(l.ask(kStart).size(), 1u);
+  l.on_failure(q[0].nonce);
+  EXPECT_EQ(l.next_requests(kStart).size(), 1u);
   auto blank = answer_to(q[1]);
   blank.in_service = false;
-  EXPECT_EQ(l.answered(blank, kStart), DonorSelection::Verdict::knows_nothing);
-  EXPECT_EQ(l.ask(kStart).size(), 1u);
-  EXPECT_EQ(l.ask(kStart + 301ms).size(), 3u);  // the rest dawdled
-  EXPECT_EQ(l.sources(), 0u);
+  EXPECT_EQ(l.on_response(blank, kStart), DonorSelection::Verdict::not_in_service);
+  EXPECT_EQ(l.next_requests(kStart).size(), 1u);
+  EXPECT_EQ(l.next_requests(kStart + 301ms).size(), 3u);  // the rest dawdled
+  EXPECT_EQ(l.donor_count(), 0u);
 }
 
 // A donor that was paused in the middle and goes on sending later, and an earlier life of one, change
@@ -389,36 +391,37 @@
 TEST(DonorSelection, LateAndForeignAnswersChangeNothing) {
   DonorSelection l({}, "a", 1);
   l.begin(kStart);
-  l.view(seen(5, 0), kStart);
-  const auto q = l.ask(kStart);
-  EXPECT_EQ(l.answered(answer_to(q[0]), kStart + 400ms), DonorSelection::Verdict::late);
+  l.on_view(seen(5, 0), kStart);
+  const auto q = l.next_requests(kStart);
+  EXPECT_EQ(l.on_response(answer_to(q[0]), kStart + 400ms), DonorSelection::Verdict::late);
   l.begin(kStart + 1s);
-  l.view(seen(5, 0), kStart + 1s);
-  EXPECT_EQ(l.answered(answer_to(q[1]), kStart + 1s), DonorSelection::Verdict::late);  // of the time before
-  const auto again = l.ask(kStart + 1s);
+  l.on_view(seen(5, 0), kStart + 1s);
+  EXPECT_EQ(l.on_response(answer_to(q[1]), kStart + 1s),
+            DonorSelection::Verdict::late);  // of the time before
+  const auto again = l.next_requests(kStart + 1s);
   auto other_boot_id = answer_to(again[0]);
   other_boot_id.boot_id = membership::BootId(7);
-  EXPECT_EQ(l.answered(other_boot_id, kStart + 1s), DonorSelection::Verdict::foreign);
-  EXPECT_EQ(l.answered(answer_to(again[1]), kStart + 1s), DonorSelection::Verdict::taken);
-  EXPECT_EQ(l.answered(answer_to(again[1]), kStart + 1s), DonorSelection::Verdict::late);  // once
-  EXPECT_EQ(l.sources(), 1u);
+  EXPECT_EQ(l.on_response(other_boot_id, kStart + 1s), DonorSelection::Verdict::wrong_donor);
+  EXPECT_EQ(l.on_response(answer_to(again[1]), kStart + 1s), DonorSelection::Verdict::accepted);
+  EXPECT_EQ(l.on_response(answer_to(again[1]), kStart + 1s), DonorSelection::Verdict::late);  // once
+  EXPECT_EQ(l.donor_count(), 1u);
 }
 
 // After a restart of all nobody waits for those who know nothing either.
 TEST(DonorSelection, IsOverAtOnceWhereNobodyIsInService) {
   DonorSelection l({}, "a", 1);
   l.begin(kStart);
-  EXPECT_FALSE(l.over(kStart + 100ms));  // alone as yet: others may be found
+  EXPECT_FALSE(l.finished(kStart + 100ms));  // alone as yet: others may be found
   auto strangers = seen(0, 7);
   for (auto& p : strangers.peers) p.metadata.version = 0;
-  l.view(strangers, kStart + 100ms);
-  EXPECT_FALSE(l.over(kStart + 500ms));  // met, and they have not said anything yet
-  l.view(seen(0, 7), kStart + 100ms);
-  EXPECT_FALSE(l.over(kStart + 250ms));  // more may be met
-  EXPECT_TRUE(l.over(kStart + 300ms));
+  l.on_view(strangers, kStart + 100ms);
+  EXPECT_FALSE(l.finished(kStart + 500ms));  // met, and they have not said anything yet
+  l.on_view(seen(0, 7), kStart + 100ms);
+  EXPECT_FALSE(l.finished(kStart + 250ms));  // more may be met
+  EXPECT_TRUE(l.finished(kStart + 300ms));
   DonorSelection alone({}, "a", 1);
   alone.begin(kStart);
-  EXPECT_TRUE(alone.over(kStart + 800ms));
+  EXPECT_TRUE(alone.finished(kStart + 800ms));
 }
 
 // A view of minutes, or in doubt, lends its endpoints but not its members.
@@ -429,10 +432,10 @@
   for (const bool old : {true, false}) {
     DonorSelection l({}, "a", 1);
     l.begin(kStart);
-    l.view(seen(1, 0), kStart);
-    auto o = answer_to(l.ask(kStart).at(0), what);
-    (old ? o.view_age : o.what.endpoints[0].heard_ago) = old ? Duration(3min) : Duration(0s);
-    l.answered(o, kStart);
+    l.on_view(seen(1, 0), kStart);
+    auto o = answer_to(l.next_requests(kStart).at(0), what);
+    (old ? o.view_age : o.state.endpoints[0].latency_age) = old ? Duration(3min) : Duration(0s);
+    l.on_response(o, kStart);
     EXPECT_EQ(l.result().members.size(), old ? 0u : 1u);
     EXPECT_EQ(l.result().endpoints.size(), 1u);
   }
@@ -447,18 +450,18 @@
 }
 
 TEST(Merged, OneThatDiffersWildlyMovesNothing) {
-  const auto m = warm_state::merged({says(0s, 10ms), says(0s, 12ms), says(0s, 30s)});
+  const auto m = warm_state::merge({says(0s, 10ms), says(0s, 12ms), says(0s, 30s)});
   EXPECT_EQ(m.endpoints.at(0).latency, 12ms);
-  EXPECT_EQ(warm_state::merged({says(30s, 10ms), says(0s, 10ms), says(0s, 10ms)}).endpoints.at(0).out_for,
+  EXPECT_EQ(warm_state::merge({says(30s, 10ms), says(0s, 10ms), says(0s, 10ms)}).endpoints.at(0).ejected_for,
             0s);
-  EXPECT_EQ(warm_state::merged({says(30s, 10ms), says(2s, 10ms), says(0s, 10ms)}).endpoints.at(0).out_for,
+  EXPECT_EQ(warm_state::merge({says(30s, 10ms), says(2s, 10ms), says(0s, 10ms)}).endpoints.at(0).ejected_for,
             2s);
-  EXPECT_TRUE(warm_state::merged({}).endpoints.empty());
+  EXPECT_TRUE(warm_state::merge({}).endpoints.empty());
 }
 
 TEST(Merged, WhatWasHeardLongAgoWeighsLess) {
-  EXPECT_EQ(warm_state::merged({says(0s, 10ms, 50s), says(0s, 80ms, 0s)}).endpoints.at(0).latency, 80ms);
-  EXPECT_EQ(warm_state::merged({says(5s, 0ms), says(0s, 10ms, 50s)}).endpoints.at(0).out_for, 5s);
+  EXPECT_EQ(warm_state::merge({says(0s, 10ms, 50s), says(0s, 80ms, 0s)}).endpoints.at(0).latency, 80ms);
+  EXPECT_EQ(warm_state::merge({says(5s, 0ms), says(0s, 10ms, 50s)}).endpoints.at(0).ejected_for, 5s);
 }
 
 TEST(Merged, OfKeptAnswersTheYoungestAndThoseOfSeveralFirst) {
@@ -467,42 +470,43 @@
                                       std::make_shared<const std::string>(std::move(body)), age};
   };
   WarmState a, b;
-  a.parts = {kept("/only", "x", 1s), kept("/both", "old", 9s)};
-  b.parts = {kept("/both", "new", 2s)};
-  const auto m = warm_state::merged({a, b});
-  ASSERT_EQ(m.parts.size(), 2u);
-  EXPECT_EQ(m.parts[0], kept("/both", "new", 2s));
-  EXPECT_EQ(m.parts[1].path, "/only");
-  EXPECT_EQ(warm_state::aged(m, 5s).parts[0].age, 7s);
-  EXPECT_TRUE(warm_state::aged(m, std::nullopt).parts.empty());
+  a.cached_responses = {kept("/only", "x", 1s), kept("/both", "old", 9s)};
+  b.cached_responses = {kept("/both", "new", 2s)};
+  const auto m = warm_state::merge({a, b});
+  ASSERT_EQ(m.cached_responses.size(), 2u);
+  EXPECT_EQ(m.cached_responses[0], kept("/both", "new", 2s));
+  EXPECT_EQ(m.cached_responses[1].path, "/only");
+  EXPECT_EQ(warm_state::age_by(m, 5s).cached_responses[0].age, 7s);
+  EXPECT_TRUE(warm_state::age_by(m, std::nullopt).cached_responses.empty());
 }
 
 // The time that an answer was on its way counts as age.
 TEST(DonorSelection, AnAnswerThatTookLongIsSoMuchOlder) {
   DonorSelection l({}, "a", 1);
   l.begin(kStart);
-  l.view(seen(1, 0), kStart);
+  l.on_view(seen(1, 0), kStart);
   WarmState what;
-  what.parts = {{"e", "/p", std::make_shared<const std::string>("v"), 1s}};
-  EXPECT_EQ(l.answered(answer_to(l.ask(kStart).at(0), what), kStart + 250ms), DonorSelection::Verdict::taken);
-  EXPECT_EQ(l.result().parts.at(0).age, 1250ms);
+  what.cached_responses = {{"e", "/p", std::make_shared<const std::string>("v"), 1s}};
+  EXPECT_EQ(l.on_response(answer_to(l.next_requests(kStart).at(0), what), kStart + 250ms),
+            DonorSelection::Verdict::accepted);
+  EXPECT_EQ(l.result().cached_responses.at(0).age, 1250ms);
 }
 
 // ---- The bytes ----
 
 TEST(LearningCodec, ReadsWhatItWroteAndNothingElse) {
   TransferResponse o{77, "n1", membership::BootId(5), true, true, 1500ms, says(5s, 9ms, 3s)};
-  o.what.members = {membership::Address{{127, 0, 0, 1}, 5, false}};
+  o.state.members = {membership::Address{{127, 0, 0, 1}, 5, false}};
   const auto bytes = state_transfer::encode(o);
   const auto back = state_transfer::decode_offer(bytes);
   ASSERT_TRUE(std::holds_alternative<TransferResponse>(back));
   const auto& read = std::get<TransferResponse>(back);
   EXPECT_EQ(read.nonce, o.nonce);
-  EXPECT_EQ(read.by, o.by);
+  EXPECT_EQ(read.donor, o.donor);
   EXPECT_EQ(read.boot_id, o.boot_id);
   EXPECT_EQ(read.view_age, o.view_age);
-  EXPECT_EQ(read.what.endpoints, o.what.endpoints);
-  EXPECT_EQ(read.what.members, o.what.members);
+  EXPECT_EQ(read.state.endpoints, o.state.endpoints);
+  EXPECT_EQ(read.state.members, o.state.members);
   for (std::size_t k = 0; k < bytes.size(); ++k) {
     EXPECT_TRUE(std::holds_alternative<snapshot::Fault>(state_transfer::decode_offer(bytes.substr(0, k))));
     auto bad = bytes;
--- a/tests/restart_quarantine_test.cpp
+++ b/tests/restart_quarantine_test.cpp
@@ -25,58 +25,61 @@
 
 TEST(RestartQuarantine, WithoutAnyWordTheWholeWindowFromTheStartIsInDoubt) {
   const auto m = fresh();
-  EXPECT_TRUE(m.in_doubt(kReport, kStart));
-  EXPECT_TRUE(m.in_doubt(kReport, kStart + 11s - 1us));
-  EXPECT_FALSE(m.in_doubt(kReport, kStart + 11s));
-  EXPECT_FALSE(m.in_doubt(kTile, kStart));
-  EXPECT_FALSE(m.in_doubt(ClassId(7), kStart));
+  EXPECT_TRUE(m.is_quarantined(kReport, kStart));
+  EXPECT_TRUE(m.is_quarantined(kReport, kStart + 11s - 1us));
+  EXPECT_FALSE(m.is_quarantined(kReport, kStart + 11s));
+  EXPECT_FALSE(m.is_quarantined(kTile, kStart));
+  EXPECT_FALSE(m.is_quarantined(ClassId(7), kStart));
 }
 
 // What reached the machine while it was in doubt stays so, however late it is read.
-TEST(RestartQuarantine, ByWhenItReachedTheMachine) { EXPECT_TRUE(fresh().in_doubt(kReport, kStart - 5s)); }
+TEST(RestartQuarantine, ByWhenItReachedTheMachine) {
+  EXPECT_TRUE(fresh().is_quarantined(kReport, kStart - 5s));
+}
 
 TEST(RestartQuarantine, AnOrderlyEndShortensTheWaitAndNothingElseDoes) {
   auto m = fresh();
-  m.learn({4s, false, {}}, kStart + 100ms);
-  EXPECT_EQ(m.until(kReport), kStart + 100ms - 4s + 11s);
-  m.learn({}, kStart + 200ms);  // a second word without one takes nothing back
-  EXPECT_EQ(m.until(kReport), kStart + 100ms - 4s + 11s);
+  m.on_previous_incarnation({4s, false, {}}, kStart + 100ms);
+  EXPECT_EQ(m.quarantined_until(kReport), kStart + 100ms - 4s + 11s);
+  m.on_previous_incarnation({}, kStart + 200ms);  // a second word without one takes nothing back
+  EXPECT_EQ(m.quarantined_until(kReport), kStart + 100ms - 4s + 11s);
   auto ahead = fresh();
-  ahead.learn({-1h, false, {}}, kStart);  // an end in the future
-  EXPECT_EQ(ahead.until(kReport), kStart + 11s);
+  ahead.on_previous_incarnation({-1h, false, {}}, kStart);  // an end in the future
+  EXPECT_EQ(ahead.quarantined_until(kReport), kStart + 11s);
 }
 
 TEST(RestartQuarantine, AnEndThatStaysHoldsEverythingUntilItIsGone) {
   auto m = fresh();
-  m.learn({std::nullopt, true, {}}, kStart);
-  EXPECT_TRUE(m.in_doubt(kReport, kStart + 24h));
-  EXPECT_FALSE(m.in_doubt(kTile, kStart));
-  m.learn({}, kStart + 1h);
-  EXPECT_FALSE(m.in_doubt(kReport, kStart + 1h));
+  m.on_previous_incarnation({std::nullopt, true, {}}, kStart);
+  EXPECT_TRUE(m.is_quarantined(kReport, kStart + 24h));
+  EXPECT_FALSE(m.is_quarantined(kTile, kStart));
+  m.on_previous_incarnation({}, kStart + 1h);
+  EXPECT_FALSE(m.is_quarantined(kReport, kStart + 1h));
 }
 
 TEST(RestartQuarantine, AnotherUnderTheNameIsWaitedOutAnew) {
   auto m = fresh();
-  m.another_lives(true, kStart + 1h);
-  EXPECT_TRUE(m.in_doubt(kReport, kStart + 2h));
-  m.another_lives(false, kStart + 3h);
-  EXPECT_TRUE(m.in_doubt(kReport, kStart + 3h + 10s));
-  EXPECT_FALSE(m.in_doubt(kReport, kStart + 3h + 11s));
-  m.another_lives(false, kStart + 4h);  // nothing new
-  EXPECT_FALSE(m.in_doubt(kReport, kStart + 4h));
+  m.on_name_conflict(true, kStart + 1h);
+  EXPECT_TRUE(m.is_quarantined(kReport, kStart + 2h));
+  m.on_name_conflict(false, kStart + 3h);
+  EXPECT_TRUE(m.is_quarantined(kReport, kStart + 3h + 10s));
+  EXPECT_FALSE(m.is_quarantined(kReport, kStart + 3h + 11s));
+  m.on_name_conflict(false, kStart + 4h);  // nothing new
+  EXPECT_FALSE(m.is_quarantined(kReport, kStart + 4h));
 }
 
 TEST(RestartQuarantine, AClockSetBackNeverShortensAndAWrongOneDoesNotHoldForEver) {
   auto m = fresh();
-  m.learn({std::nullopt, false, 60s}, kStart);
-  EXPECT_EQ(m.until(kReport), kStart + 71s);
-  m.learn({std::nullopt, false, 10s}, kStart);
-  EXPECT_EQ(m.until(kReport), kStart + 71s);
-  m.learn({std::nullopt, false, 24h * 365}, kStart);
-  EXPECT_EQ(m.until(kReport), kStart + 1h + 11s);
+  m.on_previous_incarnation({std::nullopt, false, 60s}, kStart);
+  EXPECT_EQ(m.quarantined_until(kReport), kStart + 71s);
+  m.on_previous_incarnation({std::nullopt, false, 10s}, kStart);
+  EXPECT_EQ(m.quarantined_until(kReport), kStart + 71s);
+  m.on_previous_incarnation({std::nullopt, false, 24h * 365}, kStart);
+  EXPECT_EQ(m.quarantined_until(kReport), kStart + 1h + 11s);
   auto other = fresh();
-  other.learn({std::nullopt, false, -60s}, kStart);  // the clock ran ahead: nothing to be made up for
-  EXPECT_EQ(other.until(kReport), kStart + 11s);
+  other.on_previous_incarnation({std::nullopt, false, -60s},
+                                kStart);  // the clock ran ahead: nothing to be made up for
+  EXPECT_EQ(other.quarantined_until(kReport), kStart + 11s);
 }
 
 // ---- The file ----
@@ -127,15 +130,15 @@
 }
 
 TEST(LifeFile, OnlyOneBootsClockTellsHowLongAgo) {
-  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'700'000'004'000'000}).ended_in_order, 4s);
-  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'700'000'004'000'000}).clock_behind, 0s);
-  EXPECT_FALSE(previous_incarnation(kEnded, {"boot-2", 5004s, 1'700'000'004'000'000}).ended_in_order);
-  EXPECT_FALSE(previous_incarnation(kEnded, {"", 5004s, 1'700'000'004'000'000}).ended_in_order);
-  EXPECT_FALSE(previous_incarnation(kEnded, {"boot-1", 4000s, 1'700'000'004'000'000}).ended_in_order);
+  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'700'000'004'000'000}).clean_shutdown_age, 4s);
+  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'700'000'004'000'000}).clock_setback, 0s);
+  EXPECT_FALSE(previous_incarnation(kEnded, {"boot-2", 5004s, 1'700'000'004'000'000}).clean_shutdown_age);
+  EXPECT_FALSE(previous_incarnation(kEnded, {"", 5004s, 1'700'000'004'000'000}).clean_shutdown_age);
+  EXPECT_FALSE(previous_incarnation(kEnded, {"boot-1", 4000s, 1'700'000'004'000'000}).clean_shutdown_age);
   // The Unix clock a day ahead does not make the end older, and one set back is seen by as much.
-  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'700'086'404'000'000}).ended_in_order, 4s);
-  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'699'999'944'000'000}).clock_behind, 60s);
-  EXPECT_EQ(previous_incarnation(kEnded, {"boot-2", 4s, 1'699'999'944'000'000}).clock_behind, 56s);
+  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'700'086'404'000'000}).clean_shutdown_age, 4s);
+  EXPECT_EQ(previous_incarnation(kEnded, {"boot-1", 5004s, 1'699'999'944'000'000}).clock_setback, 60s);
+  EXPECT_EQ(previous_incarnation(kEnded, {"boot-2", 4s, 1'699'999'944'000'000}).clock_setback, 56s);
 }
 
 TEST(LifeFile, WhatCanNotBeWrittenOrTakenSaysSo) {
@@ -165,7 +168,7 @@
 
 warm_state::WarmState some() {
   warm_state::WarmState what;
-  what.by = "n1";
+  what.process_name = "n1";
   what.boot_id = 7;
   what.endpoints = {{"e.example.org", "127.0.0.1", 9001, 5s, 2, 80ms, 1s},
                     {"e.example.org", "127.0.0.1", 9002, 0s, 0, 3ms, 1s}};
@@ -173,7 +176,8 @@
   a.ip = {127, 0, 0, 1};
   a.port = 9101;
   what.members = {a};
-  what.parts = {{"e.example.org", "/e?r=1", std::make_shared<const std::string>("up and down"), 3s}};
+  what.cached_responses = {
+      {"e.example.org", "/e?r=1", std::make_shared<const std::string>("up and down"), 3s}};
   return what;
 }
 
@@ -217,8 +221,8 @@
     a.v6 = true;
     a.port = std::uint16_t(1 + n);
     what.members.push_back(a);
-    what.parts.push_back({std::string(253, 'd'), std::string(1 + n % 1100, 'p'),
-                          std::make_shared<const std::string>(n * 37 % 20000, 'b'), 1s});
+    what.cached_responses.push_back({std::string(253, 'd'), std::string(1 + n % 1100, 'p'),
+                                     std::make_shared<const std::string>(n * 37 % 20000, 'b'), 1s});
   }
   const auto made = snapshot_of(std::string(36, 'b'), 5s, 77, what);
   const auto bytes = encode(made);
@@ -257,15 +261,15 @@
 }
 
 TEST(WarmState, FadesByKindAndAnUnknownAgeIsTooOld) {
-  const auto soon = warm_state::aged(some(), 2s);
-  EXPECT_EQ(soon.endpoints[0].out_for, 3s);
-  EXPECT_EQ(soon.endpoints[0].heard_ago, 3s);
-  EXPECT_EQ(warm_state::aged(some(), 10s).endpoints[0].out_for, 0s);
-  EXPECT_TRUE(warm_state::aged(some(), 1h).endpoints.empty());
-  EXPECT_EQ(warm_state::aged(some(), 1h).members.size(), 1u);
-  EXPECT_TRUE(warm_state::aged(some(), 25h).members.empty());
-  EXPECT_TRUE(warm_state::aged(some(), std::nullopt).endpoints.empty());
-  EXPECT_EQ(warm_state::aged(some(), std::nullopt).members.size(), 1u);
+  const auto soon = warm_state::age_by(some(), 2s);
+  EXPECT_EQ(soon.endpoints[0].ejected_for, 3s);
+  EXPECT_EQ(soon.endpoints[0].latency_age, 3s);
+  EXPECT_EQ(warm_state::age_by(some(), 10s).endpoints[0].ejected_for, 0s);
+  EXPECT_TRUE(warm_state::age_by(some(), 1h).endpoints.empty());
+  EXPECT_EQ(warm_state::age_by(some(), 1h).members.size(), 1u);
+  EXPECT_TRUE(warm_state::age_by(some(), 25h).members.empty());
+  EXPECT_TRUE(warm_state::age_by(some(), std::nullopt).endpoints.empty());
+  EXPECT_EQ(warm_state::age_by(some(), std::nullopt).members.size(), 1u);
 }
 
 // ---- Endpoints that an earlier life knew ----
--- a/tools/fleet/recovery_simulation.cpp
+++ b/tools/fleet/recovery_simulation.cpp
@@ -66,12 +66,12 @@
   }
 
   RecoverySimulationResult run() {
-    const auto hit = kBegin + o_.before, end = hit + o_.after;
-    f_.served.resize(std::size_t(sec(o_.before + o_.after)) + 1);
-    f_.offered.resize(f_.served.size());
+    const auto hit = kBegin + o_.warm_period, end = hit + o_.observed_period;
+    f_.served.resize(std::size_t(sec(o_.warm_period + o_.observed_period)) + 1);
+    f_.advertised_share.resize(f_.served.size());
     bool struck = false;
     TimePoint next_arrival = kBegin;
-    const double rate = o_.load * double(o_.servers) / sec(o_.cost);
+    const double rate = o_.load * double(o_.servers) / sec(o_.run_cost);
     for (now_ = kBegin; now_ < end; now_ += kStep) {
       if (!struck && now_ >= hit) {
         struck = true;
@@ -136,33 +136,33 @@
     s.warm_from = now_;
     s.module.emplace(settings_of(o_, cold), random_(), now_);
     for (const auto& a : s.module->start()) carry_out(s, a);
-    if (!o_.guided) return;
-    s.recovery.emplace(o_.rules, now_);
-    s.recovery->kernel(cold, o_.warm_up, now_);
-    if (!cold) s.recovery->learned(0, now_);
+    if (!o_.with_recovery) return;
+    s.recovery.emplace(o_.recovery, now_);
+    s.recovery->on_kernel_ready(cold, o_.warm_up, now_);
+    if (!cold) s.recovery->on_state_transferred(0, now_);
   }
 
   void strike() {
     std::vector<std::size_t> order(servers_.size());
     for (std::size_t n = 0; n < order.size(); ++n) order[n] = n;
     std::shuffle(order.begin(), order.end(), random_);
-    order.resize(std::size_t(std::lround(o_.struck * double(order.size()))));
+    order.resize(std::size_t(std::lround(o_.restarted_share * double(order.size()))));
     for (const auto n : order) start(servers_[n], true);  // tries on it are lost: their patience runs out
   }
 
   // What each would see of the others.
   void look() {
-    if (!o_.guided) return;
+    if (!o_.with_recovery) return;
     std::size_t able = 0;
-    for (const auto& s : servers_) able += s.recovery->phase() == recovery::Phase::full;
+    for (const auto& s : servers_) able += s.recovery->phase() == recovery::Phase::in_service;
     for (auto& s : servers_) {
       recovery::FleetStatus f;
-      f.others = servers_.size() - 1;
-      f.able = able - (s.recovery->phase() == recovery::Phase::full);
-      f.returning = f.others ? double(f.others - f.able) / double(f.others) : 0;
-      f.sure = true;
-      s.recovery->fleet(f, now_);
-      if (f.able == 0) s.recovery->learned(0, now_);
+      f.peers = servers_.size() - 1;
+      f.peers_in_service = able - (s.recovery->phase() == recovery::Phase::in_service);
+      f.recovering_share = f.peers ? double(f.peers - f.peers_in_service) / double(f.peers) : 0;
+      f.certain = true;
+      s.recovery->on_fleet_status(f, now_);
+      if (f.peers_in_service == 0) s.recovery->on_state_transferred(0, now_);
     }
   }
 
@@ -174,15 +174,15 @@
       return;
     }
     ++w.tries;
-    ++f_.tries;
-    later_.push({std::min(now_ + o_.patience, w.due), want, w.tries, true});
+    ++f_.attempts;
+    later_.push({std::min(now_ + o_.attempt_timeout, w.due), want, w.tries, true});
     auto& s = servers_[random_() % servers_.size()];
     const RequestId id{s.next_id++};
-    s.open[id] = {want, w.tries, now_, sec(o_.cost), false, false};
+    s.open[id] = {want, w.tries, now_, sec(o_.run_cost), false, false};
     RequestArrived in;
     in.id = id;
     in.caller = CallerId(std::uint32_t(random_() % 16));
-    in.cost_hint = o_.cost;
+    in.cost_hint = o_.run_cost;
     in.memory = Kilobytes(24500);
     s.events.emplace_back(in);
   }
@@ -202,7 +202,7 @@
       s.running.push_back(run->id);
       ++f_.runs;
     } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-      if (s.recovery && refuse->keep_off.count() > 0) s.recovery->turned_away(now_);
+      if (s.recovery && refuse->keep_off.count() > 0) s.recovery->on_request_rejected(now_);
       give_up(s, refuse->id);
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
       give_up(s, fail->id);
@@ -247,8 +247,8 @@
     const auto& t = node.mapped();
     s.events.emplace_back(RunEnded{id, RunResult::ok, now_ - t.reached});
     auto& w = wants_[t.want];
-    const bool in_time = now_ - t.reached < o_.patience && !w.over && !t.answered;
-    if (s.recovery) s.recovery->ran(!t.answered && now_ - t.reached <= kAim, now_);
+    const bool in_time = now_ - t.reached < o_.attempt_timeout && !w.over && !t.answered;
+    if (s.recovery) s.recovery->on_run_finished(!t.answered && now_ - t.reached <= kAim, now_);
     if (!in_time) return;  // its caller has given this try up
     w.over = true;
     ++f_.answered;
@@ -268,12 +268,13 @@
     if (s.recovery && now_ - s.ticked >= kTickEvery) {
       s.ticked = now_;
       s.recovery->tick(now_);
-      s.recovery->take_news();
-      if (s.recovery->proven() > 0)
-        f_.max_over_proven = std::max(f_.max_over_proven, s.recovery->offered() / s.recovery->proven());
-      f_.offered[std::size_t(sec(now_ - kBegin))] +=
-          s.recovery->offered() * sec(kTickEvery) / double(servers_.size());
-      const BoundSet bound{s.recovery->wait_bound(), s.recovery->offered()};
+      s.recovery->take_events();
+      if (s.recovery->verified_share() > 0)
+        f_.max_advertised_over_verified = std::max(
+            f_.max_advertised_over_verified, s.recovery->advertised_share() / s.recovery->verified_share());
+      f_.advertised_share[std::size_t(sec(now_ - kBegin))] +=
+          s.recovery->advertised_share() * sec(kTickEvery) / double(servers_.size());
+      const BoundSet bound{s.recovery->max_wait_factor(), s.recovery->advertised_share()};
       if (bound.max_wait != s.bound.max_wait || bound.offered != s.bound.offered)
         s.events.emplace_back(s.bound = bound);
     }
@@ -284,16 +285,17 @@
   }
 
   RecoverySimulationResult figures() {
-    const auto hit = std::size_t(sec(o_.before)), last = f_.served.size() - 1;
-    for (std::size_t k = 2; k + 1 < hit; ++k) f_.before += f_.served[k] / double(hit - 3);
+    const auto hit = std::size_t(sec(o_.warm_period)), last = f_.served.size() - 1;
+    for (std::size_t k = 2; k + 1 < hit; ++k) f_.served_per_second_before += f_.served[k] / double(hit - 3);
     // Requests of the last seconds may still be on their way.
     const auto until = last - std::size_t(sec(kDeadline)) - 1;
-    for (std::size_t k = hit; k < until; ++k) f_.lost += std::max(0.0, 1 - f_.served[k] / f_.before);
+    for (std::size_t k = hit; k < until; ++k)
+      f_.lost_s += std::max(0.0, 1 - f_.served[k] / f_.served_per_second_before);
     for (std::size_t k = hit; k + 3 <= until && f_.full_service_s < 0; ++k)
-      if (f_.served[k] + f_.served[k + 1] + f_.served[k + 2] >= 3 * 0.95 * f_.before)
+      if (f_.served[k] + f_.served[k + 1] + f_.served[k + 2] >= 3 * 0.95 * f_.served_per_second_before)
         f_.full_service_s = double(k - hit);
     for (const auto& s : servers_)
-      f_.still_on_the_way += s.recovery && s.recovery->phase() != recovery::Phase::full;
+      f_.not_in_service_at_end += s.recovery && s.recovery->phase() != recovery::Phase::in_service;
     return std::move(f_);
   }
 
