--- a/src/recovery/donor_selection.cpp
+++ b/src/recovery/donor_selection.cpp
@@ -17,7 +17,7 @@
 
 bool is_donor(const Peer& peer) {
   const auto& status = peer.metadata.recovery_status;
-  return peer.present == Status::alive && status.phase == metadata_value_of(Phase::in_service) &&
+  return peer.status == Status::alive && status.phase == metadata_value_of(Phase::in_service) &&
          status.donor_port != 0;
 }
 
@@ -40,12 +40,12 @@
   candidates_.clear();
   std::size_t met = 0;
   for (const auto& peer : view.peers) {
-    met += peer.present == Status::alive && peer.metadata.version > 0;
+    met += peer.status == Status::alive && peer.metadata.version > 0;
     if (!is_donor(peer)) continue;
     auto address = peer.address;
     address.port = peer.metadata.recovery_status.donor_port;
     candidates_.push_back(
-        {peer.name, peer.metadata.zone, peer.boot_id, peer.metadata.generation, address, random_()});
+        {peer.name, peer.metadata.zone, peer.boot_id, peer.metadata.boot_incarnation, address, random_()});
   }
   const auto rank = [this](const Candidate& c) {
     return std::tuple(c.zone != zone_, c.generation / kGenerationsPerSecond, c.random_rank);
--- a/src/recovery/fleet_status.cpp
+++ b/src/recovery/fleet_status.cpp
@@ -21,7 +21,7 @@
 
 // A peer that advertises no recovery phase is judged by its stage.
 bool is_in_service(const Peer& peer) {
-  if (peer.present != Status::alive) return false;
+  if (peer.status != Status::alive) return false;
   const auto phase = peer.metadata.recovery_status.phase;
   if (phase > 0) return phase == metadata_value_of(Phase::in_service);
   return peer.metadata.stage != Stage::starting;
@@ -43,8 +43,8 @@
   std::size_t present = 0;
   std::size_t without_metadata = 0;
   for (const auto& peer : view.peers) {
-    if (peer.present == Status::left) continue;
-    const bool alive = peer.present == Status::alive;
+    if (peer.status == Status::left) continue;
+    const bool alive = peer.status == Status::alive;
     if (alive && !has_metadata(peer)) {
       ++without_metadata;
       continue;
@@ -57,10 +57,10 @@
     zone.recovering += !in_service;
   }
   // Members that were agreed on and are no longer listed are missing too.
-  const auto agreed_peers = std::max<std::size_t>(view.agreed, 1) - 1;
+  const auto agreed_peers = std::max<std::size_t>(view.fleet_size, 1) - 1;
   status.peers = std::max(agreed_peers - std::min(agreed_peers, without_metadata), present);
   status.certain =
-      view.majority && !view.uncertain && view.local_connectivity == membership::LocalConnectivity::ok;
+      view.has_quorum && !view.uncertain && view.local_connectivity == membership::LocalConnectivity::ok;
   if (status.peers == 0) return status;
   const auto peers = double(status.peers);
   status.missing_share = double(status.peers - present) / peers;
