--- a/bench/recovery_sim.cpp
+++ b/bench/recovery_sim.cpp
@@ -98,7 +98,7 @@
       const auto f = granitegap::fleet::simulate_recovery(o);
       stayed += f.full_service_s < 0;
       slowest = std::max(slowest, f.full_service_s);
-      lost += f.lost_s_s / double(seeds);
+      lost += f.lost_s / double(seeds);
       runs += double(f.runs);
       answered += double(f.answered);
       over = std::max(over, f.max_advertised_over_verified);
