--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -25,10 +25,10 @@
   to->set_dependency(endpoint.dependency);
   to->set_host(endpoint.host);
   to->set_port(endpoint.port);
-  to->set_out_for_us(endpoint.out_for.count());
-  to->set_times_out(endpoint.times_out);
+  to->set_out_for_us(endpoint.ejected_for.count());
+  to->set_times_out(endpoint.consecutive_ejections);
   to->set_latency_us(endpoint.latency.count());
-  to->set_heard_ago_us(endpoint.heard_ago.count());
+  to->set_heard_ago_us(endpoint.latency_age.count());
 }
 
 void add_member(wire::Snapshot& message, const membership::Address& member) {
@@ -60,7 +60,7 @@
   return message.by().size() <= kMaxTextBytes && message.boot().size() <= kMaxTextBytes &&
          message.since_boot_us() >= 0 && std::size_t(message.endpoints_size()) <= warm_state::kMaxEndpoints &&
          std::size_t(message.members_size()) <= warm_state::kMaxMembers &&
-         std::size_t(message.cached_responses_size()) <= warm_state::kMaxParts;
+         std::size_t(message.cached_responses_size()) <= warm_state::kMaxCachedResponses;
 }
 
 std::optional<warm_state::Endpoint> endpoint_of(const wire::Endpoint& from) {
@@ -92,7 +92,7 @@
   warm_state::CachedResponse response{from.dependency(), from.path(),
                                       std::make_shared<const std::string>(from.body()),
                                       Duration(from.age_us())};
-  if (response.dependency.size() > kMaxTextBytes || !warm_state::fits(response) ||
+  if (response.dependency.size() > kMaxTextBytes || !warm_state::is_within_limits(response) ||
       !is_plausible_span(from.age_us()))
     return std::nullopt;
   return response;
@@ -101,7 +101,7 @@
 // The state in a message; absent where any value is out of bounds.
 std::optional<warm_state::WarmState> state_of(const wire::Snapshot& message) {
   warm_state::WarmState state;
-  state.by = message.by();
+  state.process_name = message.by();
   state.boot_id = message.boot_id();
   for (const auto& from : message.endpoints()) {
     auto endpoint = endpoint_of(from);
@@ -117,9 +117,9 @@
   for (const auto& from : message.cached_responses()) {
     auto response = cached_response_of(from);
     if (!response) return std::nullopt;
-    total_bytes += warm_state::bytes_of(*response);
-    if (total_bytes > warm_state::kMaxPartBytes) return std::nullopt;
-    state.parts.push_back(*std::move(response));
+    total_bytes += warm_state::size_of(*response);
+    if (total_bytes > warm_state::kMaxCachedResponseBytes) return std::nullopt;
+    state.cached_responses.push_back(*std::move(response));
   }
   return state;
 }
@@ -128,16 +128,16 @@
 
 std::string encode(const Snapshot& snapshot) {
   auto state = snapshot.state;
-  warm_state::bound(state);
+  warm_state::enforce_limits(state);
   wire::Snapshot message;
-  message.set_by(state.by);
+  message.set_by(state.process_name);
   message.set_boot_id(state.boot_id);
   message.set_boot(snapshot.taken_at.kernel_boot_id);
   message.set_since_boot_us(snapshot.taken_at.since_boot.count());
   message.set_unix_us(snapshot.taken_at.unix_us);
   for (const auto& endpoint : state.endpoints) add_endpoint(message, endpoint);
   for (const auto& member : state.members) add_member(message, member);
-  for (const auto& response : state.parts) add_cached_response(message, response);
+  for (const auto& response : state.cached_responses) add_cached_response(message, response);
   shrink_to_limit(message);
   return wrap_with_checksum(kMagic, message.SerializeAsString());
 }
--- a/src/state_transfer/codec.cpp
+++ b/src/state_transfer/codec.cpp
@@ -57,15 +57,15 @@
 std::string encode(const recovery::TransferResponse& response) {
   wire::TransferResponse message;
   message.set_nonce(response.nonce);
-  message.set_by(response.by);
+  message.set_by(response.donor);
   message.set_boot_id(std::uint64_t(response.boot_id));
   message.set_in_service(response.in_service);
-  message.set_sure(response.sure);
+  message.set_sure(response.view_certain);
   message.set_view_age_ms(to_uint32_ms(response.view_age));
   if (response.in_service) {
     // Without a time stamp: the state is as of now, and its elements carry their ages.
     snapshot::Snapshot snapshot;
-    snapshot.state = response.what;
+    snapshot.state = response.state;
     message.set_warm_state(snapshot::encode(snapshot));
   }
   return snapshot::wrap_with_checksum(kResponseMagic, message.SerializeAsString());
@@ -78,15 +78,15 @@
   if (message.by().size() > kMaxNameBytes) return snapshot::format_error(StorageErrc::name_too_long);
   recovery::TransferResponse response;
   response.nonce = message.nonce();
-  response.by = message.by();
+  response.donor = message.by();
   response.boot_id = membership::BootId(message.boot_id());
   response.in_service = message.in_service();
-  response.sure = message.sure();
+  response.view_certain = message.sure();
   response.view_age = std::chrono::milliseconds(message.view_age_ms());
   if (!response.in_service) return response;
   auto decoded = snapshot::decode_snapshot(message.warm_state());
   if (const auto* error = std::get_if<StorageError>(&decoded)) return *error;
-  response.what = std::move(std::get<snapshot::Snapshot>(decoded).state);
+  response.state = std::move(std::get<snapshot::Snapshot>(decoded).state);
   return response;
 }
 
