--- a/src/snapshot/shutdown_record.cpp
+++ b/src/snapshot/shutdown_record.cpp
@@ -86,8 +86,8 @@
 recovery::PreviousIncarnation previous_incarnation(const ShutdownRecord& record, const ClockStamp& now) {
   recovery::PreviousIncarnation previous;
   if (same_boot(record.shutdown_at, now))
-    previous.ended_in_order = now.since_boot - record.shutdown_at.since_boot;
-  previous.clock_behind = clock_behind(record.shutdown_at, now);
+    previous.clean_shutdown_age = now.since_boot - record.shutdown_at.since_boot;
+  previous.clock_setback = clock_behind(record.shutdown_at, now);
   return previous;
 }
 
