--- a/include/granitegap/policy.h
+++ b/include/granitegap/policy.h
@@ -30,11 +30,14 @@
 
 /// Gives TimePoint a type of its own. Never read: the host supplies the time.
 struct HostClock {
+  // The names that the standard gives a clock.
+  // NOLINTBEGIN(readability-identifier-naming)
   using duration = Duration;
   using rep = Duration::rep;
   using period = Duration::period;
   using time_point = std::chrono::time_point<HostClock, Duration>;
   static constexpr bool is_steady = true;
+  // NOLINTEND(readability-identifier-naming)
 };
 using TimePoint = HostClock::time_point;
 
--- a/src/typed_config/resolver.cpp
+++ b/src/typed_config/resolver.cpp
@@ -53,7 +53,7 @@
       fail(ErrorCode::misplaced, field.position, here, "a ? belongs in definitions; expected a value");
       continue;
     }
-    if (auto value = resolve(*field.type, here)) fields.emplace_back(field.name, std::move(*value));
+    if (auto value = resolve(*field.type, here)) fields.push_back({field.name, std::move(*value)});
   }
   return Value{std::move(fields), record.position};
 }
@@ -99,10 +99,10 @@
   }
   for (auto& [name, value] : *added_fields) {
     const auto existing = std::find_if(fields->begin(), fields->end(),
-                                       [&name = name](const auto& field) { return field.first == name; });
+                                       [&name = name](const auto& field) { return field.name == name; });
     if (existing == fields->end())
-      fields->emplace_back(name, std::move(value));
-    else if (!merge(existing->second, std::move(value), field_path(path, name)))
+      fields->push_back({name, std::move(value)});
+    else if (!merge(existing->value, std::move(value), field_path(path, name)))
       return false;
   }
   return true;
--- a/src/typed_config/validator.cpp
+++ b/src/typed_config/validator.cpp
@@ -178,7 +178,7 @@
       errors.push_back({file_, value.position, here, "missing; expected " + describe(*field.type),
                         ErrorCode::missing_field, ""});
     if (result)
-      typed.emplace_back(field.name, std::move(*result));
+      typed.push_back({field.name, std::move(*result)});
     else
       valid = false;
   }
@@ -194,7 +194,7 @@
                                          [&name = name](const auto& field) { return field.name == name; });
     if (is_declared) continue;
     if (type.open) {
-      typed.emplace_back(name, value);
+      typed.push_back({name, value});
       continue;
     }
     std::string known;
--- a/src/typed_config/value.cpp
+++ b/src/typed_config/value.cpp
@@ -8,8 +8,8 @@
   const auto* record = std::get_if<Record>(&data);
   if (!record) return nullptr;
   const auto found = std::find_if(record->begin(), record->end(),
-                                  [&](const auto& candidate) { return candidate.first == field; });
-  return found == record->end() ? nullptr : &found->second;
+                                  [&](const auto& candidate) { return candidate.name == field; });
+  return found == record->end() ? nullptr : &found->value;
 }
 
 const Value& Value::operator[](std::string_view field) const {
--- a/src/typed_config/value.h
+++ b/src/typed_config/value.h
@@ -7,7 +7,6 @@
 #include <cstdint>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <variant>
 #include <vector>
 
@@ -23,9 +22,10 @@
 enum class ByteSize : std::uint64_t {};
 
 struct Value;
+struct RecordEntry;
 using List = std::vector<Value>;
 // Fields in the order in which the schema declares them.
-using Record = std::vector<std::pair<std::string, Value>>;
+using Record = std::vector<RecordEntry>;
 
 // One value: null, a scalar, a list or a record.
 //
@@ -51,4 +51,10 @@
   const List& as_list() const { return std::get<List>(data); }
 };
 
+// One field of a record.
+struct RecordEntry {
+  std::string name;
+  Value value;
+};
+
 }  // namespace granitegap::typed_config
