--- a/bench/membership_sim.cpp
+++ b/bench/membership_sim.cpp
@@ -16,25 +16,27 @@
 
 #include "fleet/health_check_simulation.h"
 #include "fleet/simulated_fleet.h"
+#include "quantile.h"
 
 namespace granitegap::bench {
 namespace {
 
 using fleet::SimulatedFleet;
 using membership::ChangeKind;
-using membership::Status;
 using Json = nlohmann::ordered_json;
 using namespace std::chrono_literals;
 
 double ms(Duration d) { return double(d.count()) / 1000; }
 
-double quantile(std::vector<double> v, double q) {
-  if (v.empty()) return -1;
-  std::sort(v.begin(), v.end());
-  return v[std::min(v.size() - 1, std::size_t(q * double(v.size())))];
-}
+constexpr auto kStartInterval = 20ms;  // between two processes
+constexpr auto kFormTimeout = 300s;
+constexpr auto kSettleTime = 10s;  // after the fleet has formed
+constexpr auto kAgreeTimeout = 120s;
+constexpr auto kPauseTime = 5s, kTimeBetweenPauses = 1s;
+constexpr int kPauseRoundSeconds = 6;
+constexpr auto kPartitionTime = 20s;
 
-struct Play {
+struct RunOptions {
   std::string scenario = "calm";
   std::uint64_t seed = 1;
   std::size_t size = 48;
@@ -43,134 +45,205 @@
   bool plain = false, formed = false;
 };
 
-// Probes a second at the bottom of an outage, from so many servers, and how fast all know that it is over.
-Json probers(const Play& p) {
-  Json out{{"scenario", p.scenario}, {"seed", p.seed}, {"size", p.size}};
+// Health checks a second at the bottom of an outage, from so many servers, and how fast all know that it is
+// over.
+Json run_outage(const RunOptions& options) {
+  Json out{{"scenario", options.scenario}, {"seed", options.seed}, {"size", options.size}};
   for (const bool together : {true, false}) {
-    const auto probed = fleet::simulate_outage(p.size, together, p.seed);
-    out[together ? "together" : "alone"] = {{"probes_per_s", probed.calls_a_second},
-                                            {"all_back_within_s", probed.back_within_s}};
+    const auto outage = fleet::simulate_outage(options.size, together, options.seed);
+    out[together ? "together" : "alone"] = {{"probes_per_s", outage.calls_a_second},
+                                            {"all_back_within_s", outage.back_within_s}};
   }
   return out;
 }
 
-Json play(const Play& p) {
-  if (p.scenario == "probers") return probers(p);
-  const auto wall = std::chrono::steady_clock::now();
-  membership::Options options;
-  options.baseline_mode = p.plain;
-  SimulatedFleet f(options, p.seed, p.size);
-  std::vector<TimePoint> known(p.size);  // when each first held the killed one other than alive
-  std::vector<std::size_t> killed;
-  std::vector<double> detect;
-  TimePoint fault{};
-  f.on_change = [&](std::size_t who, const membership::Change& c) {
-    if (fault == TimePoint{} || killed.empty()) return;
-    if (c.kind != ChangeKind::died && c.kind != ChangeKind::suspected) return;
-    if (c.name == f.name(killed.front()) && known[who] == TimePoint{}) {
-      known[who] = f.now();
-      detect.push_back(ms(f.now() - fault));
-    }
+membership::Options membership_options(const RunOptions& options) {
+  membership::Options membership;
+  membership.baseline_mode = options.plain;
+  return membership;
+}
+
+// One scenario on a simulated fleet.
+class Run {
+ public:
+  explicit Run(const RunOptions& options);
+  Json execute();
+
+ private:
+  void note_detection(std::size_t observer, const membership::Change& change);
+  void start_all();
+  bool all_alive();
+  bool all_killed_gone();
+  void play_scenario();
+  void lose_datagrams();
+  void kill(std::size_t count);
+  void pause_some();
+  void partition_halves();
+  Json figures(bool formed, double form_ms, double seconds);
+
+  const RunOptions& options_;
+  SimulatedFleet fleet_;
+  std::mt19937_64 random_;
+  std::vector<std::size_t> killed_;
+  std::vector<bool> has_detected_;  // by observer: the first killed process is not alive
+  std::vector<double> detection_ms_;
+  TimePoint fault_at_{};
+  double agree_ms_ = -1;
+  std::chrono::steady_clock::time_point began_ = std::chrono::steady_clock::now();
+};
+
+Run::Run(const RunOptions& options)
+    : options_(options),
+      fleet_(membership_options(options), options.seed, options.size),
+      random_(options.seed),
+      has_detected_(options.size) {
+  fleet_.on_change = [this](std::size_t observer, const membership::Change& change) {
+    note_detection(observer, change);
   };
-  // One after the other by the seeds' rate, then until they agree.
-  if (p.formed)
-    f.start_formed();
+}
+
+void Run::note_detection(std::size_t observer, const membership::Change& change) {
+  if (killed_.empty() || has_detected_[observer]) return;
+  if (change.kind != ChangeKind::died && change.kind != ChangeKind::suspected) return;
+  if (change.name != fleet_.name(killed_.front())) return;
+  has_detected_[observer] = true;
+  detection_ms_.push_back(ms(fleet_.now() - fault_at_));
+}
+
+bool Run::all_alive() {
+  for (std::size_t n = 0; n < options_.size; ++n) {
+    if (!fleet_.is_running(n)) continue;
+    if (fleet_.member(n).roster().alive() + 1 < options_.size - killed_.size()) return false;
+  }
+  return true;
+}
+
+bool Run::all_killed_gone() {
+  for (std::size_t n = 0; n < options_.size; ++n) {
+    if (!fleet_.is_running(n)) continue;
+    if (fleet_.member(n).roster().present() + 1 > options_.size - killed_.size()) return false;
+  }
+  return true;
+}
+
+// One process after the other at the rate that seeds admit.
+void Run::start_all() {
+  if (options_.formed)
+    fleet_.start_formed();
   else
-    f.start_all(std::chrono::milliseconds(20) * std::int64_t(p.size));
-  const auto formed_from = f.now();
-  const auto alive_everywhere = [&] {
-    for (std::size_t n = 0; n < p.size; ++n)
-      if (f.is_running(n) && f.member(n).roster().alive() + 1 < p.size - killed.size()) return false;
-    return true;
-  };
-  const bool formed = f.run_until(alive_everywhere, 300s);
-  const double form_ms = ms(f.now() - formed_from);
-  f.run_for(10s);
-  f.reset_stats();
-  const auto began = f.now();
-  double agree_ms = -1;
-  std::mt19937_64 random(p.seed);
-  if (p.scenario == "loss") {
-    standin::Rule r;
-    r.loss = p.loss;
-    f.fault_injector().add(r);
-    f.run_for(std::chrono::seconds(p.seconds));
-  } else if (p.scenario == "kill" || p.scenario == "mass_kill") {
-    const auto count = p.scenario == "kill" ? std::size_t(1) : std::max<std::size_t>(1, p.size / 3);
-    fault = f.now();
-    for (std::size_t k = 0; k < count; ++k) {
-      killed.push_back(p.size - 1 - k);
-      f.kill(p.size - 1 - k);
-    }
-    const bool agreed = f.run_until(
-        [&] {
-          for (std::size_t n = 0; n < p.size; ++n)
-            if (f.is_running(n) && f.member(n).roster().present() + 1 > p.size - killed.size()) return false;
-          return true;
-        },
-        120s);
-    if (agreed) agree_ms = ms(f.now() - fault);
-    f.run_for(std::chrono::seconds(p.seconds));
-  } else if (p.scenario == "pauses") {
-    for (int s = 0; s < p.seconds; s += 6) {
-      std::vector<std::size_t> who;
-      for (std::size_t k = 0; k < p.size / 4; ++k) who.push_back(random() % p.size);
-      for (const auto n : who) f.pause(n);
-      f.run_for(5s);
-      for (const auto n : who) f.resume(n);
-      f.run_for(1s);
-    }
-  } else if (p.scenario == "halves") {
-    standin::Rule r;
-    r.both = r.blocked = true;
-    for (std::size_t n = 0; n < p.size; ++n) (n < p.size / 2 ? r.from : r.to).insert(f.name(n));
-    const auto rule = f.fault_injector().add(r);
-    f.run_for(20s);
-    f.fault_injector().remove(rule);
-    fault = f.now();
-    if (f.run_until(alive_everywhere, 120s)) agree_ms = ms(f.now() - fault);
-  } else {
-    f.run_for(std::chrono::seconds(p.seconds));
+    fleet_.start_all(kStartInterval * std::int64_t(options_.size));
+}
+
+void Run::lose_datagrams() {
+  standin::Rule rule;
+  rule.loss = options_.loss;
+  fleet_.fault_injector().add(rule);
+  fleet_.run_for(std::chrono::seconds(options_.seconds));
+}
+
+void Run::kill(std::size_t count) {
+  fault_at_ = fleet_.now();
+  for (std::size_t k = 0; k < count; ++k) {
+    const auto last = options_.size - 1 - k;
+    killed_.push_back(last);
+    fleet_.kill(last);
   }
-  const double seconds = ms(f.now() - began) / 1000;
+  const bool agreed = fleet_.run_until([this] { return all_killed_gone(); }, kAgreeTimeout);
+  if (agreed) agree_ms_ = ms(fleet_.now() - fault_at_);
+  fleet_.run_for(std::chrono::seconds(options_.seconds));
+}
+
+void Run::pause_some() {
+  for (int second = 0; second < options_.seconds; second += kPauseRoundSeconds) {
+    std::vector<std::size_t> paused;
+    for (std::size_t k = 0; k < options_.size / 4; ++k) paused.push_back(random_() % options_.size);
+    for (const auto n : paused) fleet_.pause(n);
+    fleet_.run_for(kPauseTime);
+    for (const auto n : paused) fleet_.resume(n);
+    fleet_.run_for(kTimeBetweenPauses);
+  }
+}
+
+void Run::partition_halves() {
+  standin::Rule rule;
+  rule.both = true;
+  rule.blocked = true;
+  for (std::size_t n = 0; n < options_.size; ++n) {
+    auto& half = n < options_.size / 2 ? rule.from : rule.to;
+    half.insert(fleet_.name(n));
+  }
+  const auto id = fleet_.fault_injector().add(rule);
+  fleet_.run_for(kPartitionTime);
+  fleet_.fault_injector().remove(id);
+  fault_at_ = fleet_.now();
+  const bool agreed = fleet_.run_until([this] { return all_alive(); }, kAgreeTimeout);
+  if (agreed) agree_ms_ = ms(fleet_.now() - fault_at_);
+}
+
+void Run::play_scenario() {
+  if (options_.scenario == "loss") return lose_datagrams();
+  if (options_.scenario == "kill") return kill(1);
+  if (options_.scenario == "mass_kill") return kill(std::max<std::size_t>(1, options_.size / 3));
+  if (options_.scenario == "pauses") return pause_some();
+  if (options_.scenario == "halves") return partition_halves();
+  fleet_.run_for(std::chrono::seconds(options_.seconds));
+}
+
+Json Run::execute() {
+  start_all();
+  const auto form_began = fleet_.now();
+  const bool formed = fleet_.run_until([this] { return all_alive(); }, kFormTimeout);
+  const double form_ms = ms(fleet_.now() - form_began);
+  fleet_.run_for(kSettleTime);
+  fleet_.reset_stats();
+  const auto scenario_began = fleet_.now();
+  play_scenario();
+  return figures(formed, form_ms, ms(fleet_.now() - scenario_began) / 1000);
+}
+
+Json Run::figures(bool formed, double form_ms, double seconds) {
   rusage usage{};
   ::getrusage(RUSAGE_SELF, &usage);
-  const auto& g = f.stats();
-  const double each = seconds * double(p.size) / 2;  // both ways together
-  return Json{{"scenario", p.scenario},
-              {"policy", p.plain ? "plain" : "guarded"},
-              {"seed", p.seed},
-              {"size", p.size},
+  const auto& stats = fleet_.stats();
+  const double size = double(options_.size);
+  const double member_seconds = seconds * size / 2;  // each datagram has two ends
+  const auto wall = std::chrono::steady_clock::now() - began_;
+  return Json{{"scenario", options_.scenario},
+              {"policy", options_.plain ? "plain" : "guarded"},
+              {"seed", options_.seed},
+              {"size", options_.size},
               {"formed", formed},
               {"form_ms", form_ms},
               {"virtual_s", seconds},
-              {"false_dead", g.false_dead},
-              {"flaps", g.flaps},
-              {"detect_p50_ms", quantile(detect, 0.5)},
-              {"detect_p99_ms", quantile(detect, 0.99)},
-              {"agree_ms", agree_ms},
-              {"bytes_per_member_s", double(g.bytes) / each},
-              {"datagrams_per_member_s", double(g.datagrams) / each},
-              {"largest_datagram", g.largest},
+              {"false_dead", stats.false_dead},
+              {"flaps", stats.flaps},
+              {"detect_p50_ms", quantile(detection_ms_, 0.5)},
+              {"detect_p99_ms", quantile(detection_ms_, 0.99)},
+              {"agree_ms", agree_ms_},
+              {"bytes_per_member_s", double(stats.bytes) / member_seconds},
+              {"datagrams_per_member_s", double(stats.datagrams) / member_seconds},
+              {"largest_datagram", stats.largest},
               {"rss_mb", double(usage.ru_maxrss) / 1024},
-              {"bytes_per_known_member", double(usage.ru_maxrss) * 1024 / double(p.size) / double(p.size)},
-              {"wall_s", std::chrono::duration<double>(std::chrono::steady_clock::now() - wall).count()}};
+              {"bytes_per_known_member", double(usage.ru_maxrss) * 1024 / size / size},
+              {"wall_s", std::chrono::duration<double>(wall).count()}};
 }
 
 }  // namespace
 }  // namespace granitegap::bench
 
 int main(int argc, char** argv) {
-  granitegap::bench::Play p;
+  using namespace granitegap::bench;
+  RunOptions options;
   CLI::App app("Membership in a simulated fleet.", "granitegap_bench_membership_sim");
-  app.add_option("--scenario", p.scenario, "What happens")
+  app.add_option("--scenario", options.scenario, "What happens")
       ->check(CLI::IsMember({"calm", "loss", "kill", "mass_kill", "pauses", "halves", "probers"}));
-  app.add_option("--seed", p.seed, "Decides everything");
-  app.add_option("--size", p.size, "Members")->check(CLI::Range(1, 10000));
-  app.add_option("--seconds", p.seconds, "Virtual, of the scenario")->check(CLI::Range(1, 3600));
-  app.add_option("--loss", p.loss, "Share of datagrams")->check(CLI::Range(0.0, 1.0));
-  app.add_flag("--formed", p.formed, "Begin with a fleet in which all know all");
-  app.add_flag("--plain", p.plain, "Fixed timeouts, direct probes, no refutation");
+  app.add_option("--seed", options.seed, "Decides everything");
+  app.add_option("--size", options.size, "Members")->check(CLI::Range(1, 10000));
+  app.add_option("--seconds", options.seconds, "Virtual, of the scenario")->check(CLI::Range(1, 3600));
+  app.add_option("--loss", options.loss, "Share of datagrams")->check(CLI::Range(0.0, 1.0));
+  app.add_flag("--formed", options.formed, "Begin with a fleet in which all know all");
+  app.add_flag("--plain", options.plain, "Fixed timeouts, direct probes, no refutation");
   CLI11_PARSE(app, argc, argv);
-  std::printf("%s\n", granitegap::bench::play(p).dump().c_str());
+  const auto out = options.scenario == "probers" ? run_outage(options) : Run(options).execute();
+  std::printf("%s\n", out.dump().c_str());
 }
--- a/tools/fleet/process_fleet.h
+++ b/tools/fleet/process_fleet.h
@@ -28,40 +28,15 @@
 #include <thread>
 #include <vector>
 
+#include "fleet/process_fleet_options.h"
 #include "membership_udp/status_client.h"
+#include "standin/child_process.h"
 #include "standin/kernel.h"
 #include "standin/network.h"
+#include "standin/temporary_directory.h"
 
 namespace granitegap::fleet {
 
-// How the processes of a fleet are configured and started.
-struct ProcessFleetOptions {
-  std::string program;            // path of the granitegap executable
-  std::size_t size = 3;           // processes: n0, n1, ...
-  std::size_t zones = 3;          // spread over the processes in turn
-  std::size_t seeds = 3;          // the first processes, listed as membership seeds
-  std::uint64_t seed = 1;         // of the network's faults and the processes' own seeds
-  std::string membership_fields;  // more fields of `membership`: "period: 200ms"
-  std::string operator_file = "dependencies: []\ngathers: []\n";  // the operator file apart from `membership`
-  bool with_membership = true;     // false: the operator file has no `membership`
-  bool with_operator_file = true;  // false: none is given, as on the platform
-  bool plain_membership = false;   // --plain-membership, the baseline of benchmarks
-  Duration idempotency_window =
-      std::chrono::milliseconds(8949);  // `repeat_window_ms` of the idempotent class
-  bool secondary_paths = false;         // a second address over IPv6, which bypasses the stand-in network
-  bool ipv6 = false;                    // primary addresses over IPv6 without the stand-in network
-  std::string clock_shift_library;      // path of granitegap_clock_shift; needed by shift_clock()
-  Duration run_cost = std::chrono::milliseconds(20);  // core time of a kernel run
-  int cores = 2;                                      // of each stand-in kernel
-  double warm_up_ms = 18000;           // `cold_ms`: how long a machine warms up, as the platform declares it
-  double max_retry_after_ms = 1000;    // the longest backoff that clients are given
-  std::size_t max_sockets = 256;       // the descriptor limit of each process
-  bool admin_listener = false;         // an admin endpoint on a port of its own
-  bool inherited_listener = false;     // the fleet keeps the listening socket and sets $TMPDIR per name
-  bool create_shared_folder = true;    // false: with `inherited_listener`, that $TMPDIR does not exist
-  std::uint16_t load_report_port = 0;  // where load reports go; 0: a port that nobody reads
-};
-
 // The outcome of one run of the granitegap command line.
 struct CommandResult {
   int exit_status = 0;
@@ -172,35 +147,40 @@
 
  private:
   struct Process {
-    std::string name, alias;  // its name in the fleet
-    int pid = 0;
-    bool paused = false;
-    std::chrono::milliseconds clock_shift{};
-    std::size_t lives = 0;
-    std::optional<int> status;
-    boost::asio::ip::udp::endpoint bound, advertised, second;
-    std::unique_ptr<standin::Kernel> kernel;
+    std::string name;   // the member name
+    std::string alias;  // the fleet's name for it
     std::filesystem::path folder;
+    boost::asio::ip::udp::endpoint bound, advertised, secondary;
+    std::unique_ptr<standin::Kernel> kernel;
+    std::chrono::milliseconds clock_shift{};
+    std::size_t starts = 0;
+    std::optional<standin::ChildProcess> child;  // of the newest start
+    bool running() const { return child && !child->exited(); }
   };
-  std::uint16_t port_after(const std::string& name, const std::string& words) const;
   Process& at(const std::string& name);
   const Process& at(const std::string& name) const;
-  void prepare(const std::string& alias, const std::string& name, std::size_t number);
+  void add_process(const std::string& alias, const std::string& name, std::size_t number);
   void launch(Process& process);
-  void declare(const Process& process, const std::vector<std::string>& seeds, const std::string& membership);
-  bool reap(Process& process, bool wait);
+  void write_platform_config(const Process& process);
+  void write_operator_file(const Process& process, const std::vector<std::string>& seeds,
+                           const std::string& membership_fields);
+  standin::ChildProcessOptions child_options(const Process& process);
+  int inherited_listener(const Process& process);
+  std::filesystem::path shared_folder(const Process& process) const;
+  std::string describe(const std::string& alias, const Process& process) const;
+  std::uint16_t logged_port(const std::string& name, const std::string& text) const;
   template <class F>
   auto on_io(F f) const;
 
   ProcessFleetOptions options_;
-  std::filesystem::path folder_;
+  standin::TemporaryDirectory folder_{"granitegap_fleet_"};
   mutable boost::asio::io_context io_;
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
-  boost::asio::ip::udp::socket list_;  // where reports to the list go; nobody reads them
+  boost::asio::ip::udp::socket load_reports_;  // receives load reports; nobody reads them
   std::unique_ptr<standin::Network> network_;
-  std::map<std::string, boost::asio::ip::tcp::acceptor> doors_;  // by the processes' name
-  std::map<std::string, Process> processes_;
-  std::vector<std::string> seeds_;
+  std::map<std::string, boost::asio::ip::tcp::acceptor> listeners_;  // inherited ones, by member name
+  std::map<std::string, Process> processes_;                         // by alias
+  std::vector<std::string> seeds_;                                   // advertised addresses
   std::thread thread_;
 };
 
