--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -47,12 +47,12 @@
   if (r.quarantine_keys) edge.wait_out_lost_memory(r.max_clock_back, !r.directory.empty(), started);
   if (r.guided) {
     recovery::RecoveryOptions rules;
-    rules.first = r.first;
-    rules.growth = r.growth;
-    rules.wait_bound = r.wait_bound;
-    rules.max_learn = r.max_learn;
-    rules.max_pause = r.max_pause;
-    rules.calm_for = r.calm_for;
+    rules.initial_share = r.first;
+    rules.growth_factor = r.growth;
+    rules.max_wait_factor = r.wait_bound;
+    rules.max_state_transfer = r.max_learn;
+    rules.max_tick_gap = r.max_pause;
+    rules.calm_period = r.calm_for;
     edge.guide_return(rules, started);
   }
   return edge;
@@ -87,7 +87,7 @@
       load_reporter_(context.get_executor(), address<asio::ip::udp>(config_.announce), config_.name, log_),
       listener_(context.get_executor(), address<asio::ip::tcp>(config_.listen),
                 sockets_for_peers(config_, extras_), config_.catalog, module_.mailbox(), log_,
-                extras_.listening) {
+                extras_.listening ? std::move(*extras_.listening) : net::FileDescriptor()) {
   clocks_ = std::move(clocks);
   if (extras_.admin) try {
       admin_ = std::make_unique<admin::AdminServer>(
@@ -138,7 +138,7 @@
 
 warm_state::WarmState Server::collect() const {
   auto what = module_.edge().learned(clocks_().steady);
-  what.by = config_.name;
+  what.process_name = config_.name;
   if (!fleet_) return what;
   const auto& member = fleet_->member();
   what.boot_id = std::uint64_t(member.self().boot_id);
@@ -156,17 +156,18 @@
   const auto ms = [](Duration d) { return std::chrono::duration_cast<milliseconds>(d).count(); };
   membership_udp::RecoveryReport w;
   w.phase = recovery::text_of(course->phase());
-  w.kind = recovery::text_of(course->kind());
-  w.since_ms = std::uint64_t(ms(now - std::min(course->since(), now)));
-  w.left_ms = std::uint64_t(ms(course->left(now)));
+  w.kind = recovery::text_of(course->restart_scope());
+  w.since_ms = std::uint64_t(ms(now - std::min(course->phase_since(), now)));
+  w.left_ms = std::uint64_t(ms(course->remaining(now)));
   w.keyed_wait_ms = std::uint64_t(ms(module_.edge().keyed_wait(now)));
-  w.offered = std::uint8_t(100 * course->offered());
-  w.proven = std::uint8_t(100 * course->proven());
-  w.bounded = course->wait_bound().has_value();
+  w.offered = std::uint8_t(100 * course->advertised_share());
+  w.proven = std::uint8_t(100 * course->verified_share());
+  w.bounded = course->max_wait_factor().has_value();
   w.recoveries = course->recoveries();
-  const auto& m = course->milestones();
-  const std::optional<Duration>* reached[] = {&m.first_answer, &m.good_health, &m.half,
-                                              &m.most,         &m.full,        &m.estimate};
+  const auto& m = course->timeline();
+  const std::optional<Duration>* reached[] = {&m.first_response, &m.first_healthy,
+                                              &m.half_share,     &m.nearly_full_share,
+                                              &m.in_service,     &m.estimated_in_service};
   for (std::size_t k = 0; k < w.reached_ms.size(); ++k)
     if (*reached[k]) w.reached_ms[k] = ms(**reached[k]);
   if (learning_)
@@ -185,20 +186,20 @@
                                          extras_.declared->recovery->state_transfer_port,
                                          config_.seed ^ std::uint64_t(member.self().boot_id)};
   recovery::DonorSelectionOptions rules;
-  rules.most = extras_.declared->recovery->max_learn;
+  rules.total_timeout = extras_.declared->recovery->max_learn;
   state_transfer::Actor::Callbacks callbacks;
   callbacks.clock = [this] { return clocks_().steady; };
   callbacks.make_response = [this] {
     const auto& me = fleet_->member();
     recovery::TransferResponse o;
-    o.by = config_.name;
+    o.donor = config_.name;
     o.boot_id = me.self().boot_id;
     const auto* course = module_.edge().course();
-    o.in_service = course && course->phase() == recovery::Phase::full;
-    o.sure =
+    o.in_service = course && course->phase() == recovery::Phase::in_service;
+    o.view_certain =
         me.has_quorum() && !me.uncertain() && me.local_connectivity() == membership::LocalConnectivity::ok;
     o.view_age = fleet_->time_since_last_received();
-    if (o.in_service) o.what = collect();
+    if (o.in_service) o.state = collect();
     return o;
   };
   callbacks.may_request = [this](const asio::ip::address& who) { return fleet_->is_authorized(who); };
@@ -270,7 +271,7 @@
   auto& boot_id = module_.edge().lifecycle();
   if (call == admin::Command::health) {
     std::string text = lifecycle::text_of(boot_id.phase());
-    if (boot_id.up() && !link_.is_up()) text += ", kernel link down";
+    if (boot_id.up() && !link_.is_ready()) text += ", kernel link down";
     if (boot_id.up() && !boot_id.stopping() && module_.edge().held_unfit())
       text += ", held unfit by the module";
     return {boot_id.up() && !boot_id.stopping(), text};
