--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -110,7 +110,7 @@
 Reply AdminServer::reply_to(const CommandResult& result) {
   if (const auto* command = std::get_if<Command>(&result)) return handler_(*command);
   const std::string why = text_of(std::get<CommandError>(result));
-  log_.line("operators' door: bad call: " + why, {{"event", "admin_bad_call"}, {"why", why}});
+  log_.line("admin: command rejected: " + why, {{"event", "admin_bad_call"}, {"why", why}});
   return {false, why};
 }
 
--- a/src/hot_restart/key_lease_table.cpp
+++ b/src/hot_restart/key_lease_table.cpp
@@ -88,23 +88,18 @@
 
 KeyLeaseTable::SlotSearch KeyLeaseTable::find_slots(const KeyHash& key, UnixTime now, Duration max_lease) {
   SlotSearch search;
-  const auto offer_reuse = [&search](KeyLease& slot) {
-    if (!search.reusable) search.reusable = &slot;
-  };
   for (std::size_t attempt = 0; attempt < probe_count(); ++attempt) {
     auto& slot = probe(key, attempt);
-    if (is_free(slot)) {
-      offer_reuse(slot);
-    } else if (is_damaged(slot, now, max_lease)) {
+    if (!is_free(slot) && is_damaged(slot, now, max_lease)) {
       quarantine(now, max_lease);
       slot = KeyLease{};
-      offer_reuse(slot);
-    } else if (slot.key == key) {
+    }
+    if (!is_free(slot) && slot.key == key) {
       search.holding = &slot;
-      return search;
-    } else if (is_reusable(slot, now, max_lease)) {
-      offer_reuse(slot);
+      break;
     }
+    const bool reusable = is_free(slot) || is_reusable(slot, now, max_lease);
+    if (reusable && !search.reusable) search.reusable = &slot;
   }
   return search;
 }
--- a/src/snapshot/persistence_actor.cpp
+++ b/src/snapshot/persistence_actor.cpp
@@ -64,7 +64,7 @@
   slow_disk_timer_.expires_after(kSlowDiskThreshold);
   slow_disk_timer_.async_wait([this, delayed](const boost::system::error_code& error) {
     if (error) return;
-    log_.line("recovery: " + directory_.string() + " does not answer: " + delayed,
+    log_.line("recovery: " + directory_.string() + " is slow to respond: " + delayed,
               {{"event", "recovery_disk_slow"}});
   });
   ++pending_disk_tasks_;
@@ -93,7 +93,8 @@
 asio::awaitable<void> PersistenceActor::load_until_locked() {
   while (!directory_locked_ && !shutting_down_) {
     const auto task = [this] { return lock_and_load(); };
-    auto loaded = co_await run_on_disk_thread(task, "keyed requests are refused until it does, reads go on");
+    auto loaded = co_await run_on_disk_thread(
+        task, "requests with an idempotency key are rejected until it does, reads are served");
     handle_load(std::move(loaded));
     if (directory_locked_) break;
     co_await wait(kLockRetryInterval);
@@ -108,7 +109,7 @@
     const auto snapshot =
         std::make_shared<const Snapshot>(Snapshot{read_clock_stamp(), callbacks_.collect_warm_state()});
     const auto task = [this, snapshot] { return write(*snapshot); };
-    const auto error = co_await run_on_disk_thread(task, "no snapshot can be written meanwhile");
+    const auto error = co_await run_on_disk_thread(task, "no snapshot is written meanwhile");
     handle_write(error);
   }
 }
@@ -127,7 +128,7 @@
 
 void PersistenceActor::handle_unusable_directory(const StorageError& error) {
   if (!std::exchange(unusable_logged_, true))
-    log_.line("recovery: keyed requests are refused until " + directory_.string() +
+    log_.line("recovery: requests with an idempotency key are rejected until " + directory_.string() +
                   " can be used: " + error.message(),
               {{"event", "recovery_folder"}, {"why", error.message()}});
   recovery::PreviousIncarnation previous;
@@ -136,7 +137,7 @@
 }
 
 recovery::PreviousIncarnation PersistenceActor::evaluate_shutdown_record(const LoadResult& loaded) {
-  const std::string what = "what the last life left";
+  const std::string what = "shutdown record";
   if (const auto* error = std::get_if<StorageError>(&loaded.shutdown_record)) {
     log_rejected(what, error->message());
     return {};
@@ -144,24 +145,24 @@
   const auto& record = std::get<std::optional<ShutdownRecord>>(loaded.shutdown_record);
   if (!record) return {};
   if (record->name != name_) {
-    log_rejected(what, "it is of " + record->name);
+    log_rejected(what, "written by " + record->name);
     return {};
   }
   const auto previous = previous_incarnation(*record, loaded.loaded_at);
   if (previous.ended_in_order) {
     const auto ago_ms = to_ms(*previous.ended_in_order);
-    log_.line("recovery: the last life ended in order " + std::to_string(ago_ms) + " ms ago",
+    log_.line("recovery: the previous process shut down gracefully " + std::to_string(ago_ms) + " ms ago",
               {{"event", "recovery_ended"}, {"ago_ms", ago_ms}});
   }
   return previous;
 }
 
 std::optional<Snapshot> PersistenceActor::select_snapshot(NewestSnapshot newest) {
-  const std::string what = "a snapshot";
+  const std::string what = "snapshot";
   for (const auto& error : newest.errors)
     log_rejected(what, error.path.filename().string() + ": " + error.message());
   if (newest.snapshot && newest.snapshot->state.by != name_) {
-    log_rejected(what, "it is of " + newest.snapshot->state.by);
+    log_rejected(what, "written by " + newest.snapshot->state.by);
     return std::nullopt;
   }
   return std::move(newest.snapshot);
@@ -169,8 +170,8 @@
 
 void PersistenceActor::handle_snapshot(Snapshot snapshot, const ClockStamp& now) {
   const auto age = age_of(snapshot.taken_at, now);
-  const auto age_text = age ? std::to_string(to_ms(*age)) + " ms old" : std::string("of no known age");
-  log_.line("recovery: a snapshot, " + age_text,
+  const auto age_text = age ? std::to_string(to_ms(*age)) + " ms old" : std::string("of unknown age");
+  log_.line("recovery: snapshot loaded, " + age_text,
             {{"event", "recovery_snapshot"}, {"age_ms", age ? to_ms(*age) : std::int64_t{-1}}});
   callbacks_.warm_state_loaded(warm_state::aged(std::move(snapshot.state), age));
 }
@@ -181,7 +182,7 @@
     return;
   }
   if (std::exchange(write_failure_logged_, true)) return;
-  log_.line("recovery: no snapshot can be written: " + error->message(),
+  log_.line("recovery: the snapshot could not be written: " + error->message(),
             {{"event", "recovery_snapshot_unwritten"}, {"why", error->message()}});
 }
 
@@ -204,13 +205,12 @@
 void PersistenceActor::handle_last_write(const std::optional<StorageError>& error) {
   last_write_done_ = true;
   if (!error) return;
-  log_.line("recovery: the end could not be written down: " + error->message(),
+  log_.line("recovery: the shutdown record could not be written: " + error->message(),
             {{"event", "recovery_end_unwritten"}, {"why", error->message()}});
 }
 
 void PersistenceActor::log_rejected(const std::string& what, const std::string& why) {
-  log_.line("recovery: " + what + " is not believed: " + why,
-            {{"event", "recovery_unbelieved"}, {"why", why}});
+  log_.line("recovery: " + what + " rejected: " + why, {{"event", "recovery_unbelieved"}, {"why", why}});
 }
 
 }  // namespace granitegap::snapshot
--- a/src/snapshot/storage_error.cpp
+++ b/src/snapshot/storage_error.cpp
@@ -60,8 +60,8 @@
 }
 
 const std::error_category& storage_category() {
-  static const StorageCategory category;
-  return category;
+  static const StorageCategory kCategory;
+  return kCategory;
 }
 
 std::error_code make_error_code(StorageErrc code) { return {int(code), storage_category()}; }
--- a/src/state_transfer/actor.cpp
+++ b/src/state_transfer/actor.cpp
@@ -76,7 +76,7 @@
       wake_timer_(executor),
       rate_tokens_(kRequestBurst),
       tokens_refilled_at_(callbacks_.clock()) {
-  log_.line("recovery: tells others what it has learned at port " + std::to_string(port()),
+  log_.line("recovery: donates warm state on port " + std::to_string(port()),
             {{"event", "learning"}, {"port", std::int64_t(port())}});
 }
 
@@ -161,7 +161,7 @@
   donors_ = donor_selection_.from();
   transferred_at_ = now;
   const auto names = joined(donors_);
-  log_.line("recovery: learned from " + (names.empty() ? std::string("nobody") : names),
+  log_.line("recovery: warm state received from " + (names.empty() ? std::string("no donor") : names),
             {{"event", "learned_from"}, {"names", names}});
   callbacks_.finished(donor_selection_.result(), donor_selection_.sources());
 }
--- a/tests/recovery_process_test.cpp
+++ b/tests/recovery_process_test.cpp
@@ -116,7 +116,7 @@
   ASSERT_TRUE(f.until([&] { return f.ended("n0"); }, kLong));
   EXPECT_TRUE(std::filesystem::exists(f.folder("n0") / "ended")) << f.log("n0");
   f.up();
-  EXPECT_TRUE(f.until([&] { return f.says("the last life ended in order"); }, kLong));
+  EXPECT_TRUE(f.until([&] { return f.says("the previous process shut down gracefully"); }, kLong));
   EXPECT_FALSE(std::filesystem::exists(f.folder("n0") / "ended"));
   EXPECT_EQ(f.insist(kOther)->code, 0);
 }
@@ -142,7 +142,7 @@
   std::filesystem::create_directories(f.folder("n0").parent_path());
   std::ofstream(f.folder("n0")) << "in the way";
   f.up();
-  EXPECT_TRUE(f.until([&] { return f.says("keyed requests are refused until"); }, kLong));
+  EXPECT_TRUE(f.until([&] { return f.says("requests with an idempotency key are rejected until"); }, kLong));
   EXPECT_EQ(f.report(kToken)->code, 1);
   EXPECT_TRUE(f.answers("n0"));
   std::filesystem::remove(f.folder("n0"));
@@ -154,8 +154,7 @@
   std::filesystem::create_directories(f.folder("n0"));
   std::ofstream(f.folder("n0") / "ended") << "gge1 and then nothing that makes sense";
   f.up();
-  EXPECT_TRUE(
-      f.until([&] { return f.says("what the last life left is not believed: reading it: damaged"); }, kLong));
+  EXPECT_TRUE(f.until([&] { return f.says("shutdown record rejected: reading it: damaged"); }, kLong));
   EXPECT_EQ(f.insist(kToken)->code, 0);
 }
 
@@ -168,7 +167,8 @@
   ASSERT_TRUE(f.until([&] { return f.ended("n0"); }, kLong));
   f.shift_clock("n0", -60s);
   f.start("n0");
-  EXPECT_TRUE(f.until([&] { return f.says("the last life ended in order") && f.port("n0"); }, kLong));
+  EXPECT_TRUE(
+      f.until([&] { return f.says("the previous process shut down gracefully") && f.port("n0"); }, kLong));
   const auto told = f.log("n0");
   const auto at = told.rfind("keyed requests wait ");
   ASSERT_NE(at, std::string::npos) << told;
@@ -232,8 +232,8 @@
       },
       kLong))
       << f.state();
-  EXPECT_TRUE(f.says("recovery: a snapshot", "n2"));
-  EXPECT_FALSE(f.says("recovery: a snapshot", "n3"));
+  EXPECT_TRUE(f.says("recovery: snapshot loaded", "n2"));
+  EXPECT_FALSE(f.says("recovery: snapshot loaded", "n3"));
 }
 
 // An hour-old word that an endpoint is out is not acted on; a fresh one is.
@@ -250,14 +250,14 @@
     s.taken_at = snapshot::read_clock_stamp();
     if (old) {
       s.taken_at.kernel_boot_id = "another";
-      s.taken_at.since_boot -= 1h;
+      s.taken_at.since_boot = 1s;  // an hour less than now would be negative on a machine just booted
       s.taken_at.unix_us -= 3'600'000'000;
     }
     s.state.by = "n0";
     s.state.endpoints = {{"e.example.org", "127.0.0.1", 9, 30s, 2, 80ms, 0s}};
     ASSERT_FALSE(snapshot::write_snapshot(f.folder("n0"), snapshot::encode(s)));
     f.up();
-    EXPECT_TRUE(f.until([&] { return f.says("recovery: a snapshot"); }, kLong));
+    EXPECT_TRUE(f.until([&] { return f.says("recovery: snapshot loaded"); }, kLong));
     EXPECT_TRUE(f.answers("n0"));
     EXPECT_EQ(f.says("learned of 1 endpoints"), !old) << f.log("n0");
   }
@@ -269,7 +269,7 @@
   std::ofstream(f.folder("n0") / "learned-a") << "ggl1 and then nothing that makes sense";
   std::filesystem::create_directory(f.folder("n0") / "learned-b");  // can be neither read nor replaced
   f.up();
-  EXPECT_TRUE(f.until([&] { return f.says("a snapshot is not believed: learned-a"); }, kLong));
+  EXPECT_TRUE(f.until([&] { return f.says("snapshot rejected: learned-a"); }, kLong));
   EXPECT_TRUE(f.answers("n0"));
   EXPECT_EQ(f.insist(kToken)->code, 0);
 }
@@ -320,7 +320,8 @@
     std::filesystem::create_directories(f.folder("n0"));
     ASSERT_EQ(::mkfifo(note.c_str(), 0600), 0);  // whoever opens it waits
     f.up();
-    ASSERT_TRUE(f.until([&] { return f.says("does not answer: keyed requests are refused"); }, kLong));
+    ASSERT_TRUE(f.until(
+        [&] { return f.says("is slow to respond: requests with an idempotency key are rejected"); }, kLong));
     const auto way = membership_udp::ask(f.bound("n0"), 2s, true);
     ASSERT_TRUE(way && way->recovery_report);
     EXPECT_GT(way->recovery_report->keyed_wait_ms, 1'000'000'000u);  // no end in sight
@@ -492,7 +493,8 @@
       kLong));
   f.kill("n2");
   f.start("n2");
-  ASSERT_TRUE(f.until([&] { return f.says("recovery: learned from", "n2") && f.way("n2"); }, kLong));
+  ASSERT_TRUE(
+      f.until([&] { return f.says("recovery: warm state received from", "n2") && f.way("n2"); }, kLong));
   const auto asked = f.way("n2").value();
   for (const auto& s : asked.sources) EXPECT_TRUE(s.name == "n0" || s.name == "n1") << s.name;
   f.mend_all();
@@ -642,7 +644,7 @@
 TEST(RecoveryProcess, ADonorThatStandsStillIsLeftForTheNext) {
   Ways f(6, "learn_most: 5s");
   f.form();
-  const auto before = f.times("n0", "recovery: learned from");
+  const auto before = f.times("n0", "recovery: warm state received from");
   f.kill("n0");
   f.pause("n3");  // of n0's zone: asked first
   f.start("n0");
@@ -651,7 +653,7 @@
   for (const auto& s : learned.sources) EXPECT_NE(s.name, "n3");
   f.resume("n3");
   ASSERT_TRUE(f.until([&] { return f.agree(); }, kLong));
-  EXPECT_EQ(f.times("n0", "recovery: learned from"), before + 1);  // once a life
+  EXPECT_EQ(f.times("n0", "recovery: warm state received from"), before + 1);  // once a life
 }
 
 // One that dies in the middle, its connection taken and the question with it.
