--- a/tests/recovery_process_test.cpp
+++ b/tests/recovery_process_test.cpp
@@ -322,7 +322,7 @@
     f.up();
     ASSERT_TRUE(f.until(
         [&] { return f.says("is slow to respond: requests with an idempotency key are rejected"); }, kLong));
-    const auto way = membership_udp::ask(f.bound("n0"), 2s, true);
+    const auto way = membership_udp::query_status(f.bound("n0"), 2s, true);
     ASSERT_TRUE(way && way->recovery_report);
     EXPECT_GT(way->recovery_report->keyed_wait_ms, 1'000'000'000u);  // no end in sight
     EXPECT_EQ(f.report(kToken)->code, 1);
@@ -361,7 +361,7 @@
     return o;
   }
   std::optional<membership_udp::RecoveryReport> way(const std::string& name) const {
-    const auto r = membership_udp::ask(bound(name), 2s, true);
+    const auto r = membership_udp::query_status(bound(name), 2s, true);
     return r ? r->recovery_report : std::nullopt;
   }
   bool in_service(const std::string& name) const {
@@ -402,8 +402,8 @@
           for (const auto& name : running()) {
             const auto v = view(name);
             if (!v) return false;
-            for (const auto& l : v->lines)
-              if (l.recovery_status.donor_port == 0 || l.recovery_status.full_ms == 0) return false;
+            for (const auto& l : v->members)
+              if (l.recovery_status.donor_port == 0 || l.recovery_status.full_service_ms == 0) return false;
           }
           return true;
         },
@@ -430,8 +430,8 @@
   EXPECT_TRUE(f.until(
       [&] {
         const auto v = f.view("n0");
-        for (const auto& l : v->lines)
-          if (l.name == "n2") return l.recovery_status.full_ms > 0;
+        for (const auto& l : v->members)
+          if (l.name == "n2") return l.recovery_status.full_service_ms > 0;
         return false;
       },
       kLong));
