--- a/src/actor/mailbox.h
+++ b/src/actor/mailbox.h
@@ -1,9 +1,14 @@
-// An actor's bounded mailbox on one io_context: any coroutine posts, one takes.
+// The bounded mailbox of an actor: any coroutine posts, one receives.
+//
+// Threads: all calls on the one thread that runs the io_context. Messages are moved in and out. Nothing here
+// throws but for a lack of memory.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <boost/asio/use_awaitable.hpp>
+#include <chrono>
+#include <cstddef>
 #include <utility>
 #include <vector>
 
@@ -13,45 +18,53 @@
 class Mailbox {
  public:
   using Clock = std::chrono::steady_clock;
-  Mailbox(const boost::asio::any_io_executor& executor, std::size_t most) : wake_(executor), most_(most) {}
+  // `capacity`: in messages.
+  Mailbox(const boost::asio::any_io_executor& executor, std::size_t capacity)
+      : wake_(executor), capacity_(capacity) {}
 
-  // False when full or closed: the sender keeps the matter, and decides what that means.
-  [[nodiscard]] bool post(T&& mail) {
-    if (closed_ || mail_.size() >= most_) return false;
-    mail_.push_back(std::move(mail));
-    wake_.cancel();
+  // False when full or closed: the message is left with the sender, who decides what that means.
+  [[nodiscard]] bool post(T&& message) {
+    if (closed_ || full()) return false;
+    append(std::move(message));
     return true;
   }
-  // For what must never be lost, a connection's end or the notice to leave, and whose number its sender
-  // bounds: guards against a flood of other mail that leaves no room for it.
-  void post_control(T&& mail) {
-    if (closed_) return;
-    mail_.push_back(std::move(mail));
-    wake_.cancel();
+  // Posts past the capacity: for messages that must never be lost, such as the end of a connection or the
+  // notice to stop, and whose number their sender bounds. Guards against a flood of other messages that
+  // leaves no capacity for them.
+  void post_control(T&& message) {
+    if (!closed_) append(std::move(message));
   }
-  bool full() const { return mail_.size() >= most_; }
-  bool empty() const { return mail_.empty(); }
-  std::size_t size() const { return mail_.size(); }
-  bool closed() const { return closed_; }
+
+  [[nodiscard]] bool full() const { return messages_.size() >= capacity_; }
+  [[nodiscard]] bool empty() const { return messages_.empty(); }
+  [[nodiscard]] std::size_t size() const { return messages_.size(); }
+  [[nodiscard]] bool closed() const { return closed_; }
+  // Wakes the receiver. What was posted before can still be taken.
   void close() {
     closed_ = true;
     wake_.cancel();
   }
 
-  // All that has come, in order; empty at `until` or once closed.
+  // Waits until there is a message, the mailbox is closed or `until` is reached. Returns all messages in the
+  // order in which they were posted; none at `until` or once closed.
   boost::asio::awaitable<std::vector<T>> take(Clock::time_point until = Clock::time_point::max()) {
-    while (mail_.empty() && !closed_ && Clock::now() < until) {
+    while (messages_.empty() && !closed_ && Clock::now() < until) {
       wake_.expires_at(until);
-      boost::system::error_code woken;
-      co_await wake_.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, woken));
+      boost::system::error_code cancelled;
+      co_await wake_.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, cancelled));
     }
-    co_return std::exchange(mail_, {});
+    co_return std::exchange(messages_, {});
   }
 
  private:
+  void append(T&& message) {
+    messages_.push_back(std::move(message));
+    wake_.cancel();
+  }
+
   boost::asio::steady_timer wake_;
-  std::vector<T> mail_;
-  std::size_t most_;
+  std::vector<T> messages_;
+  std::size_t capacity_;
   bool closed_ = false;
 };
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -145,7 +145,7 @@
   c.parsed = parse_settings(c.settings_text);
   hold_classes(c);
   for (const auto& cls : c.parsed.settings.classes)
-    c.catalog.keyed.push_back(cls.effect == Effect::once_by_key);
+    c.catalog.key_required.push_back(cls.effect == Effect::once_by_key);
   return c;
 }
 
--- a/src/deps_http/dependency_client.cpp
+++ b/src/deps_http/dependency_client.cpp
@@ -124,7 +124,7 @@
         below.id, fate, std::chrono::duration_cast<Duration>(Clock::now() - began), {}, nullptr};
   };
   if (call->abandoned) co_return ended(CallFate::cut_off);
-  const std::pair place(below.to.host, below.to.port);
+  const std::pair place(below.endpoint.host, below.endpoint.port);
   bool reused = false;
   if (const auto idle = idle_.find(place); idle != idle_.end()) {
     while (!idle->second.empty() && !reused) {
@@ -138,18 +138,18 @@
     if (idle->second.empty()) idle_.erase(idle);
   }
   http::request<http::empty_body> request(http::verb::get, below.path, 11);
-  request.set(http::field::host, below.name);
+  request.set(http::field::host, below.dependency);
   request.set(http::field::accept_encoding, "identity");
   for (;;) {
     error_code error;
     if (!reused) {
       if (!make_room()) co_return ended(CallFate::unreachable);
-      const auto address = asio::ip::make_address(below.to.host, error);
+      const auto address = asio::ip::make_address(below.endpoint.host, error);
       if (error) co_return ended(CallFate::unreachable);
       ++connections_;
       call->connected = true;
-      call->stream->expires_after(below.max_quiet);
-      co_await call->stream->async_connect(tcp::endpoint(address, below.to.port), into(error));
+      call->stream->expires_after(below.io_timeout);
+      co_await call->stream->async_connect(tcp::endpoint(address, below.endpoint.port), into(error));
       if (call->abandoned) co_return ended(CallFate::cut_off);
       if (error) co_return ended(CallFate::unreachable);
       call->stream->socket().set_option(tcp::no_delay(true), error);
@@ -157,22 +157,22 @@
       ++connections_;
       call->connected = true;
     }
-    call->stream->expires_after(below.max_quiet);
+    call->stream->expires_after(below.io_timeout);
     co_await http::async_write(*call->stream, request, into(error));
     if (call->abandoned) co_return ended(CallFate::cut_off);
 
-    beast::flat_buffer buffer(below.max_header + below.max_answer + 4096);
+    beast::flat_buffer buffer(below.max_header_bytes + below.max_response_bytes + 4096);
     std::optional<http::response_parser<http::string_body>> parser;
     const auto fresh_parser = [&] {
       parser.emplace();
-      parser->header_limit(std::uint32_t(below.max_header));
-      parser->body_limit(below.max_answer);
+      parser->header_limit(std::uint32_t(below.max_header_bytes));
+      parser->body_limit(below.max_response_bytes);
     };
     fresh_parser();
     std::size_t got = 0;
     int interim = 0;
     while (!error && !parser->is_done()) {
-      call->stream->expires_after(below.max_quiet);
+      call->stream->expires_after(below.io_timeout);
       got += co_await http::async_read_some(*call->stream, buffer, *parser, into(error));
       if (call->abandoned) co_return ended(CallFate::cut_off);
       if (!error && parser->is_done() && parser->get().result_int() / 100 == 1) {
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -50,7 +50,7 @@
       std::visit([&](const auto& a) { apply(a); }, action);
   }
   if (now_.steady - swept_at_ >= kSweepEvery) {
-    keys_.sweep(now_.unix);
+    keys_.expire(now_.unix);
     swept_at_ = now_.steady;
   }
   return std::move(out_);
@@ -64,7 +64,7 @@
   return next;
 }
 
-void Edge::declare(std::shared_ptr<const deps::Spec> spec, Compose compose, bool guarded) {
+void Edge::enable_dependencies(std::shared_ptr<const deps::Spec> spec, Compose compose, bool guarded) {
   gatherer_.emplace(std::move(spec), seed_, guarded);
   compose_ = std::move(compose);
 }
@@ -74,23 +74,24 @@
 void Edge::on(Request request) {
   // A number names one try: a second one under it could not be told apart in the kernel's reports. And a
   // token's result is that of the body it came with: nothing else may be served with it.
-  if (closing_ || !module_ || by_rid_.count(request.rid) || untimely(request) || keys_.other_body(request))
-    return turn_away(request.from);
-  if (waits_out(request)) return;
+  if (closing_ || !module_ || by_rid_.count(request.rid) || untimely(request) ||
+      keys_.has_different_body(request))
+    return reject(request.reply_to);
+  if (reject_quarantined(request)) return;
   const RequestId id{next_id_++};
   RequestArrived arrived;
   arrived.id = id;
   arrived.cls = request.cls;
   arrived.tenant = request.tenant;
   arrived.caller = request.caller;
-  arrived.key = request.read;
+  arrived.key = request.read_key;
   arrived.cost_hint = request.cost_hint;
   arrived.memory = request.memory;
   // Its stamp is of another clock than the module's: only the span carries over, and never a negative one.
-  arrived.waited_unread = std::max(now_.unix - request.reached, Duration{});
-  arrived.repeats = keys_.arrive(request, id, batch_);
+  arrived.waited_unread = std::max(now_.unix - request.arrived_at, Duration{});
+  arrived.repeats = keys_.add_attempt(request, id, batch_);
   by_rid_.emplace(request.rid, id);
-  by_peer_[request.from.peer].push_back(id);
+  by_peer_[request.reply_to.peer].push_back(id);
   const bool too_late = past_grace();
   open_.emplace(id, Open{.request = std::move(request),
                          .since = now_.steady,
@@ -100,11 +101,11 @@
   events_.emplace_back(arrived);
 }
 
-void Edge::wait_out_lost_memory(Duration max_clock_back, bool has_folder, TimePoint started) {
+void Edge::enable_restart_quarantine(Duration max_clock_back, bool has_folder, TimePoint started) {
   recovery::RestartQuarantine::Rules rules;
   const auto by_class = key_rules(settings_.settings);
   for (std::size_t i = 0; i < by_class.size(); ++i)
-    rules.windows.push_back(catalog_.is_keyed(ClassId(i)) ? by_class[i].window : Duration{});
+    rules.windows.push_back(catalog_.requires_idempotency_key(ClassId(i)) ? by_class[i].window : Duration{});
   rules.max_clock_back = max_clock_back;
   rules.has_folder = has_folder;
   lost_memory_.emplace(std::move(rules), started);
@@ -112,51 +113,52 @@
 
 // A keyed request that an earlier life may have run is refused before it costs anything, and told when to
 // come again. By when it reached the machine: guards against one that lay unread until the doubt was over.
-bool Edge::waits_out(const Request& request) {
-  if (!lost_memory_ || !catalog_.is_keyed(request.cls)) return false;
-  const auto reached = now_.steady - std::max(now_.unix - request.reached, Duration{});
+bool Edge::reject_quarantined(const Request& request) {
+  if (!lost_memory_ || !catalog_.requires_idempotency_key(request.cls)) return false;
+  const auto reached = now_.steady - std::max(now_.unix - request.arrived_at, Duration{});
   if (!lost_memory_->in_doubt(request.cls, reached)) return false;
   const auto most = settings_.settings.max_advice.value_or(Duration{});
   const auto until = lost_memory_->until(request.cls);
   const auto left = until == TimePoint::max() ? most : std::max(until - now_.steady, Duration(1000));
-  out_.emplace_back(Answer{request.from, Outcome::refused, nullptr, hint_, std::min(left, most), false});
+  out_.emplace_back(
+      Response{request.reply_to, Outcome::rejected, nullptr, hint_, std::min(left, most), false});
   return true;
 }
 
 void Edge::on(const WarmStateReceived& news) {
-  if (course_ && news.from_others == 0) course_->expected(news.what.members.size(), now_.steady);
+  if (course_ && news.donors == 0) course_->expected(news.state.members.size(), now_.steady);
   if (!gatherer_) return;
-  const auto from = news.from_others == 0 ? std::string("an earlier life")
-                                          : std::to_string(news.from_others) + " other members";
-  const auto used = gatherer_->learn(news.what, now_.steady);
+  const auto from =
+      news.donors == 0 ? std::string("an earlier life") : std::to_string(news.donors) + " other members";
+  const auto used = gatherer_->learn(news.state, now_.steady);
   if (used.endpoints > 0)
-    remark("learned of " + std::to_string(used.endpoints) + " endpoints from " + from, "learned");
+    log_event("learned of " + std::to_string(used.endpoints) + " endpoints from " + from, "learned");
   if (used.parts > 0)
-    remark("learned " + std::to_string(used.parts) + " kept answers from " + from, "learned_parts");
+    log_event("learned " + std::to_string(used.parts) + " kept answers from " + from, "learned_parts");
 }
 
-warm_state::WarmState Edge::learned(TimePoint now) const {
+warm_state::WarmState Edge::export_warm_state(TimePoint now) const {
   warm_state::WarmState what;
   if (gatherer_) gatherer_->export_to(what, now);
   return what;
 }
 
-void Edge::on(const Closing&) { closing_ = true; }
+void Edge::on(const AdmissionClosed&) { closing_ = true; }
 
 void Edge::on(const CacheFillQuery& asked) {
   const RequestId id{next_id_++};
   fills_.emplace(id, asked.tag);
-  if (gatherer_ && gatherer_->fill(id, asked.question, now_.steady)) return pass_on_calls();
+  if (gatherer_ && gatherer_->fill(id, asked.request, now_.steady)) return pass_on_calls();
   fills_.erase(id);
   out_.emplace_back(CacheFillReply{asked.tag, nullptr, {}});
 }
 
-void Edge::guide_return(const recovery::RecoveryOptions& rules, TimePoint started) {
+void Edge::enable_recovery_ramp(const recovery::RecoveryOptions& rules, TimePoint started) {
   course_.emplace(rules, started);
 }
 
 void Edge::on(const StateTransferFinished& over) {
-  if (course_) course_->learned(over.sources, now_.steady);
+  if (course_) course_->learned(over.donors, now_.steady);
 }
 
 // What recovery has found reaches the module as a bound: it stays the one that admits, orders and refuses.
@@ -182,41 +184,41 @@
   const auto& m = course_->milestones();
   for (const auto& news : course_->take_news()) switch (news.what) {
       case News::phase:
-        remark(std::string("recovery: ") + recovery::text_of(news.at) +
-                   (news.at == recovery::Phase::ramping
-                        ? ", about " + ms(course_->left(now_.steady)) + " ms to full service"
-                        : ""),
-               "recovery_phase", recovery::text_of(news.at));
+        log_event(std::string("recovery: ") + recovery::text_of(news.at) +
+                      (news.at == recovery::Phase::ramping
+                           ? ", about " + ms(course_->left(now_.steady)) + " ms to full service"
+                           : ""),
+                  "recovery_phase", recovery::text_of(news.at));
         break;
       case News::kind:
-        remark(std::string("recovery: this start is ") +
-                   (news.of == recovery::Kind::alone  ? "one among healthy ones"
-                    : news.of == recovery::Kind::wave ? "one of a wave"
-                                                      : "one of most of the fleet's"),
-               "recovery_kind", recovery::text_of(news.of));
+        log_event(std::string("recovery: this start is ") +
+                      (news.of == recovery::Kind::alone  ? "one among healthy ones"
+                       : news.of == recovery::Kind::wave ? "one of a wave"
+                                                         : "one of most of the fleet's"),
+                  "recovery_kind", recovery::text_of(news.of));
         break;
       case News::full:
-        remark("recovery: full service after " + reached(m.full) + " ms, guessed " + reached(m.estimate) +
-                   "; first answer " + reached(m.first_answer) + ", good health " + reached(m.good_health) +
-                   ", half " + reached(m.half) + ", 0.95 " + reached(m.most) + "; learned from " +
-                   std::to_string(m.sources),
-               "recovery_full", reached(m.full));
+        log_event("recovery: full service after " + reached(m.full) + " ms, guessed " + reached(m.estimate) +
+                      "; first answer " + reached(m.first_answer) + ", good health " +
+                      reached(m.good_health) + ", half " + reached(m.half) + ", 0.95 " + reached(m.most) +
+                      "; learned from " + std::to_string(m.sources),
+                  "recovery_full", reached(m.full));
         break;
       case News::paused:
-        out_.emplace_back(StateTransferWanted{});
-        remark("recovery: this process stood still for long: what it remembers is old", "recovery_paused");
+        out_.emplace_back(StateTransferRequested{});
+        log_event("recovery: this process stood still for long: what it remembers is old", "recovery_paused");
         break;
       case News::guarding:
-        remark(news.guarded ? "recovery: waits are bounded while others come back or callers press"
-                            : "recovery: waits are not bounded any more",
-               "recovery_guard", news.guarded ? "on" : "off");
+        log_event(news.guarded ? "recovery: waits are bounded while others come back or callers press"
+                               : "recovery: waits are not bounded any more",
+                  "recovery_guard", news.guarded ? "on" : "off");
         break;
     }
 }
 
 void Edge::on(const PreviousIncarnationFound& news) {
   if (!lost_memory_) return;
-  lost_memory_->learn(news.found, now_.steady);
+  lost_memory_->learn(news.previous, now_.steady);
   say_how_long();
 }
 
@@ -224,11 +226,11 @@
   const auto until = lost_memory_->longest();
   if (until == TimePoint::max() || until <= now_.steady) return;
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(until - now_.steady).count();
-  remark("keyed requests wait " + std::to_string(ms) + " ms for what an earlier life may have run",
-         "keyed_wait");
+  log_event("keyed requests wait " + std::to_string(ms) + " ms for what an earlier life may have run",
+            "keyed_wait");
 }
 
-Duration Edge::keyed_wait(TimePoint now) const {
+Duration Edge::key_quarantine_left(TimePoint now) const {
   const auto until = lost_memory_ ? lost_memory_->longest() : TimePoint::min();
   if (until == TimePoint::max()) return Duration::max();
   return until <= now ? Duration{} : until - now;
@@ -239,10 +241,10 @@
 bool Edge::untimely(const Request& request) const {
   const auto& s = settings_.settings;
   const auto i = std::size_t(request.cls);
-  if (request.reached > now_.unix + kClocksApart) return true;
+  if (request.arrived_at > now_.unix + kClocksApart) return true;
   if (i >= s.classes.size() || !s.classes[i].deadline) return false;
   return now_.unix >
-         request.reached + *s.classes[i].deadline + s.answer_slack.value_or(Duration{}) + kClocksApart;
+         request.arrived_at + *s.classes[i].deadline + s.answer_slack.value_or(Duration{}) + kClocksApart;
 }
 
 // By when it is read, not by its stamp: guards against a request that waited for its connection, so that it
@@ -254,18 +256,18 @@
 }
 
 void Edge::on(const HealthCheck& check) {
-  const bool deep = check.full && settings_.settings.deep_checks.value_or(false) && !from_store_ && fit();
+  const bool deep = check.deep && settings_.settings.deep_checks.value_or(false) && !from_store_ && healthy();
   if (!module_ || !deep || deep_checks_.size() >= kMaxDeepChecks) {
-    out_.emplace_back(HealthAnswer{check.from, fit(), hint_});
+    out_.emplace_back(HealthResponse{check.reply_to, healthy(), hint_});
     return;
   }
-  deep_checks_[next_check_] = check.from;
-  command(DeepCheck{next_check_++});
+  deep_checks_[next_check_] = check.reply_to;
+  command(DeepHealthCheck{next_check_++});
 }
 
-void Edge::on(const DeepCheckDone& done) {
+void Edge::on(const DeepHealthCheckResult& done) {
   const auto node = deep_checks_.extract(done.tag);
-  if (node) out_.emplace_back(HealthAnswer{node.mapped(), done.good && fit(), hint_});
+  if (node) out_.emplace_back(HealthResponse{node.mapped(), done.healthy && healthy(), hint_});
 }
 
 // Guards against work for a connection that can't carry its answer. What runs goes on under the module's
@@ -282,10 +284,10 @@
 }
 
 void Edge::on(const RequestCancelled& withdrawn) {
-  const auto theirs = by_peer_.find(withdrawn.from.peer);
+  const auto theirs = by_peer_.find(withdrawn.reply_to.peer);
   if (theirs == by_peer_.end()) return;
   for (const auto id : std::vector<RequestId>(theirs->second))
-    if (auto* o = find(id); o && !o->answered && o->request.from.stream == withdrawn.from.stream) {
+    if (auto* o = find(id); o && !o->answered && o->request.reply_to.stream == withdrawn.reply_to.stream) {
       answer(*o, Outcome::failed);
       abandon(id, *o);
     }
@@ -311,7 +313,7 @@
     }
     events_.emplace_back(RunEnded{id, RunResult::moot, {}});
   }
-  end(id, IdempotencyTable::RunState::bad, nullptr);
+  end(id, IdempotencyTable::RunState::failed, nullptr);
 }
 
 void Edge::on(const Drain& drain) {
@@ -319,21 +321,21 @@
   drain_from_ = now_.unix;
   // Handed over, it tells nobody to stay away: that would be said of the successor too.
   if (lifecycle_.handing_over()) {
-    if (module_) events_.emplace_back(DrainNotice{drain.until_stopped});
+    if (module_) events_.emplace_back(DrainNotice{drain.time_left});
     return;
   }
   good_ = false;
   report_health();
   // What the checks under way ask is answered now: the kernel's word may come late, or never.
   for (const auto& [tag, to] : std::exchange(deep_checks_, {}))
-    out_.emplace_back(HealthAnswer{to, false, hint_});
-  if (module_) events_.emplace_back(DrainNotice{drain.until_stopped});
+    out_.emplace_back(HealthResponse{to, false, hint_});
+  if (module_) events_.emplace_back(DrainNotice{drain.time_left});
 }
 
 // The kernel's start is the module's: it may come long after this process's, and how warm the cores are
 // counts from it. Later links only repeat the news.
 void Edge::on(const KernelStarted& booted) {
-  const auto born = now_.steady - std::min<Duration>(booted.ago, std::chrono::hours(24));
+  const auto born = now_.steady - std::min<Duration>(booted.uptime, std::chrono::hours(24));
   const bool anew = module_ && booted.cold && born > born_ + kBootsApart;  // its machine has restarted
   if (course_ && (!module_ || anew)) {
     const auto warm_up = settings_.settings.warm_up.value_or(std::chrono::seconds(60));
@@ -341,7 +343,7 @@
     course_->health(good_, now_.steady);
   }
   if (anew) born_ = born;
-  lifecycle_.kernel_up();
+  lifecycle_.set_kernel_started();
   if (module_) return;
   settings_.settings.cold = booted.cold;
   born_ = born;
@@ -356,20 +358,20 @@
   const auto id = it->second;
   auto& o = open_.at(id);
   if (o.work != Work::running) return;
-  switch (report.end) {
-    case RunEnd::ok:
-      return finish_run(id, RunResult::ok, report.took, product_of(o, std::move(report.result)));
-    case RunEnd::error:
-      return finish_run(id, RunResult::error, report.took, nullptr);
-    case RunEnd::moot:
+  switch (report.outcome) {
+    case RunOutcome::ok:
+      return finish_run(id, RunResult::ok, report.duration, product_of(o, std::move(report.body)));
+    case RunOutcome::error:
+      return finish_run(id, RunResult::error, report.duration, nullptr);
+    case RunOutcome::never_ran:
       never_ran(o, id);
-      return finish_run(id, RunResult::moot, report.took, nullptr);
-    case RunEnd::stopped:
+      return finish_run(id, RunResult::moot, report.duration, nullptr);
+    case RunOutcome::stopped:
       break;
   }
-  events_.emplace_back(RunEnded{id, RunResult::cancelled, report.took});
+  events_.emplace_back(RunEnded{id, RunResult::cancelled, report.duration});
   o.stopped = true;
-  if (o.answered) return end(id, IdempotencyTable::RunState::bad, nullptr);
+  if (o.answered) return end(id, IdempotencyTable::RunState::failed, nullptr);
   o.work = settings_.settings.suspend == SuspendKind::pause ? Work::paused : Work::held;
 }
 
@@ -382,8 +384,8 @@
   auto& o = open_.at(id);
   if (o.work != Work::running) return;
   if (!std::exchange(told_of_calls_, true))
-    remark("kernel wants a call below for request " + wanted.rid + ": not known here, such requests fail",
-           "call_wanted", wanted.rid);
+    log_event("kernel wants a call below for request " + wanted.rid + ": not known here, such requests fail",
+              "call_wanted", wanted.rid);
   events_.emplace_back(CallNeeded{id});
   answer(o, Outcome::failed);
   abandon(id, o);
@@ -391,7 +393,7 @@
 
 // A command the kernel would not carry out must not strand its request: the run is over, with an error.
 void Edge::on(const CommandRejected& rejected) {
-  remark("kernel rejected a command for request " + rejected.rid, "kernel_rejected", rejected.rid);
+  log_event("kernel rejected a command for request " + rejected.rid, "kernel_rejected", rejected.rid);
   const auto it = by_rid_.find(rejected.rid);
   if (it == by_rid_.end() || rejected.kind == CommandKind::stop) return;
   const auto id = it->second;
@@ -404,8 +406,8 @@
 
 void Edge::never_ran(const Open& o, RequestId id) {
   if (o.stopped) return;
-  keys_.never_ran(o.request, id);
-  if (claims_.never_ran && !o.request.token.empty()) claims_.never_ran(o.request);
+  keys_.discard_run(o.request, id);
+  if (key_leases_.release && !o.request.idempotency_key.empty()) key_leases_.release(o.request);
 }
 
 void Edge::on(const Gauges& gauges) {
@@ -424,7 +426,7 @@
         token, fresh ? std::span<const float>(gauges_) : std::span<const float>{}, settings_.gauges));
     fired = true;
   }
-  if (fired) command(AskGauges{});
+  if (fired) command(PollGauges{});
   if (!gatherer_) return;
   gatherer_->tick(now_.steady);
   pass_on_calls();
@@ -444,7 +446,7 @@
     return command(ResumeRun{o->request.rid});
   }
   if (o->work != Work::held) return;
-  if (!gathers(*o) || o->too_late || keys_.covering_run(o->request)) return begin_run(a.id, *o);
+  if (!gathers(*o) || o->too_late || keys_.run_within_window(o->request)) return begin_run(a.id, *o);
   // Nothing reaches the kernel before its parts are there: a required one that fails costs no core time, and
   // 'refused' stays true.
   o->work = Work::gathering;
@@ -456,27 +458,27 @@
   auto* o = &open;
   // The last guard of two rules, whatever the module says. No try of a request runs again within the window
   // of the one that ran; and nothing runs that reached the machine too long after the notice to leave.
-  const auto* run = keys_.covering_run(o->request);
+  const auto* run = keys_.run_within_window(o->request);
   if (run || o->too_late) {
     events_.emplace_back(RunEnded{id, RunResult::moot, {}});
-    if (run && run->state == IdempotencyTable::RunState::good)
-      answer(*o, Outcome::served, run->result);
+    if (run && run->state == IdempotencyTable::RunState::succeeded)
+      answer(*o, Outcome::served, run->payload);
     else
-      answer(*o, run ? Outcome::failed : Outcome::refused);
-    return end(id, IdempotencyTable::RunState::bad, nullptr);
+      answer(*o, run ? Outcome::failed : Outcome::rejected);
+    return end(id, IdempotencyTable::RunState::failed, nullptr);
   }
   // What another process may have run, or may be running, is not run here; this try never was.
-  if (claims_.claim && !o->request.token.empty() &&
-      !claims_.claim(o->request, keys_.span(o->request.cls), now_.unix)) {
+  if (key_leases_.acquire && !o->request.idempotency_key.empty() &&
+      !key_leases_.acquire(o->request, keys_.retention(o->request.cls), now_.unix)) {
     events_.emplace_back(RunEnded{id, RunResult::moot, {}});
     // Without advice to stay away: that would be from the whole server, which is well.
-    answer(*o, o->ran ? Outcome::failed : Outcome::refused);
-    return end(id, IdempotencyTable::RunState::bad, nullptr);
+    answer(*o, o->ran ? Outcome::failed : Outcome::rejected);
+    return end(id, IdempotencyTable::RunState::failed, nullptr);
   }
   o->work = Work::running;
   o->ran = true;
   o->since = now_.steady;
-  keys_.started(o->request, id);
+  keys_.record_start(o->request, id);
   command(StartRun{o->request.rid, o->request.cls, o->request.body});
 }
 
@@ -485,7 +487,7 @@
   if (!o) return;
   if (course_ && a.keep_off.count() > 0) course_->turned_away(now_.steady);
   // 'Refused' promises that this try never ran.
-  answer(*o, o->ran ? Outcome::failed : Outcome::refused, nullptr, keep_off(a.keep_off),
+  answer(*o, o->ran ? Outcome::failed : Outcome::rejected, nullptr, retry_after(a.keep_off),
          a.do_not_try_elsewhere);
   drop_work(a.id, *o);
 }
@@ -493,7 +495,7 @@
 // The module's advice, spread in time while part of the fleet is missing.
 // And over the time that a return will still take: guards against callers that come together again and again
 // while there is nothing more to be had than the last time.
-Duration Edge::keep_off(Duration advised) {
+Duration Edge::retry_after(Duration advised) {
   const auto most = settings_.settings.max_advice.value_or(advised);
   if (course_ && course_->phase() != recovery::Phase::full && advised.count() > 0 && advised < most) {
     const auto window = std::min(most - advised, course_->left(now_.steady) / 4);
@@ -520,7 +522,7 @@
 }
 
 void Edge::apply(const Remember& a) {
-  if (const auto* o = find(a.id)) keys_.keep(o->request, a.id, now_.unix + a.keep_for);
+  if (const auto* o = find(a.id)) keys_.remember(o->request, a.id, now_.unix + a.keep_for);
 }
 
 void Edge::apply(const Forget& a) {
@@ -530,18 +532,18 @@
 void Edge::apply(const Reuse& a) {
   auto* o = find(a.id);
   if (!o || o->work != Work::held) return;
-  keys_.leave_hold(o->request, a.id);
+  keys_.remove_queued(o->request, a.id);
   o->work = Work::reusing;
   o->since = now_.steady;
-  if (const auto* run = keys_.any_run(o->request)) {
-    if (run->state != IdempotencyTable::RunState::going)
-      return settle_follower(a.id, run->state, run->result);
-    open_.at(run->by).followers.push_back(a.id);
+  if (const auto* run = keys_.find_run(o->request)) {
+    if (run->state != IdempotencyTable::RunState::running)
+      return settle_follower(a.id, run->state, run->payload);
+    open_.at(run->attempt).followers.push_back(a.id);
     return;
   }
   auto* original = o->repeats ? find(*o->repeats) : nullptr;
   if (!original || (original->work != Work::held && original->work != Work::gathering))
-    return settle_follower(a.id, IdempotencyTable::RunState::bad, nullptr);
+    return settle_follower(a.id, IdempotencyTable::RunState::failed, nullptr);
   original->followers.push_back(a.id);
 }
 
@@ -560,7 +562,7 @@
 void Edge::apply(const SetTimer& a) {
   timers_.push({now_.steady + std::max(a.after, Duration(1)), timer_order_++, a.token});
 }
-void Edge::apply(const Log& a) { remark("module: " + a.text, "module"); }
+void Edge::apply(const Log& a) { log_event("module: " + a.text, "module"); }
 
 // ---- Calls below ----
 
@@ -586,7 +588,7 @@
   o.calling = true;
   o.since = now_.steady;
   gatherer_->begin(id, o.request.cls,
-                   {o.request.read, o.request.body, catalog_.classes[std::size_t(o.request.cls)]}, limit,
+                   {o.request.read_key, o.request.body, catalog_.classes[std::size_t(o.request.cls)]}, limit,
                    may_call, now_.steady);
   pass_on_calls();
 }
@@ -615,10 +617,10 @@
   if (gatherer_) gatherer_->fleet(news.view, now_.steady);
 }
 
-Edge::Standing Edge::standing(TimePoint now) const {
-  Standing s;
+MemberStatus Edge::member_status(TimePoint now) const {
+  MemberStatus s;
   if (gatherer_) s.endpoint_health = gatherer_->endpoint_health(now);
-  if (hint_) s.pressed = std::uint8_t(std::clamp(100 / (1 + std::max(*hint_, 0.0)), 0.0, 100.0));
+  if (hint_) s.load_percent = std::uint8_t(std::clamp(100 / (1 + std::max(*hint_, 0.0)), 0.0, 100.0));
   if (course_) {
     const auto full = course_->milestones().full;
     s.recovery_status = {
@@ -629,11 +631,11 @@
   const double warm_up = double(settings_.settings.warm_up.value_or(std::chrono::seconds(60)).count());
   const double part =
       settings_.settings.cold.value_or(true) ? double((now - born_).count()) / std::max(warm_up, 1.0) : 1;
-  s.warmth = std::uint8_t(100 * std::clamp(part, 0.0, 1.0));
+  s.warmth_percent = std::uint8_t(100 * std::clamp(part, 0.0, 1.0));
   const bool going = drain_from_ || lifecycle_.phase() == lifecycle::Phase::quiesced;
-  s.stage = going            ? membership::Stage::draining
-            : s.warmth < 100 ? membership::Stage::warming
-                             : membership::Stage::serving;
+  s.stage = going                    ? membership::Stage::draining
+            : s.warmth_percent < 100 ? membership::Stage::warming
+                                     : membership::Stage::serving;
   return s;
 }
 
@@ -655,9 +657,9 @@
     } else if (const auto* changed = std::get_if<deps::DependencyChanged>(&action)) {
       const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(changed->after).count();
       const auto& name = gatherer_->dependency(changed->dependency).name;
-      remark(name + (changed->out ? " is out: going on without it, and probing"
-                                  : " is back after " + std::to_string(ms) + " ms"),
-             changed->out ? "dependency_out" : "dependency_back", name);
+      log_event(name + (changed->out ? " is out: going on without it, and probing"
+                                     : " is back after " + std::to_string(ms) + " ms"),
+                changed->out ? "dependency_out" : "dependency_back", name);
     }
   }
   gatherer_->clear_actions();
@@ -685,15 +687,15 @@
   if (ended.required_parts_present) return begin_run(ended.id, *o);
   events_.emplace_back(RunEnded{ended.id, RunResult::error, {}});
   answer(*o, Outcome::failed);
-  end(ended.id, IdempotencyTable::RunState::bad, nullptr);
+  end(ended.id, IdempotencyTable::RunState::failed, nullptr);
 }
 
-Result Edge::product_of(Open& o, std::string result) {
+PayloadPtr Edge::product_of(Open& o, std::string result) {
   if (o.parts.empty() || !compose_)
-    return std::make_shared<const Product>(Product{std::move(result), {}, {}});
+    return std::make_shared<const Payload>(Payload{std::move(result), {}, {}});
   for (auto& part : o.parts)
     if (part.body && part.status != deps::PartStatus::fallback) part.age += now_.steady - o.gathered;
-  return std::make_shared<const Product>(compose_(std::move(result), o.parts));
+  return std::make_shared<const Payload>(compose_(std::move(result), o.parts));
 }
 
 // ---- Ends ----
@@ -703,48 +705,48 @@
   return it == open_.end() ? nullptr : &it->second;
 }
 
-void Edge::answer(Open& o, Outcome outcome, Result result, Duration backoff, bool last) {
+void Edge::answer(Open& o, Outcome outcome, PayloadPtr result, Duration backoff, bool last) {
   if (std::exchange(o.answered, true)) return;
   --unanswered_;
   if (course_) course_->answered(outcome == Outcome::served, now_.steady);
-  out_.emplace_back(Answer{o.request.from, outcome, std::move(result), hint_, backoff, last});
+  out_.emplace_back(Response{o.request.reply_to, outcome, std::move(result), hint_, backoff, last});
 }
 
-void Edge::turn_away(const Origin& to) {
-  out_.emplace_back(Answer{to, Outcome::refused, nullptr, hint_, {}, false});
+void Edge::reject(const ReplyAddress& to) {
+  out_.emplace_back(Response{to, Outcome::rejected, nullptr, hint_, {}, false});
 }
 
-void Edge::finish_run(RequestId id, RunResult how, Duration took, Result result) {
+void Edge::finish_run(RequestId id, RunResult how, Duration took, PayloadPtr result) {
   auto& o = open_.at(id);
   events_.emplace_back(RunEnded{id, how, took});
   if (course_ && how != RunResult::moot)
     course_->ran(
-        how == RunResult::ok && !o.answered && now_.unix - o.request.reached <= aim_of(o.request.cls),
+        how == RunResult::ok && !o.answered && now_.unix - o.request.arrived_at <= aim_of(o.request.cls),
         now_.steady);
   answer(o, how == RunResult::ok ? Outcome::served : Outcome::failed, result);
-  end(id, how == RunResult::ok ? IdempotencyTable::RunState::good : IdempotencyTable::RunState::bad,
+  end(id, how == RunResult::ok ? IdempotencyTable::RunState::succeeded : IdempotencyTable::RunState::failed,
       std::move(result));
 }
 
-void Edge::settle_follower(RequestId id, IdempotencyTable::RunState state, const Result& result) {
+void Edge::settle_follower(RequestId id, IdempotencyTable::RunState state, const PayloadPtr& result) {
   auto* o = find(id);
   if (!o) return;
-  const bool good = state == IdempotencyTable::RunState::good;
+  const bool good = state == IdempotencyTable::RunState::succeeded;
   events_.emplace_back(RunEnded{id, good ? RunResult::ok : RunResult::error, now_.steady - o->since});
   answer(*o, good ? Outcome::served : Outcome::failed, result);
   end(id, state, nullptr);
 }
 
-void Edge::end(RequestId id, IdempotencyTable::RunState state, Result result) {
+void Edge::end(RequestId id, IdempotencyTable::RunState state, PayloadPtr result) {
   auto node = open_.extract(id);
   auto& o = node.mapped();
   by_rid_.erase(o.request.rid);
-  if (const auto theirs = by_peer_.find(o.request.from.peer); theirs != by_peer_.end()) {
+  if (const auto theirs = by_peer_.find(o.request.reply_to.peer); theirs != by_peer_.end()) {
     std::erase(theirs->second, id);
     if (theirs->second.empty()) by_peer_.erase(theirs);
   }
-  keys_.ended(o.request, id, state, result);
-  keys_.leave_hold(o.request, id);
+  keys_.record_end(o.request, id, state, result);
+  keys_.remove_queued(o.request, id);
   if (!o.ran) keys_.forget(o.request, id);
   for (const auto follower : o.followers) settle_follower(follower, state, result);
 }
@@ -755,15 +757,17 @@
   return i < classes.size() ? classes[i].aim.value_or(Duration::max()) : Duration::max();
 }
 
-Duration Edge::longest_span() const {
+Duration Edge::longest_key_retention() const {
   Duration longest{};
   for (std::size_t i = 0; i < catalog_.classes.size(); ++i)
-    if (catalog_.is_keyed(ClassId(i))) longest = std::max(longest, keys_.span(ClassId(i)));
+    if (catalog_.requires_idempotency_key(ClassId(i)))
+      longest = std::max(longest, keys_.retention(ClassId(i)));
   return longest;
 }
 
 void Edge::report_health() {
-  if (lifecycle_.reports() && (module_ || drain_from_)) out_.emplace_back(LoadReport{fit() && !drain_from_});
+  if (lifecycle_.publishes_load_reports() && (module_ || drain_from_))
+    out_.emplace_back(LoadReport{healthy() && !drain_from_});
 }
 
 }  // namespace granitegap::edge
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -1,11 +1,21 @@
-// The protocol-neutral tile server: open requests, keys, timers, health and drain round the decision module.
-// It reads no clock and does no I/O; a front end hands in Requests and receives Answers.
+// The protocol-neutral core of the tile server: admits, runs and answers requests. It keeps the open
+// requests, the idempotency keys, the timers, and the state of health, drain and recovery around the
+// admission controller, which takes the decisions.
 //
-// Each request has one owner, its entry here, and one state. It leaves when its work is over and its answer
-// given; an answer is made in one place only, and only once.
+// It reads no clock and does no I/O: whoever owns it hands in Inputs with the time, and carries out the
+// Outputs in order. Everything is exchanged by value.
+//
+// Each open request has one owner, its entry here, and one state. The entry goes when the work for it is over
+// and its response given; a response is made in one place only, and only once.
+//
+// Threads: one thread at a time, with no call during another. Errors: none are thrown for what an input
+// holds; inputs about unknown or finished requests are ignored.
 #pragma once
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <map>
+#include <memory>
 #include <optional>
 #include <queue>
 #include <random>
@@ -18,65 +28,79 @@
 #include "edge/types.h"
 #include "granitegap/policy.h"
 #include "lifecycle/lifecycle.h"
+#include "recovery/recovery_controller.h"
 #include "settings/settings.h"
 
 namespace granitegap::edge {
 
+// How one process at a shared listening socket leases an idempotency key before it runs the request.
+struct KeyLeaseHooks {
+  // Whether this process now holds the lease, so that the request may run here. The lease lasts for
+  // `retention`, counted from the request's arrival.
+  std::function<bool(const Request& request, Duration retention, UnixTime now)> acquire;
+  // Gives the lease back: the request never ran.
+  std::function<void(const Request& request)> release;
+};
+
+// What this process publishes of itself to its fleet.
+struct MemberStatus {
+  membership::Stage stage = membership::Stage::starting;
+  std::uint8_t warmth_percent = 0;  // 100: warmed up
+  std::uint8_t load_percent = 0;    // from the credit advertised; 100: no capacity is left
+  std::vector<membership::EndpointHealth> endpoint_health;
+  membership::RecoveryStatus recovery_status;
+};
+
 class Edge {
  public:
+  // `seed` feeds all random choices: the same inputs then give the same outputs.
   Edge(ParsedSettings settings, NameRegistry catalog, std::uint64_t seed);
 
-  // Has classes gather parts from the services below; before the first step. `compose` makes one answer of
-  // the kernel's result and the parts.
-  using Compose = std::function<Product(std::string result, const std::vector<GatheredPart>& parts)>;
-  void declare(std::shared_ptr<const deps::Spec> spec, Compose compose, bool guarded = true);
-
-  // Keyed requests wait out what an earlier life may have run; before the first step. `margin` and the like
-  // are the rules' own, windows come from the settings.
-  void wait_out_lost_memory(Duration max_clock_back, bool has_folder, TimePoint started);
-
-  // How it comes back is guided: before the first step.
-  void guide_return(const recovery::RecoveryOptions& rules, TimePoint started);
-  const recovery::RecoveryController* course() const { return course_ ? &*course_ : nullptr; }
-
-  // Another process may stand at the same door: keyed requests are claimed for all of them before they run.
-  // Before the first step. `claim` is false where it must not run here; its window, counted from `reached`,
-  // and margin are `span`.
-  struct KeyLeaseHooks {
-    std::function<bool(const Request& request, Duration span, UnixTime now)> claim;
-    std::function<void(const Request& request)> never_ran;
-  };
-  void claim_keyed(KeyLeaseHooks hooks) { claims_ = std::move(hooks); }
-  Duration longest_span() const;  // of the keyed classes
+  // ---- Optional parts; each at most once, before the first step ----
+
+  // Makes one payload of the kernel's result and the gathered parts.
+  using Compose = std::function<Payload(std::string result, const std::vector<GatheredPart>& parts)>;
+  // Has classes gather parts from downstream dependencies before they run. With `guarded` false there are no
+  // retry budgets, limits or circuit breakers: a baseline for measurements.
+  void enable_dependencies(std::shared_ptr<const deps::Spec> spec, Compose compose, bool guarded = true);
+  // Rejects requests with an idempotency key for as long as an earlier incarnation may have run them.
+  // `max_clock_back`: how far the wall clock may have been set back. `has_folder`: whether a shutdown record
+  // may exist.
+  void enable_restart_quarantine(Duration max_clock_back, bool has_folder, TimePoint started);
+  // Limits admission while this process recovers from a restart.
+  void enable_recovery_ramp(const recovery::RecoveryOptions& options, TimePoint started);
+  // Another process may serve at the same listening socket: keys are leased before their requests run.
+  void set_key_lease_hooks(KeyLeaseHooks hooks) { key_leases_ = std::move(hooks); }
+
+  // ---- Work ----
 
-  // The one state that all who tell others of this process read. Whoever changes it hands in a
-  // LifecycleChanged, so that the list hears of it.
+  // Handles all inputs since the last step, in order. Returns what to do now, in order.
+  [[nodiscard]] std::vector<Output> step(Now now, std::vector<Input> inputs);
+  // When the next step is due without an input; nothing: not before one comes.
+  [[nodiscard]] std::optional<TimePoint> next_timer();
+
+  // ---- State, for the components around ----
+
+  // What operators and the process end have set. Whoever changes it hands in a LifecycleChanged.
   lifecycle::Lifecycle& lifecycle() { return lifecycle_; }
   const lifecycle::Lifecycle& lifecycle() const { return lifecycle_; }
-  // Whether checks hear good of it.
-  bool fit() const { return good_ && lifecycle_.welcomes(); }
-  // The module holds its machine unfit, whatever operators say.
-  bool held_unfit() const { return !good_; }
-
-  // All that came since the last step, in order; what is to be done now, in order.
-  std::vector<Output> step(Now now, std::vector<Input> inputs);
-  std::optional<TimePoint> next_timer();
-  // Nothing is owed: no request here waits for its answer.
-  bool owes_nothing() const { return unanswered_ == 0; }
-  std::size_t open_requests() const { return open_.size(); }
-  // What this process may say of itself to its fleet.
-  struct Standing {
-    membership::Stage stage = membership::Stage::starting;
-    std::uint8_t warmth = 0, pressed = 0;  // in 100
-    std::vector<membership::EndpointHealth> endpoint_health;
-    membership::RecoveryStatus recovery_status;
-  };
-  Standing standing(TimePoint now) const;
-  // How long keyed requests still wait for what an earlier life may have run; the greatest where no end is
-  // seen.
-  Duration keyed_wait(TimePoint now) const;
-  // What another life of this process could use.
-  warm_state::WarmState learned(TimePoint now) const;
+  // Whether health checks succeed.
+  [[nodiscard]] bool healthy() const { return good_ && lifecycle_.accepts_traffic(); }
+  // The admission controller reports bad health, whatever operators have set.
+  [[nodiscard]] bool controller_unhealthy() const { return !good_; }
+  // Every request has got its response.
+  [[nodiscard]] bool has_no_pending_responses() const { return unanswered_ == 0; }
+  // Requests whose work is not over yet, answered or not.
+  [[nodiscard]] std::size_t open_requests() const { return open_.size(); }
+  // Null without a recovery ramp. Valid as long as the edge.
+  [[nodiscard]] const recovery::RecoveryController* recovery() const { return course_ ? &*course_ : nullptr; }
+  [[nodiscard]] MemberStatus member_status(TimePoint now) const;
+  // How long the restart quarantine lasts from `now`; Duration::max() where its end is not known yet.
+  [[nodiscard]] Duration key_quarantine_left(TimePoint now) const;
+  // The longest time for which a key must not run again, over all classes.
+  [[nodiscard]] Duration longest_key_retention() const;
+  // What another incarnation of this process, or another member, can start from.
+  [[nodiscard]] warm_state::WarmState export_warm_state(TimePoint now) const;
 
  private:
   // gathering: the module let it run, and what it needs from below is asked for first.
@@ -101,7 +125,7 @@
   };
 
   void on(Request request);
-  void on(const UnusableRequest& request) { turn_away(request.from); }
+  void on(const MalformedRequest& request) { reject(request.reply_to); }
   void on(const HealthCheck& check);
   void on(const PeerDisconnected& gone);
   void on(const RequestCancelled& withdrawn);
@@ -112,18 +136,18 @@
   void on(const DependencyCallRequested& wanted);
   void on(const CommandRejected& rejected);
   void on(const Gauges& gauges);
-  void on(const DeepCheckDone& done);
+  void on(const DeepHealthCheckResult& done);
   void on(const deps::CallReport& report);
   void on(const DependencySpecUpdate& fresh);
   void on(const MembershipUpdate& news);
   void on(const PreviousIncarnationFound& news);
   void on(const WarmStateReceived& news);
   void on(const StateTransferFinished& over);
-  void on(const Closing& closing);
+  void on(const AdmissionClosed& closing);
   void on(const CacheFillQuery& asked);
   void mind_course();
   void tell_course();
-  bool waits_out(const Request& request);
+  bool reject_quarantined(const Request& request);
   void say_how_long();
   void fire_timers();
 
@@ -150,21 +174,22 @@
   void gather_ended(const deps::GatherEnded& ended);
   void begin_run(RequestId id, Open& o);
   void drop_work(RequestId id, Open& o);
-  Result product_of(Open& o, std::string result);
+  PayloadPtr product_of(Open& o, std::string result);
   Open* find(RequestId id);
   bool untimely(const Request& request) const;
   bool past_grace() const;
   void abandon(RequestId id, Open& o);
-  void answer(Open& o, Outcome outcome, Result result = nullptr, Duration backoff = {}, bool last = false);
-  void turn_away(const Origin& to);
-  void end(RequestId id, IdempotencyTable::RunState state, Result result);
-  void settle_follower(RequestId id, IdempotencyTable::RunState state, const Result& result);
+  void answer(Open& o, Outcome outcome, PayloadPtr result = nullptr, Duration backoff = {},
+              bool last = false);
+  void reject(const ReplyAddress& to);
+  void end(RequestId id, IdempotencyTable::RunState state, PayloadPtr result);
+  void settle_follower(RequestId id, IdempotencyTable::RunState state, const PayloadPtr& result);
   void never_ran(const Open& o, RequestId id);
-  void finish_run(RequestId id, RunResult how, Duration took, Result result);
+  void finish_run(RequestId id, RunResult how, Duration took, PayloadPtr result);
   void report_health();
   Duration aim_of(ClassId cls) const;
-  Duration keep_off(Duration advised);
-  void remark(std::string text, std::string_view event, std::string subject = {}) {
+  Duration retry_after(Duration advised);
+  void log_event(std::string text, std::string_view event, std::string subject = {}) {
     out_.emplace_back(LogEvent{std::move(text), event, std::move(subject)});
   }
   template <class C>
@@ -188,12 +213,12 @@
   std::map<RequestId, std::uint64_t> fills_;  // asked by other members: their tags
   Compose compose_;
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
-  std::map<std::uint64_t, Origin> deep_checks_;
+  std::map<std::uint64_t, ReplyAddress> deep_checks_;
   std::vector<float> gauges_;
   TimePoint gauges_at_, swept_at_;
   std::optional<double> hint_;
   lifecycle::Lifecycle lifecycle_;
-  KeyLeaseHooks claims_;
+  KeyLeaseHooks key_leases_;
   std::optional<UnixTime> drain_from_;
   struct Fleet {
     double missing = 0;  // share of the agreed fleet
--- a/src/edge/edge_actor.cpp
+++ b/src/edge/edge_actor.cpp
@@ -8,7 +8,7 @@
 
 // A request is 4 KiB at most, so that a full mailbox takes about a quarter of the memory. Guards against a
 // flood that is read faster than it is decided on.
-constexpr std::size_t kMailPerMb = 64;
+constexpr std::size_t kMessagesPerMb = 64;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
 
 EdgeActor::EdgeActor(const boost::asio::any_io_executor& executor, Edge edge, std::size_t memory_mb,
                      Dispatch dispatch, Clocks clocks)
-    : mailbox_(executor, memory_mb * kMailPerMb),
+    : mailbox_(executor, memory_mb * kMessagesPerMb),
       edge_(std::move(edge)),
       dispatch_(std::move(dispatch)),
       clocks_(std::move(clocks)) {}
@@ -30,12 +30,12 @@
   while (!mailbox_.closed()) {
     const auto timer = edge_.next_timer();
     const auto until = timer ? Clock::time_point(timer->time_since_epoch()) : Clock::time_point::max();
-    auto mail = co_await mailbox_.take(until);
-    // Lets all that is ready in, as one batch; and guards against a module so busy that its timers are always
-    // due, which would never let a socket be served.
+    auto inputs = co_await mailbox_.take(until);
+    // Lets everything that is ready join the batch; and guards against a controller so busy that its timers
+    // are always due, which would never let a socket be served.
     co_await boost::asio::post(boost::asio::use_awaitable);
-    for (auto& more : co_await mailbox_.take(Clock::time_point::min())) mail.push_back(std::move(more));
-    for (auto& output : edge_.step(clocks_(), std::move(mail))) dispatch_(std::move(output));
+    for (auto& input : co_await mailbox_.take(Clock::time_point::min())) inputs.push_back(std::move(input));
+    for (auto& output : edge_.step(clocks_(), std::move(inputs))) dispatch_(std::move(output));
   }
 }
 
--- a/src/edge/idempotency_table.cpp
+++ b/src/edge/idempotency_table.cpp
@@ -6,100 +6,115 @@
 namespace granitegap::edge {
 namespace {
 
-// A try is stamped in whole milliseconds and its window is judged 50 ms wider; the rest is for the time
+// An attempt is stamped in whole milliseconds and its window is judged 50 ms wider; the rest is for the time
 // between its writing and its reading here. Guards against running what was written inside the window.
 constexpr Duration kWindowMargin = std::chrono::seconds(1);
 
+std::size_t hash_of(const std::string& body) { return std::hash<std::string>{}(body); }
+
 }  // namespace
 
-IdempotencyTable::Key* IdempotencyTable::find(const Request& request) {
-  const auto it = keys_.find({request.cls, request.token});
+bool IdempotencyTable::is_empty(const Entry& entry) {
+  return entry.queued.empty() && !entry.remembered && !entry.run;
+}
+
+IdempotencyTable::Entry* IdempotencyTable::find(const Request& request) {
+  const auto it = keys_.find({request.cls, request.idempotency_key});
   return it == keys_.end() ? nullptr : &it->second;
 }
-const IdempotencyTable::Key* IdempotencyTable::find(const Request& request) const {
-  const auto it = keys_.find({request.cls, request.token});
+
+const IdempotencyTable::Entry* IdempotencyTable::find(const Request& request) const {
+  const auto it = keys_.find({request.cls, request.idempotency_key});
   return it == keys_.end() ? nullptr : &it->second;
 }
 
-bool IdempotencyTable::other_body(const Request& request) const {
-  const auto* key = request.token.empty() ? nullptr : find(request);
-  return key && key->body != std::hash<std::string>{}(request.body);
+bool IdempotencyTable::has_different_body(const Request& request) const {
+  if (request.idempotency_key.empty()) return false;
+  const auto* entry = find(request);
+  return entry && entry->body_hash != hash_of(request.body);
 }
 
-std::optional<RequestId> IdempotencyTable::arrive(const Request& request, RequestId id, std::uint64_t batch) {
-  if (request.token.empty()) return std::nullopt;
-  auto& key = keys_[{request.cls, request.token}];
-  key.body = std::hash<std::string>{}(request.body);
-  std::optional<RequestId> same;
-  if (key.entry && request.reached <= key.entry->until) {
-    const auto holder = key.entry->holder;
-    const bool held = std::any_of(key.held.begin(), key.held.end(), [&](auto& h) { return h.id == holder; });
-    if (held || key.run) same = holder;
-  } else if (key.run && request.reached <= key.run->reached + rules(request.cls).window) {
-    same = key.run->by;
+std::optional<RequestId> IdempotencyTable::add_attempt(const Request& request, RequestId id,
+                                                       std::uint64_t batch) {
+  if (request.idempotency_key.empty()) return std::nullopt;
+  auto& entry = keys_[{request.cls, request.idempotency_key}];
+  entry.body_hash = hash_of(request.body);
+  std::optional<RequestId> original;
+  if (entry.remembered && request.arrived_at <= entry.remembered->until) {
+    const auto attempt = entry.remembered->attempt;
+    const bool is_queued = std::any_of(entry.queued.begin(), entry.queued.end(),
+                                       [&](const Queued& queued) { return queued.id == attempt; });
+    if (is_queued || entry.run) original = attempt;
+  } else if (entry.run && request.arrived_at <= entry.run->arrived_at + rules(request.cls).window) {
+    original = entry.run->attempt;
+  }
+  if (!original) {
+    const auto same_batch = std::find_if(entry.queued.begin(), entry.queued.end(),
+                                         [&](const Queued& queued) { return queued.batch == batch; });
+    if (same_batch != entry.queued.end()) original = same_batch->id;
   }
-  if (!same)
-    for (const auto& h : key.held)
-      if (h.batch == batch && !same) same = h.id;
-  key.held.push_back({id, batch});
-  return same;
+  entry.queued.push_back({id, batch});
+  return original;
 }
 
-void IdempotencyTable::keep(const Request& request, RequestId id, UnixTime until) {
-  if (request.token.empty()) return;
-  keys_[{request.cls, request.token}].entry = Entry{id, until};
+void IdempotencyTable::remember(const Request& request, RequestId id, UnixTime until) {
+  if (request.idempotency_key.empty()) return;
+  keys_[{request.cls, request.idempotency_key}].remembered = Remembered{id, until};
 }
 
 void IdempotencyTable::forget(const Request& request, RequestId id) {
-  if (auto* key = find(request); key && key->entry && key->entry->holder == id) key->entry.reset();
+  auto* entry = find(request);
+  if (entry && entry->remembered && entry->remembered->attempt == id) entry->remembered.reset();
 }
 
-void IdempotencyTable::leave_hold(const Request& request, RequestId id) {
-  auto* key = find(request);
-  if (!key) return;
-  std::erase_if(key->held, [&](const auto& h) { return h.id == id; });
-  if (key->held.empty() && !key->entry && !key->run) keys_.erase({request.cls, request.token});
+void IdempotencyTable::remove_queued(const Request& request, RequestId id) {
+  auto* entry = find(request);
+  if (!entry) return;
+  std::erase_if(entry->queued, [&](const Queued& queued) { return queued.id == id; });
+  if (is_empty(*entry)) keys_.erase({request.cls, request.idempotency_key});
 }
 
-void IdempotencyTable::started(const Request& request, RequestId id) {
-  if (request.token.empty()) return;
-  auto& key = keys_[{request.cls, request.token}];
-  key.run = Run{id, request.reached, RunState::going, nullptr};
-  std::erase_if(key.held, [&](const auto& h) { return h.id == id; });
+void IdempotencyTable::record_start(const Request& request, RequestId id) {
+  if (request.idempotency_key.empty()) return;
+  auto& entry = keys_[{request.cls, request.idempotency_key}];
+  entry.run = Run{id, request.arrived_at, RunState::running, nullptr};
+  std::erase_if(entry.queued, [&](const Queued& queued) { return queued.id == id; });
 }
 
-void IdempotencyTable::ended(const Request& request, RequestId id, RunState state, Result result) {
-  auto* key = find(request);
-  if (!key || !key->run || key->run->by != id) return;
-  key->run->state = state;
-  key->run->result = std::move(result);
+void IdempotencyTable::record_end(const Request& request, RequestId id, RunState state, PayloadPtr payload) {
+  auto* entry = find(request);
+  if (!entry || !entry->run || entry->run->attempt != id) return;
+  entry->run->state = state;
+  entry->run->payload = std::move(payload);
 }
 
-void IdempotencyTable::never_ran(const Request& request, RequestId id) {
-  if (auto* key = find(request); key && key->run && key->run->by == id) key->run.reset();
+void IdempotencyTable::discard_run(const Request& request, RequestId id) {
+  auto* entry = find(request);
+  if (entry && entry->run && entry->run->attempt == id) entry->run.reset();
 }
 
-const IdempotencyTable::Run* IdempotencyTable::any_run(const Request& request) const {
-  const auto* key = find(request);
-  return key && key->run ? &*key->run : nullptr;
+const IdempotencyTable::Run* IdempotencyTable::find_run(const Request& request) const {
+  const auto* entry = find(request);
+  return entry && entry->run ? &*entry->run : nullptr;
 }
 
-Duration IdempotencyTable::span(ClassId cls) const { return rules(cls).window + kWindowMargin; }
+Duration IdempotencyTable::retention(ClassId cls) const { return rules(cls).window + kWindowMargin; }
 
-const IdempotencyTable::Run* IdempotencyTable::covering_run(const Request& request) const {
-  const auto* run = any_run(request);
-  return run && request.reached <= run->reached + span(request.cls) ? run : nullptr;
+const IdempotencyTable::Run* IdempotencyTable::run_within_window(const Request& request) const {
+  const auto* run = find_run(request);
+  return run && request.arrived_at <= run->arrived_at + retention(request.cls) ? run : nullptr;
 }
 
-void IdempotencyTable::sweep(UnixTime now) {
+void IdempotencyTable::expire(UnixTime now) {
   for (auto it = keys_.begin(); it != keys_.end();) {
-    auto& [name, key] = *it;
-    const auto& rule = rules(name.first);
-    if (key.entry && key.entry->until + rule.linger < now) key.entry.reset();
-    if (key.run && key.run->state != RunState::going && !key.entry &&
-        key.run->reached + rule.window + kWindowMargin + rule.linger < now)
-      key.run.reset();
-    it = !key.entry && !key.run && key.held.empty() ? keys_.erase(it) : std::next(it);
+    auto& [key, entry] = *it;
+    const auto& rule = rules(key.first);
+    if (entry.remembered && entry.remembered->until + rule.max_read_delay < now) entry.remembered.reset();
+    const bool run_is_over = entry.run && entry.run->state != RunState::running;
+    if (run_is_over && !entry.remembered &&
+        entry.run->arrived_at + rule.window + kWindowMargin + rule.max_read_delay < now)
+      entry.run.reset();
+    it = is_empty(entry) ? keys_.erase(it) : std::next(it);
   }
 }
 
--- a/src/edge/idempotency_table.h
+++ b/src/edge/idempotency_table.h
@@ -1,70 +1,92 @@
-// The table of keyed requests: which tries are one request, which of them ran and with what result.
+// The table of idempotency keys: which attempts are one request, which of them ran, and with what payload.
+//
+// A key is unique within its class. All attempts with the same key are one request; of these at most one runs
+// within the class's window, counted from the arrival of the attempt that ran. The others get its payload.
+//
+// Threads: not safe for concurrent calls. Ownership: payloads are shared with the responses that carry them.
+// Errors: calls about a request without a key, or about an unknown one, change nothing.
 #pragma once
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
 #include <utility>
+#include <vector>
 
-#include "edge/types.h"
+#include "edge/request.h"
 
 namespace granitegap::edge {
 
 class IdempotencyTable {
  public:
-  enum class RunState : std::uint8_t { going, good, bad };
+  enum class RunState : std::uint8_t { running, succeeded, failed };
+  // The run that counts for a key.
   struct Run {
-    RequestId by{};
-    UnixTime reached;  // the machine; the window counts from here
-    RunState state = RunState::going;
-    Result result;
+    RequestId attempt{};  // the one that ran
+    UnixTime arrived_at;  // of that attempt; the window counts from here
+    RunState state = RunState::running;
+    PayloadPtr payload;  // null unless succeeded
   };
+  // Of one class.
   struct Rules {
-    Duration window{};  // no second run within it
-    Duration linger{};  // how late a repeat that came in time may still be read
+    Duration window{};          // no second run of a key within it
+    Duration max_read_delay{};  // how long after its arrival an attempt may still be read
   };
+  // One entry by class id; every request handed in must be of one of these classes.
   explicit IdempotencyTable(std::vector<Rules> by_class) : rules_(std::move(by_class)) {}
 
-  // The try that this one repeats, and from here on this one counts as held. `batch` links two tries that
-  // are handled together even where neither is kept.
-  // Another body under a token in use: no try of that request, whatever its token says.
-  bool other_body(const Request& request) const;
-  std::optional<RequestId> arrive(const Request& request, RequestId id, std::uint64_t batch);
-  void keep(const Request& request, RequestId id, UnixTime until);
+  // Whether the key is in use with another body: the request is then no attempt at what the key stands for.
+  [[nodiscard]] bool has_different_body(const Request& request) const;
+  // Takes in an attempt, which counts as queued from here on. Returns the attempt that it repeats, if any:
+  // the one remembered, the one that ran, or one that came in the same `batch`.
+  std::optional<RequestId> add_attempt(const Request& request, RequestId id, std::uint64_t batch);
+  // Has later attempts that arrive by `until` be repeats of this one.
+  void remember(const Request& request, RequestId id, UnixTime until);
+  // Undoes remember(), if it was for this attempt.
   void forget(const Request& request, RequestId id);
-  void leave_hold(const Request& request, RequestId id);  // it runs now, or it is over
-  void started(const Request& request, RequestId id);
-  void ended(const Request& request, RequestId id, RunState state, Result result);
-  void never_ran(const Request& request, RequestId id);  // the kernel did not carry its start out
+  // The attempt has left the queue: it runs now, or it is over.
+  void remove_queued(const Request& request, RequestId id);
+  void record_start(const Request& request, RequestId id);
+  void record_end(const Request& request, RequestId id, RunState state, PayloadPtr payload);
+  // The kernel never ran the attempt recorded as started: the key may run again.
+  void discard_run(const Request& request, RequestId id);
 
-  // The run whose window covers this try: it must not run again.
-  const Run* covering_run(const Request& request) const;
-  const Run* any_run(const Request& request) const;
-  // From a run's stamp on, how long no other try runs.
-  Duration span(ClassId cls) const;
-  void sweep(UnixTime now);
-  std::size_t size() const { return keys_.size(); }
+  // The run in whose window this attempt arrived, with a margin: the attempt must not run. Null: none. The
+  // pointer is valid until the next call that changes the table.
+  [[nodiscard]] const Run* run_within_window(const Request& request) const;
+  // The latest run of the key, however long ago; null: none. Valid as above.
+  [[nodiscard]] const Run* find_run(const Request& request) const;
+  // How long after the arrival of the attempt that ran no other one runs: the window and a margin.
+  [[nodiscard]] Duration retention(ClassId cls) const;
+  // Drops what no attempt can refer to any more.
+  void expire(UnixTime now);
+  [[nodiscard]] std::size_t size() const { return keys_.size(); }
 
  private:
-  struct Entry {
-    RequestId holder{};
+  struct Remembered {
+    RequestId attempt{};
     UnixTime until;
   };
-  struct Held {
+  struct Queued {
     RequestId id{};
     std::uint64_t batch = 0;
   };
-  struct Key {
-    std::optional<Entry> entry;
+  struct Entry {
+    std::optional<Remembered> remembered;
     std::optional<Run> run;
-    std::vector<Held> held;  // in order of arrival
-    std::size_t body = 0;    // its hash, the same for all tries
+    std::vector<Queued> queued;  // in order of arrival
+    std::size_t body_hash = 0;   // the same for all attempts
   };
-  using Name = std::pair<ClassId, std::string>;
+  using Key = std::pair<ClassId, std::string>;
+
+  static bool is_empty(const Entry& entry);
   const Rules& rules(ClassId cls) const { return rules_.at(std::size_t(cls)); }
-  Key* find(const Request& request);
-  const Key* find(const Request& request) const;
+  Entry* find(const Request& request);
+  const Entry* find(const Request& request) const;
+
   std::vector<Rules> rules_;
-  std::map<Name, Key> keys_;
+  std::map<Key, Entry> keys_;
 };
 
 }  // namespace granitegap::edge
--- a/src/edge/types.cpp
+++ b/src/edge/name_registry.cpp
@@ -1,4 +1,4 @@
-#include "edge/types.h"
+#include "edge/name_registry.h"
 
 #include <algorithm>
 
--- /dev/null
+++ b/src/edge/name_registry.h
@@ -0,0 +1,32 @@
+// The names of request classes and tenants in the platform's settings, and their ids.
+//
+// A plain value: safe to read from any thread once built. Nothing here throws.
+#pragma once
+#include <cstddef>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "granitegap/policy.h"
+
+namespace granitegap::edge {
+
+// The id of a class or a tenant is its position in the list.
+struct NameRegistry {
+  std::vector<std::string> classes;
+  std::vector<std::string> tenants;
+  std::vector<bool> key_required;  // by class: its requests carry an idempotency key
+
+  // The id of the class with this name; nothing for an unknown name.
+  [[nodiscard]] std::optional<ClassId> find_class(std::string_view name) const;
+  // The id of the tenant with this name. For an empty or unknown name the id is one past the list, which the
+  // admission controller reads as "no tenant of its own".
+  [[nodiscard]] TenantId find_tenant(std::string_view name) const;
+  // Whether requests of the class are idempotent by key, so that all attempts at one request share a key.
+  [[nodiscard]] bool requires_idempotency_key(ClassId id) const {
+    return std::size_t(id) < key_required.size() && key_required[std::size_t(id)];
+  }
+};
+
+}  // namespace granitegap::edge
--- a/src/frames/frames.cpp
+++ b/src/frames/frames.cpp
@@ -177,7 +177,7 @@
   if (type != kCheck) return BadStream{"frame of unknown type " + std::to_string(type)};
   edge::HealthCheck check{{peer_, stream}, false};
   const bool whole = read_fields(payload, [&](std::string_view name, std::string_view value) {
-    if (name == "full") check.full = value == "1";
+    if (name == "full") check.deep = value == "1";
   });
   if (!whole) return BadStream{"health check with broken fields"};
   return check;
@@ -185,7 +185,7 @@
 
 Message Reader::decode_request(std::uint32_t stream, std::string_view payload) const {
   edge::Request r;
-  r.from = {peer_, stream};
+  r.reply_to = {peer_, stream};
   r.tenant = catalog_->find_tenant({});
   std::optional<ClassId> cls;
   bool has_time = false, has_memory = false;
@@ -204,7 +204,7 @@
       const auto ms = to_number<std::int64_t>(value, 10);
       need(plain_digits(value) && ms && *ms < (std::int64_t(1) << 50), "t0");
       has_time = true;
-      if (!bad) r.reached = edge::UnixTime(std::chrono::milliseconds(*ms));
+      if (!bad) r.arrived_at = edge::UnixTime(std::chrono::milliseconds(*ms));
     } else if (name == "peer") {
       const auto number = to_number<std::uint32_t>(value, 10);
       need(plain_digits(value) && number, "peer");
@@ -227,11 +227,11 @@
       need(rank && *rank < 1, "prio");
     } else if (name == "token") {
       need(!value.empty() && value.size() <= kMaxToken, "token");
-      r.token = value;
+      r.idempotency_key = value;
     } else if (name == "obj") {
       const auto object = to_number<std::uint64_t>(value, 16);
       need(object.has_value(), "obj");
-      r.read = object.value_or(0);
+      r.read_key = object.value_or(0);
     }
   });
   if (!whole) return BadRequest{stream, "broken fields"};
@@ -240,36 +240,36 @@
   if (!bad && !has_time) bad = "t0";
   if (!bad && !has_memory) bad = "mem";
   // Without a token nothing could tell its tries apart, so it could run twice.
-  if (!bad && catalog_->is_keyed(*cls) && r.token.empty()) bad = "token";
+  if (!bad && catalog_->requires_idempotency_key(*cls) && r.idempotency_key.empty()) bad = "token";
   if (bad) return BadRequest{stream, std::string("missing or unusable field ") + bad};
   if (payload.size() > kMaxBody) return BadRequest{stream, "body too large"};
   r.cls = *cls;
-  if (!catalog_->is_keyed(r.cls)) r.token.clear();
+  if (!catalog_->requires_idempotency_key(r.cls)) r.idempotency_key.clear();
   r.body = payload;
   return r;
 }
 
-void encode(const edge::Answer& answer, std::string& to) {
+void encode(const edge::Response& answer, std::string& to) {
   FrameWriter frame(to, kAnswer, answer.to.stream);
   put(to, std::uint32_t(answer.outcome), 1);
   FieldWriter fields(to);
-  if (answer.hint) fields.add("hint", number_text(*answer.hint));
-  if (answer.outcome == edge::Outcome::refused) {
-    const auto backoff = std::chrono::ceil<std::chrono::milliseconds>(answer.backoff).count();
+  if (answer.credit_hint) fields.add("hint", number_text(*answer.credit_hint));
+  if (answer.outcome == edge::Outcome::rejected) {
+    const auto backoff = std::chrono::ceil<std::chrono::milliseconds>(answer.retry_after).count();
     if (backoff > 0) fields.add("backoff", std::to_string(backoff));
-    if (answer.last) fields.add("final", "1");
+    if (answer.do_not_retry_elsewhere) fields.add("final", "1");
   }
-  if (answer.outcome != edge::Outcome::served || !answer.result) return;
-  if (!answer.result->parts.empty()) fields.add("parts", answer.result->parts);
-  if (!answer.result->missing.empty()) fields.add("missing", answer.result->missing);
-  to += answer.result->bytes;
+  if (answer.outcome != edge::Outcome::served || !answer.payload) return;
+  if (!answer.payload->present_parts.empty()) fields.add("parts", answer.payload->present_parts);
+  if (!answer.payload->missing_parts.empty()) fields.add("missing", answer.payload->missing_parts);
+  to += answer.payload->bytes;
 }
 
-void encode(const edge::HealthAnswer& answer, std::string& to) {
+void encode(const edge::HealthResponse& answer, std::string& to) {
   FrameWriter frame(to, kCheckAnswer, answer.to.stream);
-  put(to, answer.good ? 0 : 1, 1);
+  put(to, answer.healthy ? 0 : 1, 1);
   FieldWriter fields(to);
-  if (answer.hint) fields.add("hint", number_text(*answer.hint));
+  if (answer.credit_hint) fields.add("hint", number_text(*answer.credit_hint));
 }
 
 void encode_error(std::string_view why, std::string& to) {
--- a/src/frames/frames.h
+++ b/src/frames/frames.h
@@ -59,8 +59,8 @@
   bool broken_ = false;
 };
 
-void encode(const edge::Answer& answer, std::string& to);
-void encode(const edge::HealthAnswer& answer, std::string& to);
+void encode(const edge::Response& answer, std::string& to);
+void encode(const edge::HealthResponse& answer, std::string& to);
 void encode_error(std::string_view why, std::string& to);  // on stream 0
 void encode_goaway(std::string& to);
 
--- a/src/kernel/line_codec.cpp
+++ b/src/kernel/line_codec.cpp
@@ -42,11 +42,11 @@
   if (!value || !std::isfinite(*value) || *value < 0 || *value > kMaxMilliseconds) return std::nullopt;
   return value;
 }
-std::optional<edge::RunEnd> to_end(std::string_view word) {
-  if (word == "OK") return edge::RunEnd::ok;
-  if (word == "ERROR") return edge::RunEnd::error;
-  if (word == "STOPPED") return edge::RunEnd::stopped;
-  if (word == "MOOT") return edge::RunEnd::moot;
+std::optional<edge::RunOutcome> to_end(std::string_view word) {
+  if (word == "OK") return edge::RunOutcome::ok;
+  if (word == "ERROR") return edge::RunOutcome::error;
+  if (word == "STOPPED") return edge::RunOutcome::stopped;
+  if (word == "MOOT") return edge::RunOutcome::never_ran;
   return std::nullopt;
 }
 edge::CommandKind to_kind(std::string_view word) {
@@ -80,7 +80,7 @@
     if (left.size() < result_bytes_ + kLineEnd.size()) return std::nullopt;
     if (left.substr(result_bytes_, kLineEnd.size()) != kLineEnd) return fail("result without a line end");
     if (auto* report = std::get_if<edge::RunReport>(&waits_->what))
-      report->result = left.substr(0, result_bytes_);
+      report->body = left.substr(0, result_bytes_);
     at_ += result_bytes_ + kLineEnd.size();
     return std::exchange(waits_, std::nullopt);
   }
@@ -140,7 +140,7 @@
                                      words.size() > 2 ? std::string(words[2]) : std::string{}}};
   if (verb == "POSTED" && words.size() == 3) {
     const auto tag = to_number<std::uint64_t>(words[1]);
-    return tag ? Notice{0, edge::DeepCheckDone{*tag, words[2] == "OK"}} : bad();
+    return tag ? Notice{0, edge::DeepHealthCheckResult{*tag, words[2] == "OK"}} : bad();
   }
   if (verb == "BOOTED" && words.size() == 3) {
     const auto ago = to_ms(words[2]);
@@ -170,7 +170,7 @@
     to += "PREEMPT " + stop->rid + "\r\n";
   } else if (const auto* resume = std::get_if<edge::ResumeRun>(&command)) {
     to += "RESCHED " + resume->rid + "\r\n";
-  } else if (const auto* check = std::get_if<edge::DeepCheck>(&command)) {
+  } else if (const auto* check = std::get_if<edge::DeepHealthCheck>(&command)) {
     to += "POST " + std::to_string(check->tag) + "\r\n";
   } else {
     encode_ask(kGaugesTag, to);
--- a/src/kernel/line_codec.h
+++ b/src/kernel/line_codec.h
@@ -21,7 +21,7 @@
 struct Notice {
   std::uint64_t number = 0;  // 0: not numbered
   std::variant<edge::KernelStarted, edge::RunReport, edge::DependencyCallRequested, edge::CommandRejected,
-               Info, edge::DeepCheckDone, IgnoredNotice, BadLine>
+               Info, edge::DeepHealthCheckResult, IgnoredNotice, BadLine>
       what;
 };
 
--- a/src/kernel/link.cpp
+++ b/src/kernel/link.cpp
@@ -28,7 +28,7 @@
     runs_[start->rid] = {order_++, command, false};
   else if (const auto* resume = std::get_if<edge::ResumeRun>(&command))
     runs_[resume->rid] = {order_++, command, false};
-  else if (const auto* check = std::get_if<edge::DeepCheck>(&command))
+  else if (const auto* check = std::get_if<edge::DeepHealthCheck>(&command))
     checks_.insert(check->tag);
   else if (const auto* stop = std::get_if<edge::StopRun>(&command))
     if (const auto it = runs_.find(stop->rid); it != runs_.end()) it->second.stop = true;
@@ -52,7 +52,7 @@
     last_ = notice.number;
   }
   if (const auto* report = std::get_if<edge::RunReport>(&notice.what)) runs_.erase(report->rid);
-  if (const auto* done = std::get_if<edge::DeepCheckDone>(&notice.what)) checks_.erase(done->tag);
+  if (const auto* done = std::get_if<edge::DeepHealthCheckResult>(&notice.what)) checks_.erase(done->tag);
   if (const auto* rejected = std::get_if<edge::CommandRejected>(&notice.what))
     if (rejected->kind == edge::CommandKind::start || rejected->kind == edge::CommandKind::resume)
       runs_.erase(rejected->rid);
@@ -72,7 +72,7 @@
     else
       again.emplace_back(edge::StopRun{std::get<edge::ResumeRun>(asked->run).rid});
   }
-  for (const auto tag : checks_) again.emplace_back(edge::DeepCheck{tag});
+  for (const auto tag : checks_) again.emplace_back(edge::DeepHealthCheck{tag});
   return again;
 }
 
@@ -88,7 +88,7 @@
       retry_(executor) {}
 
 void Link::send(const edge::Command& command) {
-  if (std::holds_alternative<edge::AskGauges>(command)) {
+  if (std::holds_alternative<edge::PollGauges>(command)) {
     if (!ready_ || std::exchange(asked_gauges_, true)) return;  // one question at a time
   } else {
     ledger_.note(command);
@@ -188,10 +188,10 @@
   if (!ledger_.take(notice)) co_return;
   if (const auto* booted = std::get_if<edge::KernelStarted>(&notice.what)) {
     log_.line(std::string("kernel up: ") + (booted->cold ? "cold" : "warm") + ", started " +
-                  std::to_string(booted->ago.count()) + " ms ago",
+                  std::to_string(booted->uptime.count()) + " ms ago",
               {{"event", "kernel_up"},
                {"cores", booted->cold ? "cold" : "warm"},
-               {"ago_ms", std::int64_t(booted->ago.count())}});
+               {"ago_ms", std::int64_t(booted->uptime.count())}});
     encode_ask(kFenceTag, outgoing_);
     flush();
     co_await hand_in(*booted);
@@ -209,7 +209,7 @@
     co_await hand_in(std::move(*wanted));
   } else if (auto* rejected = std::get_if<edge::CommandRejected>(&notice.what)) {
     co_await hand_in(std::move(*rejected));
-  } else if (auto* done = std::get_if<edge::DeepCheckDone>(&notice.what)) {
+  } else if (auto* done = std::get_if<edge::DeepHealthCheckResult>(&notice.what)) {
     co_await hand_in(*done);
   }
 }
--- a/src/lifecycle/lifecycle.cpp
+++ b/src/lifecycle/lifecycle.cpp
@@ -29,7 +29,7 @@
 }
 
 void Lifecycle::stop(bool successor_serves) {
-  if (!stopping()) stop_ = successor_serves ? Stop::hand_over : Stop::drain;
+  if (!stopping()) stop_mode_ = successor_serves ? StopMode::hand_over : StopMode::drain;
 }
 
 }  // namespace granitegap::lifecycle
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -62,14 +62,14 @@
     return kUnusable;
   }
   auto& config = std::get<config::Config>(loaded);
-  Server::Extras extras;
-  extras.log = options.log;
-  extras.guarded = !options.plain;
+  Server::Options server_options;
+  server_options.log = options.log;
+  server_options.protect_calls = !options.plain;
   if (!options.operator_file.empty()) {
     auto declared = operators::load(options.operator_file);
     if (const auto* errors = std::get_if<operators::Errors>(&declared)) return tell(*errors);
-    extras.declared = std::get<operators::Declared>(std::move(declared));
-    if (const auto errors = operators::bind(*extras.declared, config.catalog); !errors.empty())
+    server_options.declared = std::get<operators::Declared>(std::move(declared));
+    if (const auto errors = operators::bind(*server_options.declared, config.catalog); !errors.empty())
       return tell(errors);
   }
   const auto refuse = [](const std::string& what) {
@@ -77,28 +77,29 @@
     return kUnusable;
   };
   // The environment wins over the file: of two processes on one file it alone tells them apart.
-  extras.admin = config.admin;
+  server_options.admin = config.admin;
   if (const char* text = std::getenv("EDGE_ADMIN_ADDR"); text && *text) {
-    extras.admin = config::read_endpoint(text);
-    if (!extras.admin) return refuse(std::string("EDGE_ADMIN_ADDR is no address with a port: ") + text);
+    server_options.admin = config::read_endpoint(text);
+    if (!server_options.admin)
+      return refuse(std::string("EDGE_ADMIN_ADDR is no address with a port: ") + text);
   }
-  if (extras.admin) {
+  if (server_options.admin) {
     boost::system::error_code error;
-    boost::asio::ip::make_address(extras.admin->host, error);
-    if (error) return refuse("the operators' door: not a numeric address: " + extras.admin->host);
+    boost::asio::ip::make_address(server_options.admin->host, error);
+    if (error) return refuse("the operators' door: not a numeric address: " + server_options.admin->host);
   }
   if (const char* text = std::getenv("EDGE_FD"); text && *text) {
     auto door = net::inherited_listener(text);
     if (const auto* why = std::get_if<std::string>(&door)) return refuse("EDGE_FD " + *why);
-    extras.listening = std::get<int>(door);
-    if (const char* folder = std::getenv("TMPDIR")) extras.shared_folder = folder;
+    server_options.inherited_listener = std::get<int>(door);
+    if (const char* folder = std::getenv("TMPDIR")) server_options.lease_folder = folder;
   }
-  if (extras.declared && extras.declared->membership)
-    extras.declared->membership->options.plain = options.plain_membership;
+  if (server_options.declared && server_options.declared->membership)
+    server_options.declared->membership->options.plain = options.plain_membership;
   // Guards against gathers that wait until they are due for a leave that the module can never give.
   const auto& settings = config.parsed.settings;
-  if (extras.declared && !extras.declared->spec.gathers.empty() && settings.downstream != Downstream::none &&
-      settings.call_share.value_or(0) <= 0) {
+  if (server_options.declared && !server_options.declared->spec.gathers.empty() &&
+      settings.downstream != Downstream::none && settings.call_share.value_or(0) <= 0) {
     std::fprintf(stderr,
                  "granitegap: %s: the platform's settings allow no calls: expected downstream none, or a "
                  "call_share above 0\n",
@@ -110,7 +111,7 @@
     // Before the door opens: guards against a notice that kills what already has connections in its backlog.
     boost::asio::signal_set notice(context, SIGTERM, SIGINT);
     boost::asio::signal_set fresh_config(context, SIGHUP);
-    Server server(context, std::move(config), std::move(extras));
+    Server server(context, std::move(config), std::move(server_options));
     notice.async_wait([&](const boost::system::error_code& error, int) {
       if (!error) server.drain();
     });
@@ -124,8 +125,8 @@
     server.start();
     context.run();
     // Guards against an end that waits for a disk that hangs: all is answered, and the kill would come.
-    if (server.disk_hangs()) std::_Exit(0);
-  } catch (const UnusableAddress& e) {
+    if (server.has_blocked_disk_thread()) std::_Exit(0);
+  } catch (const AddressError& e) {
     return refuse(e.what());
   } catch (const std::exception& e) {
     std::fprintf(stderr, "granitegap: %s\n", e.what());
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -116,8 +116,8 @@
   return spare != nullptr;
 }
 
-void Listener::deliver(const edge::Origin& to, Outgoing message) {
-  if (const auto* answer = std::get_if<edge::Answer>(&message)) hint_ = answer->hint;
+void Listener::deliver(const edge::ReplyAddress& to, Outgoing message) {
+  if (const auto* answer = std::get_if<edge::Response>(&message)) hint_ = answer->credit_hint;
   if (const auto it = peers_.find(to.peer); it != peers_.end()) it->second->deliver(std::move(message));
 }
 
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -21,7 +21,7 @@
   boost::asio::awaitable<void> mind_peers();  // what a connection must not keep for long
   boost::asio::ip::tcp::endpoint local() const { return acceptor_.local_endpoint(); }
 
-  void deliver(const edge::Origin& to, Outgoing message);
+  void deliver(const edge::ReplyAddress& to, Outgoing message);
   void close_idle(Duration idle_for);
   // Nothing new comes in any more: what waits in the backlog is taken, the door closed, every peer told.
   void close_door();
--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -164,7 +164,7 @@
 bool Peer::take(frames::Message message) {
   return std::visit(
       Overloaded{[&](edge::Request& request) {
-                   const auto stream = request.from.stream;
+                   const auto stream = request.reply_to.stream;
                    if (!claim(stream)) return false;
                    bad_in_a_row_ = 0;
                    const bool room = open_.size() < frames::kMaxOpen;
@@ -174,7 +174,7 @@
                  },
                  [&](edge::HealthCheck& check) {
                    ++checks_;
-                   if (!module_.post(check)) deliver(edge::HealthAnswer{check.from, false, hint_});
+                   if (!module_.post(check)) deliver(edge::HealthResponse{check.reply_to, false, hint_});
                    return true;
                  },
                  [&](frames::BadRequest& bad) {
@@ -208,8 +208,8 @@
 
 // Through the module's mailbox where there is room, so that this answer too carries the current hint.
 void Peer::turn_away(std::uint32_t stream) {
-  if (module_.post(edge::UnusableRequest{{id_, stream}})) return;
-  deliver(edge::Answer{{id_, stream}, edge::Outcome::refused, nullptr, hint_, {}, false});
+  if (module_.post(edge::MalformedRequest{{id_, stream}})) return;
+  deliver(edge::Response{{id_, stream}, edge::Outcome::rejected, nullptr, hint_, {}, false});
 }
 
 asio::awaitable<void> Peer::write() {
@@ -218,11 +218,11 @@
     if (messages.empty() && outbox_.closed()) break;
     std::string bytes;  // not kept: see the reader's
     for (const auto& message : messages) {
-      std::visit(Overloaded{[&](const edge::Answer& a) {
+      std::visit(Overloaded{[&](const edge::Response& a) {
                               // The one answer of that stream: a second would find it closed.
                               if (open_.erase(a.to.stream)) frames::encode(a, bytes);
                             },
-                            [&](const edge::HealthAnswer& a) {
+                            [&](const edge::HealthResponse& a) {
                               if (checks_ > 0) --checks_;
                               frames::encode(a, bytes);
                             },
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -22,7 +22,7 @@
   std::string why;
 };
 struct GoAway {};
-using Outgoing = std::variant<edge::Answer, edge::HealthAnswer, StreamError, GoAway>;
+using Outgoing = std::variant<edge::Response, edge::HealthResponse, StreamError, GoAway>;
 
 class Peer : public std::enable_shared_from_this<Peer> {
  public:
--- a/src/partial_response/compose.cpp
+++ b/src/partial_response/compose.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-edge::Product compose(std::string result, const std::vector<edge::GatheredPart>& parts,
+edge::Payload compose(std::string result, const std::vector<edge::GatheredPart>& parts,
                       std::size_t max_bytes) {
   std::vector<bool> there;
   std::size_t bytes = result.size() + kFraming;
@@ -49,13 +49,13 @@
     there[largest] = false;
     bytes -= parts[largest].body->size();
   }
-  edge::Product product;
+  edge::Payload payload;
   PartialAnswer answer;
   answer.set_result(std::move(result));
   for (std::size_t i = 0; i < parts.size(); ++i) {
     auto& part = *answer.add_parts();
     part.set_name(parts[i].name);
-    list(there[i] ? product.parts : product.missing, parts[i].name);
+    list(there[i] ? payload.present_parts : payload.missing_parts, parts[i].name);
     if (!there[i]) continue;
     part.set_status(status_of(parts[i].status));
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(parts[i].age).count();
@@ -63,8 +63,8 @@
         std::uint32_t(std::clamp<std::int64_t>(ms, 0, std::numeric_limits<std::uint32_t>::max())));
     part.set_data(*parts[i].body);
   }
-  answer.SerializeToString(&product.bytes);
-  return product;
+  answer.SerializeToString(&payload.bytes);
+  return payload;
 }
 
 }  // namespace granitegap::partial_response
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -33,18 +33,18 @@
 
 }  // namespace
 
-edge::Edge Server::make_edge(const config::Config& config, const Extras& extras, TimePoint started) {
+edge::Edge Server::make_edge(const config::Config& config, const Options& options, TimePoint started) {
   edge::Edge edge(config.parsed, config.catalog, config.seed);
-  if (extras.declared)
-    edge.declare(
-        std::make_shared<const deps::Spec>(extras.declared->spec),
+  if (options.declared)
+    edge.enable_dependencies(
+        std::make_shared<const deps::Spec>(options.declared->spec),
         [](std::string result, const std::vector<edge::GatheredPart>& parts) {
           return partial_response::compose(std::move(result), parts, kMaxComposed);
         },
-        extras.guarded);
-  if (!extras.declared || !extras.declared->recovery) return edge;
-  const auto& r = *extras.declared->recovery;
-  if (r.wait_out) edge.wait_out_lost_memory(r.max_clock_back, !r.folder.empty(), started);
+        options.protect_calls);
+  if (!options.declared || !options.declared->recovery) return edge;
+  const auto& r = *options.declared->recovery;
+  if (r.wait_out) edge.enable_restart_quarantine(r.max_clock_back, !r.folder.empty(), started);
   if (r.guided) {
     recovery::RecoveryOptions rules;
     rules.first = r.first;
@@ -53,79 +53,80 @@
     rules.max_learn = r.max_learn;
     rules.max_pause = r.max_pause;
     rules.calm_for = r.calm_for;
-    edge.guide_return(rules, started);
+    edge.enable_recovery_ramp(rules, started);
   }
   return edge;
 }
 
-std::size_t Server::sockets_for_door(const Extras& extras) {
-  return extras.declared && extras.declared->fills() ? cache_fill_http::CacheFillServer::kMaxConnections : 0;
+std::size_t Server::sockets_for_door(const Options& options) {
+  return options.declared && options.declared->fills() ? cache_fill_http::CacheFillServer::kMaxConnections
+                                                       : 0;
 }
 
 // Calls below, and the door where others ask, take their descriptors from the same limit, and never more than
 // half of it.
-std::size_t Server::sockets_for_peers(const config::Config& config, const Extras& extras) {
+std::size_t Server::sockets_for_peers(const config::Config& config, const Options& options) {
   auto all = config.limits.sockets;
-  if (extras.admin) all -= std::min(admin::AdminServer::kDescriptors, all / 4);
-  if (!extras.declared) return all;
-  return all - std::min(extras.declared->connections + sockets_for_door(extras), all / 2);
+  if (options.admin) all -= std::min(admin::AdminServer::kDescriptors, all / 4);
+  if (!options.declared) return all;
+  return all - std::min(options.declared->connections + sockets_for_door(options), all / 2);
 }
 
-Server::Server(asio::io_context& context, config::Config config, Extras extras,
+Server::Server(asio::io_context& context, config::Config config, Options options,
                edge::EdgeActor::Clocks clocks)
     : context_(context),
       config_(std::move(config)),
-      extras_(std::move(extras)),
-      log_(config_.name, extras_.log),
-      module_(
-          context.get_executor(), make_edge(config_, extras_, clocks().steady), config_.limits.memory_mb,
+      options_(std::move(options)),
+      log_(config_.name, options_.log),
+      edge_actor_(
+          context.get_executor(), make_edge(config_, options_, clocks().steady), config_.limits.memory_mb,
           [this](edge::Output output) { dispatch(std::move(output)); }, clocks),
       link_(context.get_executor(), address<asio::ip::tcp>(config_.kernel), config_.catalog,
-            module_.mailbox(), log_),
+            edge_actor_.mailbox(), log_),
       load_reporter_(context.get_executor(), address<asio::ip::udp>(config_.announce), config_.name, log_),
       listener_(context.get_executor(), address<asio::ip::tcp>(config_.listen),
-                sockets_for_peers(config_, extras_), config_.catalog, module_.mailbox(), log_,
-                extras_.listening) {
+                sockets_for_peers(config_, options_), config_.catalog, edge_actor_.mailbox(), log_,
+                options_.inherited_listener) {
   clocks_ = std::move(clocks);
-  if (extras_.admin) try {
+  if (options_.admin) try {
       admin_ = std::make_unique<admin::AdminServer>(
-          context.get_executor(), address<asio::ip::tcp>(*extras_.admin),
+          context.get_executor(), address<asio::ip::tcp>(*options_.admin),
           [this](admin::Call call) { return answer(call); }, log_);
     } catch (const std::exception& e) {
-      throw UnusableAddress("the operators' door at " + text_of(*extras_.admin) + ": " + e.what());
+      throw AddressError("the operators' door at " + text_of(*options_.admin) + ": " + e.what());
     }
-  if (extras_.listening) share_door();
-  if (!extras_.declared) return;
-  if (extras_.declared->fills()) {
-    auto& m = *extras_.declared->membership;
+  if (options_.inherited_listener) share_door();
+  if (!options_.declared) return;
+  if (options_.declared->fills()) {
+    auto& m = *options_.declared->membership;
     cache_fill_server_ = std::make_unique<cache_fill_http::CacheFillServer>(
         context.get_executor(),
-        asio::ip::tcp::endpoint(membership_udp::endpoint_of(m.bind).address(), extras_.declared->fill_port),
+        asio::ip::tcp::endpoint(membership_udp::endpoint_of(m.bind).address(), options_.declared->fill_port),
         log_);
     m.fill_port = cache_fill_server_->port();
   }
-  if (extras_.declared->membership) join_fleet();
+  if (options_.declared->membership) join_fleet();
   if (cache_fill_server_)
     cache_fill_server_->begin(
         fleet_->member().self().boot_id,
         {[this](const asio::ip::address& who) { return fleet_->may_ask(who); },
-         [this](edge::CacheFillQuery asked) { return module_.mailbox().post(std::move(asked)); }});
-  if (const auto& r = extras_.declared->recovery; r && !r->folder.empty()) keep_learned(*r);
-  if (const auto& r = extras_.declared->recovery; r && r->guided && fleet_) learn_from_others();
+         [this](edge::CacheFillQuery asked) { return edge_actor_.mailbox().post(std::move(asked)); }});
+  if (const auto& r = options_.declared->recovery; r && !r->folder.empty()) keep_learned(*r);
+  if (const auto& r = options_.declared->recovery; r && r->guided && fleet_) learn_from_others();
   // Ends of calls always find room: the limits on open calls bound their number.
-  const auto apart = config_.limits.sockets - sockets_for_peers(config_, extras_);
-  caller_.emplace(context.get_executor(), apart - std::min(sockets_for_door(extras_), apart / 2),
-                  [this](deps::CallReport report) { module_.mailbox().post_control(std::move(report)); });
+  const auto apart = config_.limits.sockets - sockets_for_peers(config_, options_);
+  caller_.emplace(context.get_executor(), apart - std::min(sockets_for_door(options_), apart / 2),
+                  [this](deps::CallReport report) { edge_actor_.mailbox().post_control(std::move(report)); });
 }
 
 void Server::keep_learned(const operators::Declared::Recovery& recovery) {
   snapshot::PersistenceActor::Hooks hooks;
   hooks.found = [this](const recovery::PreviousIncarnation& found) {
-    module_.mailbox().post_control(edge::PreviousIncarnationFound{found});
+    edge_actor_.mailbox().post_control(edge::PreviousIncarnationFound{found});
   };
   hooks.learned = [this](warm_state::WarmState what) {
     if (fleet_) fleet_->also_call(what.members);
-    module_.mailbox().post_control(edge::WarmStateReceived{std::move(what)});
+    edge_actor_.mailbox().post_control(edge::WarmStateReceived{std::move(what)});
   };
   hooks.collect = [this] { return collect(); };
   persistence_ =
@@ -134,7 +135,7 @@
 }
 
 warm_state::WarmState Server::collect() const {
-  auto what = module_.edge().learned(clocks_().steady);
+  auto what = edge_actor_.edge().export_warm_state(clocks_().steady);
   what.by = config_.name;
   if (!fleet_) return what;
   const auto& member = fleet_->member();
@@ -147,7 +148,7 @@
 }
 
 std::optional<membership_udp::RecoveryReport> Server::recovery_report() const {
-  const auto* course = module_.edge().course();
+  const auto* course = edge_actor_.edge().recovery();
   if (!course) return std::nullopt;
   const auto now = clocks_().steady;
   const auto ms = [](Duration d) { return std::chrono::duration_cast<milliseconds>(d).count(); };
@@ -156,7 +157,7 @@
   w.kind = recovery::text_of(course->kind());
   w.since_ms = std::uint64_t(ms(now - std::min(course->since(), now)));
   w.left_ms = std::uint64_t(ms(course->left(now)));
-  w.keyed_wait_ms = std::uint64_t(ms(module_.edge().keyed_wait(now)));
+  w.keyed_wait_ms = std::uint64_t(ms(edge_actor_.edge().key_quarantine_left(now)));
   w.offered = std::uint8_t(100 * course->offered());
   w.proven = std::uint8_t(100 * course->proven());
   w.bounded = course->wait_bound().has_value();
@@ -173,16 +174,16 @@
 }
 
 void Server::learn_from_others() {
-  const auto& m = *extras_.declared->membership;
+  const auto& m = *options_.declared->membership;
   const auto& member = fleet_->member();
   state_transfer::Actor::Place place{m.cluster,
                                      config_.name,
                                      m.zone,
                                      membership_udp::endpoint_of(m.bind).address(),
-                                     extras_.declared->recovery->donate_port,
+                                     options_.declared->recovery->donate_port,
                                      config_.seed ^ std::uint64_t(member.self().boot_id)};
   recovery::DonorSelectionOptions rules;
-  rules.most = extras_.declared->recovery->max_learn;
+  rules.most = options_.declared->recovery->max_learn;
   state_transfer::Actor::Hooks hooks;
   hooks.clock = [this] { return clocks_().steady; };
   hooks.offer = [this] {
@@ -190,7 +191,7 @@
     recovery::TransferResponse o;
     o.by = config_.name;
     o.boot_id = me.self().boot_id;
-    const auto* course = module_.edge().course();
+    const auto* course = edge_actor_.edge().recovery();
     o.in_service = course && course->phase() == recovery::Phase::full;
     o.sure = me.majority() && !me.uncertain() && me.local_connectivity() == membership::LocalConnectivity::ok;
     o.view_age = fleet_->silence();
@@ -201,9 +202,9 @@
   hooks.learned = [this](warm_state::WarmState what, std::size_t sources) {
     if (sources > 0) {
       fleet_->also_call(what.members);
-      module_.mailbox().post_control(edge::WarmStateReceived{std::move(what), sources});
+      edge_actor_.mailbox().post_control(edge::WarmStateReceived{std::move(what), sources});
     }
-    module_.mailbox().post_control(edge::StateTransferFinished{sources});
+    edge_actor_.mailbox().post_control(edge::StateTransferFinished{sources});
   };
   learning_ = std::make_unique<state_transfer::Actor>(context_.get_executor(), std::move(place), rules,
                                                       std::move(hooks), log_);
@@ -220,31 +221,31 @@
   hooks.clock = [this] { return clocks_().steady; };
   hooks.recovery_report = [this] { return recovery_report(); };
   hooks.own = [this] {
-    auto s = module_.edge().standing(clocks_().steady);
+    auto s = edge_actor_.edge().member_status(clocks_().steady);
     if (learning_) s.recovery_status.donor_port = learning_->port();
-    return membership_udp::Actor::Own{s.stage, s.warmth, s.pressed, std::move(s.endpoint_health),
+    return membership_udp::Actor::Own{s.stage, s.warmth_percent, s.load_percent, std::move(s.endpoint_health),
                                       s.recovery_status};
   };
   hooks.view = [this](std::shared_ptr<const membership::View> view) {
     if (learning_) learning_->view(view);
-    module_.mailbox().post_control(edge::MembershipUpdate{std::move(view)});
+    edge_actor_.mailbox().post_control(edge::MembershipUpdate{std::move(view)});
   };
-  fleet_ = std::make_unique<membership_udp::Actor>(context_.get_executor(), *extras_.declared->membership,
+  fleet_ = std::make_unique<membership_udp::Actor>(context_.get_executor(), *options_.declared->membership,
                                                    config_.name, boot_id, unix_ms, random(), std::move(hooks),
                                                    log_);
 }
 
 // What stands at this door beside this process must not run what it runs, nor the other way round.
 void Server::share_door() {
-  auto& edge = module_.edge();
+  auto& edge = edge_actor_.edge();
   const auto now = clocks_();
   auto opened = hot_restart::SharedLeaseTable::open(
-      extras_.shared_folder, config_.name, config_.seed ^ std::uint64_t(now.unix.time_since_epoch().count()),
-      edge.longest_span(), now.unix);
+      options_.lease_folder, config_.name, config_.seed ^ std::uint64_t(now.unix.time_since_epoch().count()),
+      edge.longest_key_retention(), now.unix);
   if (const auto* no = std::get_if<hot_restart::LeaseTableError>(&opened)) {
     log_.line("no keyed request runs: the door is shared and its table can't be: " + no->why,
               {{"event", "claims_unusable"}, {"why", no->why}});
-    edge.claim_keyed({[](const auto&, auto, auto) { return false; }, {}});
+    edge.set_key_lease_hooks({[](const auto&, auto, auto) { return false; }, {}});
     return;
   }
   shared_.emplace(std::get<hot_restart::SharedLeaseTable>(std::move(opened)));
@@ -252,37 +253,38 @@
     log_.line("keyed requests wait for one window: the table of claims was not to be believed",
               {{"event", "claims_wiped"}});
   const auto token = [this](const edge::Request& r) {
-    return hot_restart::token_of(config_.catalog.classes[std::size_t(r.cls)], r.token);
+    return hot_restart::token_of(config_.catalog.classes[std::size_t(r.cls)], r.idempotency_key);
   };
-  edge.claim_keyed({[this, token](const edge::Request& r, Duration span, edge::UnixTime at) {
-                      return shared_->claim(token(r), r.reached, span, at) == hot_restart::Verdict::mine;
-                    },
-                    [this, token](const edge::Request& r) { shared_->never_ran(token(r)); }});
+  edge.set_key_lease_hooks({[this, token](const edge::Request& r, Duration span, edge::UnixTime at) {
+                              return shared_->claim(token(r), r.arrived_at, span, at) ==
+                                     hot_restart::Verdict::mine;
+                            },
+                            [this, token](const edge::Request& r) { shared_->never_ran(token(r)); }});
 }
 
 // Of what this process knows now: no queue stands between a call and its answer.
 admin::Reply Server::answer(admin::Call call) {
-  auto& boot_id = module_.edge().lifecycle();
+  auto& lifecycle = edge_actor_.edge().lifecycle();
   if (call == admin::Call::health) {
-    std::string text = lifecycle::text_of(boot_id.phase());
-    if (boot_id.up() && !link_.up()) text += ", kernel link down";
-    if (boot_id.up() && !boot_id.stopping() && module_.edge().held_unfit())
+    std::string text = lifecycle::text_of(lifecycle.phase());
+    if (lifecycle.kernel_started() && !link_.up()) text += ", kernel link down";
+    if (lifecycle.kernel_started() && !lifecycle.stopping() && edge_actor_.edge().controller_unhealthy())
       text += ", held unfit by the module";
-    return {boot_id.up() && !boot_id.stopping(), text};
+    return {lifecycle.kernel_started() && !lifecycle.stopping(), text};
   }
-  const auto before = boot_id.phase();
-  const bool done = call == admin::Call::quiesce ? boot_id.quiesce() : boot_id.resume();
+  const auto before = lifecycle.phase();
+  const bool done = call == admin::Call::quiesce ? lifecycle.quiesce() : lifecycle.resume();
   if (!done) return {false, "stopping: nothing leads back"};
-  if (boot_id.phase() != before) {
-    module_.mailbox().post_control(edge::LifecycleChanged{});
-    log_.line(std::string("operators' door: ") + lifecycle::text_of(boot_id.phase()),
-              {{"event", "lifecycle"}, {"phase", lifecycle::text_of(boot_id.phase())}});
+  if (lifecycle.phase() != before) {
+    edge_actor_.mailbox().post_control(edge::LifecycleChanged{});
+    log_.line(std::string("operators' door: ") + lifecycle::text_of(lifecycle.phase()),
+              {{"event", "lifecycle"}, {"phase", lifecycle::text_of(lifecycle.phase())}});
   }
-  return {true, lifecycle::text_of(boot_id.phase())};
+  return {true, lifecycle::text_of(lifecycle.phase())};
 }
 
 void Server::start() {
-  spawn(module_.run());
+  spawn(edge_actor_.run());
   spawn(link_.run());
   spawn(load_reporter_.run());
   spawn(listener_.run());
@@ -305,17 +307,17 @@
     learning_->begin();
     spawn(learning_->serve());
     spawn(learning_->learn());
-  } else if (module_.edge().course()) {
-    module_.mailbox().post_control(edge::StateTransferFinished{});  // there is nobody to ask
+  } else if (edge_actor_.edge().recovery()) {
+    edge_actor_.mailbox().post_control(edge::StateTransferFinished{});  // there is nobody to ask
   }
-  const auto at = local();
+  const auto at = local_endpoint();
   log_.line("listening on " + at.address().to_string() + ":" + std::to_string(at.port()),
             {{"event", "listening"}, {"port", std::int64_t(at.port())}});
-  if (extras_.declared)
-    log_.line("operator file " + extras_.declared->file + ": " +
-                  std::to_string(extras_.declared->spec.dependencies.size()) + " dependencies, " +
-                  std::to_string(extras_.declared->spec.gathers.size()) + " classes gather",
-              {{"event", "declared"}, {"file", extras_.declared->file}});
+  if (options_.declared)
+    log_.line("operator file " + options_.declared->file + ": " +
+                  std::to_string(options_.declared->spec.dependencies.size()) + " dependencies, " +
+                  std::to_string(options_.declared->spec.gathers.size()) + " classes gather",
+              {{"event", "declared"}, {"file", options_.declared->file}});
 }
 
 // An actor that ends by an exception has broken its promises: better a clear end than half a server.
@@ -330,15 +332,15 @@
 }
 
 // One for each kind of output: a new one without does not compile.
-void Server::carry_out(edge::Answer&& answer) {
+void Server::carry_out(edge::Response&& answer) {
   const auto to = answer.to;
   listener_.deliver(to, std::move(answer));
 }
-void Server::carry_out(edge::HealthAnswer&& health) { listener_.deliver(health.to, health); }
+void Server::carry_out(edge::HealthResponse&& health) { listener_.deliver(health.to, health); }
 void Server::carry_out(edge::Command&& command) { link_.send(command); }
 void Server::carry_out(edge::LoadReport&& report) {
-  const auto& boot_id = module_.edge().lifecycle();
-  if (shared_ && boot_id.up() && !boot_id.stopping()) shared_->serves();
+  const auto& lifecycle = edge_actor_.edge().lifecycle();
+  if (shared_ && lifecycle.kernel_started() && !lifecycle.stopping()) shared_->serves();
   load_reporter_.report(report);
 }
 void Server::carry_out(edge::CloseIdlePeers&& idle) { listener_.close_idle(idle.idle_for); }
@@ -352,11 +354,11 @@
   if (caller_) caller_->abandon(drop.id);
 }
 
-void Server::carry_out(edge::StateTransferWanted&&) {
+void Server::carry_out(edge::StateTransferRequested&&) {
   if (learning_)
     learning_->begin();
   else
-    module_.mailbox().post_control(edge::StateTransferFinished{});
+    edge_actor_.mailbox().post_control(edge::StateTransferFinished{});
 }
 
 void Server::carry_out(edge::CacheFillReply&& answer) {
@@ -368,12 +370,12 @@
   // First of all no successor to anybody any more: guards against two that leave the door to each other.
   if (shared_) shared_->leaves();
   const bool successor = shared_ && shared_->another_serves();
-  module_.edge().lifecycle().stop(successor);
+  edge_actor_.edge().lifecycle().stop(successor);
   const auto left = successor ? time_to_hand_over() : config_.stop;
   log_.line("notice to leave: " + std::to_string(left.count()) + " ms left" +
                 (successor ? ", the door is another process's" : ""),
             {{"event", "leaving"}, {"left_ms", std::int64_t(left.count())}});
-  module_.mailbox().post_control(edge::Drain{left});
+  edge_actor_.mailbox().post_control(edge::Drain{left});
   spawn(successor ? hand_over(left) : leave());
 }
 
@@ -398,7 +400,7 @@
     timer.expires_after(kLook);
     co_await timer.async_wait(asio::use_awaitable);
     // Its clients end what rests, once they have been told: guards against a request sent back unheard.
-    if (module_.at_rest() && listener_.empty()) break;
+    if (edge_actor_.is_idle() && listener_.empty()) break;
   }
   end_all();
 }
@@ -443,8 +445,8 @@
   if (const auto* errors = std::get_if<operators::Errors>(&loaded)) return keep(*errors);
   auto& fresh = std::get<operators::Declared>(loaded);
   if (const auto errors = operators::bind(fresh, config_.catalog); !errors.empty()) return keep(errors);
-  if (!extras_.declared) return;
-  if (fresh.connections != extras_.declared->connections)
+  if (!options_.declared) return;
+  if (fresh.connections != options_.declared->connections)
     log_.line("reload: changed but kept until a restart: connections",
               {{"event", "reload_kept"}, {"kept", "connections"}});
   if (fresh.membership.has_value() != (fleet_ != nullptr))
@@ -452,18 +454,18 @@
               {{"event", "reload_kept"}, {"kept", "membership"}});
   else if (fleet_)
     fleet_->change(*fresh.membership);
-  if (fresh.recovery != extras_.declared->recovery)
+  if (fresh.recovery != options_.declared->recovery)
     log_.line("reload: changed but kept until a restart: recovery",
               {{"event", "reload_kept"}, {"kept", "recovery"}});
-  const auto connections = extras_.declared->connections;
-  extras_.declared = std::move(fresh);
-  extras_.declared->connections = connections;
+  const auto connections = options_.declared->connections;
+  options_.declared = std::move(fresh);
+  options_.declared->connections = connections;
   log_.line(
-      "reload: operator file taken over: " + std::to_string(extras_.declared->spec.dependencies.size()) +
-          " dependencies, " + std::to_string(extras_.declared->spec.gathers.size()) + " classes gather",
+      "reload: operator file taken over: " + std::to_string(options_.declared->spec.dependencies.size()) +
+          " dependencies, " + std::to_string(options_.declared->spec.gathers.size()) + " classes gather",
       {{"event", "reloaded"}});
-  module_.mailbox().post_control(
-      edge::DependencySpecUpdate{std::make_shared<const deps::Spec>(extras_.declared->spec)});
+  edge_actor_.mailbox().post_control(
+      edge::DependencySpecUpdate{std::make_shared<const deps::Spec>(options_.declared->spec)});
 }
 
 // Takes and answers what still comes as long as callers may not have heard; then closes the door, sees all
@@ -479,12 +481,12 @@
   while (Clock::now() < end) {
     timer.expires_after(kLook);
     co_await timer.async_wait(asio::use_awaitable);
-    if (Clock::now() < crossed || !module_.at_rest() || !listener_.at_rest()) continue;
+    if (Clock::now() < crossed || !edge_actor_.is_idle() || !listener_.at_rest()) continue;
     // Nothing is owed any more: the fleet hears that this one leaves, and it waits for some of them to know.
     if (fleet_) fleet_->leave();
     // Before an end is written down nothing more may run; what came in the meantime is answered first.
     if (persistence_ && !std::exchange(closing, true)) {
-      module_.mailbox().post_control(edge::Closing{});
+      edge_actor_.mailbox().post_control(edge::AdmissionClosed{});
       continue;
     }
     if (persistence_) persistence_->end();
@@ -494,7 +496,7 @@
 }
 
 void Server::end_all() {
-  const bool all = module_.at_rest() && listener_.at_rest();
+  const bool all = edge_actor_.is_idle() && listener_.at_rest();
   log_.line(all ? "left: all answered" : "left: with answers unsent",
             {{"event", all ? "left" : "left_unsent"}});
   if (caller_) caller_->close_all();
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -23,25 +23,25 @@
 namespace granitegap {
 
 // An address that was asked for can't be had: a clear line, and exit status 2.
-struct UnusableAddress : std::runtime_error {
+struct AddressError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 class Server {
  public:
-  struct Extras {                                 // what an operator may add; none of it on the platform
+  struct Options {                                // what an operator may add; none of it on the platform
     std::optional<operators::Declared> declared;  // its classes numbered
     LogForm log = LogForm::text;
-    bool guarded = true;                    // false: the plain policy that measurements compare with
-    std::optional<int> listening;           // an inherited socket; docs/operation.md
+    bool protect_calls = true;              // false: the plain policy that measurements compare with
+    std::optional<int> inherited_listener;  // an inherited socket; docs/operation.md
     std::optional<config::Endpoint> admin;  // the operators' door
-    std::string shared_folder;              // with `listening`: what processes at one door share
+    std::string lease_folder;               // with `listening`: what processes at one door share
   };
-  Server(boost::asio::io_context& context, config::Config config, Extras extras,
+  Server(boost::asio::io_context& context, config::Config config, Options options,
          edge::EdgeActor::Clocks clocks = edge::read_clocks);
   Server(boost::asio::io_context& context, config::Config config,
          edge::EdgeActor::Clocks clocks = edge::read_clocks)
-      : Server(context, std::move(config), Extras{}, std::move(clocks)) {}
+      : Server(context, std::move(config), Options{}, std::move(clocks)) {}
   void start();
   // The notice to leave: ends the context once all is answered, before the kill.
   void drain();
@@ -50,28 +50,28 @@
   void reload(const std::variant<config::Config, config::Problem>& loaded);
   // A new operator's file while running: calls in flight go on. One that can't be used keeps the old.
   void reload(std::variant<operators::Declared, operators::Errors> loaded);
-  boost::asio::ip::tcp::endpoint local() const { return listener_.local(); }
+  boost::asio::ip::tcp::endpoint local_endpoint() const { return listener_.local(); }
   // Where operators call; absent where no door was asked for.
-  std::optional<boost::asio::ip::tcp::endpoint> admin_door() const {
+  std::optional<boost::asio::ip::tcp::endpoint> admin_endpoint() const {
     if (!admin_) return std::nullopt;
     return admin_->local();
   }
-  edge::EdgeActor& module() { return module_; }
+  edge::EdgeActor& edge_actor() { return edge_actor_; }
   // Once the context has ended: a disk still holds a thread, which nobody can wait for.
-  bool disk_hangs() const { return persistence_ && persistence_->at_work(); }
+  bool has_blocked_disk_thread() const { return persistence_ && persistence_->at_work(); }
 
  private:
   void spawn(boost::asio::awaitable<void> actor);
   void dispatch(edge::Output output);
-  void carry_out(edge::Answer&& answer);
-  void carry_out(edge::HealthAnswer&& health);
+  void carry_out(edge::Response&& answer);
+  void carry_out(edge::HealthResponse&& health);
   void carry_out(edge::Command&& command);
   void carry_out(edge::LoadReport&& report);
   void carry_out(edge::CloseIdlePeers&& idle);
   void carry_out(edge::LogEvent&& remark);
   void carry_out(edge::DependencyCall&& call);
   void carry_out(edge::CancelDependencyCall&& drop);
-  void carry_out(edge::StateTransferWanted&& ask);
+  void carry_out(edge::StateTransferRequested&& ask);
   void carry_out(edge::CacheFillReply&& answer);
   boost::asio::awaitable<void> leave();
   void end_all();
@@ -85,15 +85,15 @@
   std::optional<membership_udp::RecoveryReport> recovery_report() const;
   void keep_learned(const operators::Declared::Recovery& recovery);
 
-  static edge::Edge make_edge(const config::Config& config, const Extras& extras, TimePoint started);
-  static std::size_t sockets_for_door(const Extras& extras);
-  static std::size_t sockets_for_peers(const config::Config& config, const Extras& extras);
+  static edge::Edge make_edge(const config::Config& config, const Options& options, TimePoint started);
+  static std::size_t sockets_for_door(const Options& options);
+  static std::size_t sockets_for_peers(const config::Config& config, const Options& options);
 
   boost::asio::io_context& context_;
   config::Config config_;
-  Extras extras_;
+  Options options_;
   Logger log_;
-  edge::EdgeActor module_;
+  edge::EdgeActor edge_actor_;
   kernel::Link link_;
   load_report::LoadReporter load_reporter_;
   net::Listener listener_;
--- a/tests/dependency_client_test.cpp
+++ b/tests/dependency_client_test.cpp
@@ -122,7 +122,7 @@
     nobody = free.local_endpoint().port();
   }
   auto call = b.call(3);
-  call.to.port = nobody;
+  call.endpoint.port = nobody;
   b.caller.start(call);
   b.wait([&] { return b.reports.size() == 2; });
   CHECK(b.reports.back().fate == CallFate::unreachable);
@@ -157,15 +157,15 @@
                                         {"large", PartStatus::stale, milliseconds(9), body(5000)},
                                         {"gone", PartStatus::absent, {}, nullptr}};
   const auto whole = granitegap::partial_response::compose("result", parts, 100000);
-  CHECK(whole.parts == "small,large");
-  CHECK(whole.missing == "gone");
+  CHECK(whole.present_parts == "small,large");
+  CHECK(whole.missing_parts == "gone");
   CHECK(whole.bytes.size() > 5100);
   const auto cut = granitegap::partial_response::compose("result", parts, 1000);
-  CHECK(cut.parts == "small");
-  CHECK(cut.missing == "large,gone");
+  CHECK(cut.present_parts == "small");
+  CHECK(cut.missing_parts == "large,gone");
   CHECK(cut.bytes.size() < 1000);
   const auto bare = granitegap::partial_response::compose("result", parts, 1);
-  CHECK(bare.parts.empty());
+  CHECK(bare.present_parts.empty());
   CHECK(bare.bytes.find("result") != std::string::npos);
 }
 
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -153,16 +153,16 @@
     REQUIRE(std::holds_alternative<config::Config>(config));
     for (const auto* door : {"elevation", "names", "spare"})
       doors_.emplace(door, tcp::acceptor(io_, any_port<tcp>()));
-    Server::Extras extras;
+    Server::Options options;
     if (const auto cue = std::filesystem::path(script).replace_extension(".cue");
         std::filesystem::exists(cue)) {
       auto read = declared(cue);
       REQUIRE(std::holds_alternative<operators::Declared>(read));
-      extras.declared = std::get<operators::Declared>(std::move(read));
-      REQUIRE(operators::bind(*extras.declared, std::get<config::Config>(config).catalog).empty());
+      options.declared = std::get<operators::Declared>(std::move(read));
+      REQUIRE(operators::bind(*options.declared, std::get<config::Config>(config).catalog).empty());
     }
     const auto start = std::chrono::steady_clock::now() + std::chrono::hours(24);
-    server_.emplace(context_, std::move(std::get<config::Config>(config)), std::move(extras), [this, start] {
+    server_.emplace(context_, std::move(std::get<config::Config>(config)), std::move(options), [this, start] {
       const auto steady = std::chrono::duration_cast<Duration>(start.time_since_epoch());
       const std::int64_t passed = passed_;
       looked_at_ = passed;
@@ -170,7 +170,7 @@
                        edge::UnixTime(milliseconds(kUnixStart + passed))};
     });
     server_->start();
-    door_ = server_->local();
+    door_ = server_->local_endpoint();
     thread_ = std::thread([this] { context_.run(); });
   }
   ~Play() {
@@ -291,8 +291,8 @@
   void advance(std::int64_t by) {
     passed_ += by;
     asio::post(context_, [&] {
-      REQUIRE(
-          server_->module().mailbox().post(edge::PeerDisconnected{}));  // no such peer: only wakes the module
+      REQUIRE(server_->edge_actor().mailbox().post(
+          edge::PeerDisconnected{}));  // no such peer: only wakes the module
     });
     const auto hang = std::chrono::steady_clock::now() + std::chrono::seconds(kHangSeconds);
     for (bool over = false; !over; std::this_thread::yield()) {
@@ -386,14 +386,14 @@
   auto config =
       config::parse(fill(read_file(std::filesystem::path(EXCHANGES) / "config.json"), kernel, announce));
   REQUIRE(std::holds_alternative<config::Config>(config));
-  Server::Extras extras;
-  extras.admin = config::Endpoint{"127.0.0.1", 0};
-  Server server(context, std::move(std::get<config::Config>(config)), std::move(extras));
+  Server::Options options;
+  options.admin = config::Endpoint{"127.0.0.1", 0};
+  Server server(context, std::move(std::get<config::Config>(config)), std::move(options));
   server.start();
   bool over = false;
   std::size_t seen_full = 0;
   std::function<void()> refill = [&] {
-    while (server.module().mailbox().post(edge::PeerDisconnected{})) {
+    while (server.edge_actor().mailbox().post(edge::PeerDisconnected{})) {
     }
     ++seen_full;
     if (!over) asio::post(context, refill);
@@ -404,7 +404,7 @@
                                        {"quiesce\n", "OK quiesced\n"},
                                        {"resume\n", "OK starting\n"}}) {
     tcp::socket caller(io);
-    caller.connect({asio::ip::make_address("127.0.0.1"), server.admin_door()->port()});
+    caller.connect({asio::ip::make_address("127.0.0.1"), server.admin_endpoint()->port()});
     const timeval hang{kHangSeconds, 0};
     ::setsockopt(caller.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &hang, sizeof hang);
     asio::write(caller, asio::buffer(call));
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -32,7 +32,7 @@
   Door() {
     catalog.classes = {"tile"};
     catalog.tenants = {"turistaterkep"};
-    catalog.keyed = {false};
+    catalog.key_required = {false};
     asio::co_spawn(io, listener.run(), asio::detached);
     asio::co_spawn(
         io,
@@ -81,8 +81,8 @@
     const auto had = client.available();
     write(client, kCheck);
     run([&] { return mail.size() > before; });
-    const auto to = std::get<edge::HealthCheck>(mail.back()).from;
-    listener.deliver(to, edge::HealthAnswer{to, true, {}});
+    const auto to = std::get<edge::HealthCheck>(mail.back()).reply_to;
+    listener.deliver(to, edge::HealthResponse{to, true, {}});
     run([&] { return client.available() > had; });
   }
   // Clients whose connections the door has ended: their check's answer, perhaps a word to go, then the end.
@@ -185,8 +185,8 @@
   auto& client = door.connect();
   door.write(client, request(1));
   door.run([&] { return door.requests() == 1; });
-  const auto from = std::get<edge::Request>(door.mail.back()).from;
-  door.listener.deliver(from, edge::Answer{from, edge::Outcome::refused, nullptr, 1.0, {}, false});
+  const auto from = std::get<edge::Request>(door.mail.back()).reply_to;
+  door.listener.deliver(from, edge::Response{from, edge::Outcome::rejected, nullptr, 1.0, {}, false});
   door.run([&] { return client.available() > 0; });
   const auto answer = client.available();
   door.write(client, request(2));  // crosses the end: nobody will read it
--- a/tests/operation_unit_test.cpp
+++ b/tests/operation_unit_test.cpp
@@ -28,20 +28,20 @@
 enum class Event { up, quiesce, resume, drain, hand_over };
 constexpr Event kEvents[] = {Event::up, Event::quiesce, Event::resume, Event::drain, Event::hand_over};
 
-bool tell(Lifecycle& boot_id, Event event) {
+bool tell(Lifecycle& lifecycle, Event event) {
   switch (event) {
     case Event::up:
-      boot_id.kernel_up();
+      lifecycle.set_kernel_started();
       return true;
     case Event::quiesce:
-      return boot_id.quiesce();
+      return lifecycle.quiesce();
     case Event::resume:
-      return boot_id.resume();
+      return lifecycle.resume();
     case Event::drain:
-      boot_id.stop(false);
+      lifecycle.stop(false);
       return true;
     case Event::hand_over:
-      boot_id.stop(true);
+      lifecycle.stop(true);
       return true;
   }
   return false;
@@ -52,8 +52,8 @@
 TEST(BootId, EveryOrderedPairOfEvents) {
   for (const auto first : kEvents)
     for (const auto second : kEvents) {
-      Lifecycle boot_id;
-      const bool one = tell(boot_id, first), two = tell(boot_id, second);
+      Lifecycle lifecycle;
+      const bool one = tell(lifecycle, first), two = tell(lifecycle, second);
       const auto stops = [](Event e) { return e == Event::drain || e == Event::hand_over; };
       const auto was = [&](Event e) { return first == e || second == e; };
       const auto stop = stops(first) ? first : second;
@@ -64,10 +64,10 @@
                             : was(Event::up) ? Phase::serving
                                              : Phase::starting;
       SCOPED_TRACE(std::to_string(int(first)) + " then " + std::to_string(int(second)));
-      EXPECT_EQ(boot_id.phase(), expected);
-      EXPECT_EQ(boot_id.up(), was(Event::up));
-      EXPECT_EQ(boot_id.welcomes(), stopped ? stop == Event::hand_over : !quiesced);
-      EXPECT_EQ(boot_id.reports(), !(stopped && stop == Event::hand_over));
+      EXPECT_EQ(lifecycle.phase(), expected);
+      EXPECT_EQ(lifecycle.kernel_started(), was(Event::up));
+      EXPECT_EQ(lifecycle.accepts_traffic(), stopped ? stop == Event::hand_over : !quiesced);
+      EXPECT_EQ(lifecycle.publishes_load_reports(), !(stopped && stop == Event::hand_over));
       EXPECT_TRUE(one);
       // After a stop nothing leads back, and the caller hears so.
       EXPECT_EQ(two, !(stops(first) && (second == Event::quiesce || second == Event::resume)));
@@ -120,9 +120,9 @@
   std::vector<hot_restart::KeyLease> places = std::vector<hot_restart::KeyLease>(256);
   KeyLeaseTable claims() { return {head, places}; }
   Memory() { claims().adopt(at(0s), kSpan); }
-  Verdict claim(const std::string& token, std::uint64_t boot_id, Duration reached,
+  Verdict claim(const std::string& token, std::uint64_t lifecycle, Duration reached,
                 std::optional<Duration> now = {}) {
-    return claims().claim(hot_restart::token_of("report", token), at(reached), kSpan, boot_id,
+    return claims().claim(hot_restart::token_of("report", token), at(reached), kSpan, lifecycle,
                           at(now.value_or(reached)), kSpan);
   }
 };
@@ -193,8 +193,8 @@
     for (Duration now{}; now < 120s; now += Duration(random() % 100000)) {
       const auto token = std::to_string(random() % 30);
       const Duration reached = std::max(now - Duration(random() % 4000000), Duration{});
-      const std::uint64_t boot_id = 1 + random() % 3;
-      if (m.claim(token, boot_id, reached, now) != Verdict::mine) {
+      const std::uint64_t lifecycle = 1 + random() % 3;
+      if (m.claim(token, lifecycle, reached, now) != Verdict::mine) {
         ++refused;
         continue;
       }
@@ -202,9 +202,9 @@
       // A life's own repeats are its own table of keys' to refuse.
       const auto last = ran.find(token);
       if (last != ran.end() && reached <= last->second.first + kSpan) {
-        EXPECT_EQ(boot_id, last->second.second) << "seed " << seed;
+        EXPECT_EQ(lifecycle, last->second.second) << "seed " << seed;
       }
-      ran[token] = {reached, boot_id};
+      ran[token] = {reached, lifecycle};
     }
     EXPECT_GT(runs, 100);
     EXPECT_GT(refused, 100);
@@ -219,8 +219,8 @@
     path = ::mkdtemp(pattern.data());
   }
   ~Folder() { std::filesystem::remove_all(path); }
-  std::variant<SharedLeaseTable, hot_restart::LeaseTableError> open(std::uint64_t boot_id) const {
-    return SharedLeaseTable::open(path, "n1", boot_id, kSpan, at(0s));
+  std::variant<SharedLeaseTable, hot_restart::LeaseTableError> open(std::uint64_t lifecycle) const {
+    return SharedLeaseTable::open(path, "n1", lifecycle, kSpan, at(0s));
   }
   std::string path;
 };
--- a/tests/server_parts_test.cpp
+++ b/tests/server_parts_test.cpp
@@ -31,7 +31,7 @@
   CHECK(c.stop == 3200ms);
   CHECK(c.catalog.classes == std::vector<std::string>{"a, b"});
   CHECK(c.catalog.tenants == std::vector<std::string>{"x y"});
-  CHECK(c.catalog.keyed == std::vector<bool>{true});
+  CHECK(c.catalog.key_required == std::vector<bool>{true});
   CHECK(c.parsed.settings.cores == 6.0);
   CHECK(c.parsed.settings.classes.at(0).aim == Duration(100500));
   CHECK(c.parsed.settings.classes.at(0).calls == false);
@@ -65,8 +65,8 @@
 edge::Request keyed(std::string rid, Duration reached, std::string body = "b") {
   edge::Request r;
   r.rid = std::move(rid);
-  r.token = "t";
-  r.reached = edge::UnixTime(reached);
+  r.idempotency_key = "t";
+  r.arrived_at = edge::UnixTime(reached);
   r.memory = Kilobytes(20000);
   r.body = std::move(body);
   return r;
@@ -76,28 +76,28 @@
 TEST_CASE("keys: a run covers what reached the machine within its window, however late it is read") {
   IdempotencyTable keys({{8949ms, 3s}});
   const auto first = keyed("1", 10s);
-  CHECK_FALSE(keys.arrive(first, RequestId{1}, 1));
-  CHECK_FALSE(keys.covering_run(first));
-  keys.started(first, RequestId{1});
-  keys.ended(first, RequestId{1}, IdempotencyTable::RunState::bad, nullptr);
-  keys.sweep(edge::UnixTime(20s));
-  CHECK(keys.covering_run(keyed("2", 10s + 8949ms + 50ms)));
-  CHECK_FALSE(keys.covering_run(keyed("3", 10s + 8949ms + 1001ms)));
-  keys.sweep(edge::UnixTime(30s));
+  CHECK_FALSE(keys.add_attempt(first, RequestId{1}, 1));
+  CHECK_FALSE(keys.run_within_window(first));
+  keys.record_start(first, RequestId{1});
+  keys.record_end(first, RequestId{1}, IdempotencyTable::RunState::failed, nullptr);
+  keys.expire(edge::UnixTime(20s));
+  CHECK(keys.run_within_window(keyed("2", 10s + 8949ms + 50ms)));
+  CHECK_FALSE(keys.run_within_window(keyed("3", 10s + 8949ms + 1001ms)));
+  keys.expire(edge::UnixTime(30s));
   CHECK(keys.size() == 0);
 }
 
 TEST_CASE("keys: repeats are linked to what is kept, or to what is held and came in the same batch") {
   IdempotencyTable keys({{8949ms, 3s}});
   const auto one = keyed("1", 0s), two = keyed("2", 1ms), three = keyed("3", 2ms), four = keyed("4", 12s);
-  CHECK_FALSE(keys.arrive(one, RequestId{1}, 1));
-  CHECK(keys.arrive(two, RequestId{2}, 1) == RequestId{1});
-  CHECK_FALSE(keys.arrive(three, RequestId{3}, 2));
-  keys.keep(one, RequestId{1}, edge::UnixTime(9s));
-  CHECK(keys.arrive(three, RequestId{3}, 3) == RequestId{1});
-  CHECK_FALSE(keys.arrive(four, RequestId{4}, 4));
+  CHECK_FALSE(keys.add_attempt(one, RequestId{1}, 1));
+  CHECK(keys.add_attempt(two, RequestId{2}, 1) == RequestId{1});
+  CHECK_FALSE(keys.add_attempt(three, RequestId{3}, 2));
+  keys.remember(one, RequestId{1}, edge::UnixTime(9s));
+  CHECK(keys.add_attempt(three, RequestId{3}, 3) == RequestId{1});
+  CHECK_FALSE(keys.add_attempt(four, RequestId{4}, 4));
   keys.forget(one, RequestId{1});
-  for (unsigned id = 1; id <= 4; ++id) keys.leave_hold(one, RequestId{id});
+  for (unsigned id = 1; id <= 4; ++id) keys.remove_queued(one, RequestId{id});
   CHECK(keys.size() == 0);
 }
 
@@ -107,8 +107,8 @@
   ledger.note(edge::StartRun{"a", ClassId{0}, ""});
   ledger.note(edge::StopRun{"b"});
   ledger.note(edge::StopRun{"never started"});
-  CHECK(ledger.take({1, edge::RunReport{"a", edge::RunEnd::ok, {}, ""}}));
-  CHECK_FALSE(ledger.take({1, edge::RunReport{"b", edge::RunEnd::ok, {}, ""}}));
+  CHECK(ledger.take({1, edge::RunReport{"a", edge::RunOutcome::ok, {}, ""}}));
+  CHECK_FALSE(ledger.take({1, edge::RunReport{"b", edge::RunOutcome::ok, {}, ""}}));
   const auto again = ledger.to_ask_again();
   REQUIRE(again.size() == 2);
   CHECK(std::get<edge::StartRun>(again[0]).rid == "b");
@@ -121,17 +121,17 @@
 TEST_CASE("ledger: notices of an earlier life make it neither deaf nor inventive") {
   kernel::Ledger ledger;
   ledger.link_opened();
-  CHECK_FALSE(ledger.take({57, edge::RunReport{"old", edge::RunEnd::ok, {}, "x"}}));
+  CHECK_FALSE(ledger.take({57, edge::RunReport{"old", edge::RunOutcome::ok, {}, "x"}}));
   CHECK_FALSE(ledger.take({1, kernel::IgnoredNotice{}}));  // before BOOTED: of no number that was asked for
   CHECK(ledger.take({0, edge::KernelStarted{}}));
-  CHECK_FALSE(ledger.take({58, edge::RunReport{"older", edge::RunEnd::ok, {}, "x"}}));
+  CHECK_FALSE(ledger.take({58, edge::RunReport{"older", edge::RunOutcome::ok, {}, "x"}}));
   CHECK(ledger.last_notice() == 0);
   ledger.note(edge::StartRun{"a", ClassId{0}, ""});
   CHECK(ledger.take({1, kernel::IgnoredNotice{}}));
-  CHECK(ledger.take({2, edge::RunReport{"a", edge::RunEnd::ok, {}, "x"}}));
+  CHECK(ledger.take({2, edge::RunReport{"a", edge::RunOutcome::ok, {}, "x"}}));
   // Notices that the kernel no longer keeps leave a gap, past which an own run's end counts.
   ledger.note(edge::StartRun{"b", ClassId{0}, ""});
-  CHECK(ledger.take({9, edge::RunReport{"b", edge::RunEnd::ok, {}, "x"}}));
+  CHECK(ledger.take({9, edge::RunReport{"b", edge::RunOutcome::ok, {}, "x"}}));
   CHECK(ledger.last_notice() == 9);
 }
 
@@ -147,10 +147,10 @@
     }
     REQUIRE(got.size() == 4);  // nothing is read past a line that makes no sense
     CHECK(got[0].number == 7);
-    CHECK(std::get<edge::RunReport>(got[0].what).result == "\r\nx\n");
-    CHECK(std::get<edge::RunReport>(got[0].what).took == 1500us);
+    CHECK(std::get<edge::RunReport>(got[0].what).body == "\r\nx\n");
+    CHECK(std::get<edge::RunReport>(got[0].what).duration == 1500us);
     CHECK(std::get<kernel::Info>(got[1].what).gauges.values == std::vector<float>{0.5F, 2});
-    CHECK(std::get<edge::KernelStarted>(got[2].what).ago == 12ms);
+    CHECK(std::get<edge::KernelStarted>(got[2].what).uptime == 12ms);
     CHECK(std::holds_alternative<kernel::BadLine>(got[3].what));
   }
 }
@@ -246,7 +246,7 @@
   reader.add(std::string_view("\x00\x00\x00\x06\x06\x00\x00\x00\x02\x00", 10));
   const auto check = reader.next();
   REQUIRE(check);
-  CHECK(std::get<edge::HealthCheck>(*check).from.stream == 2);
+  CHECK(std::get<edge::HealthCheck>(*check).reply_to.stream == 2);
 }
 
 }  // namespace
