--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -19,12 +19,14 @@
 #include <optional>
 #include <queue>
 #include <random>
+#include <span>
 #include <string>
 #include <string_view>
-#include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "edge/idempotency_table.h"
+#include "edge/open_requests.h"
 #include "edge/types.h"
 #include "granitegap/policy.h"
 #include "lifecycle/lifecycle.h"
@@ -85,15 +87,17 @@
   lifecycle::Lifecycle& lifecycle() { return lifecycle_; }
   const lifecycle::Lifecycle& lifecycle() const { return lifecycle_; }
   // Whether health checks succeed.
-  [[nodiscard]] bool healthy() const { return good_ && lifecycle_.accepts_traffic(); }
+  [[nodiscard]] bool healthy() const { return controller_healthy_ && lifecycle_.accepts_traffic(); }
   // The admission controller reports bad health, whatever operators have set.
-  [[nodiscard]] bool controller_unhealthy() const { return !good_; }
+  [[nodiscard]] bool controller_unhealthy() const { return !controller_healthy_; }
   // Every request has got its response.
-  [[nodiscard]] bool has_no_pending_responses() const { return unanswered_ == 0; }
+  [[nodiscard]] bool has_no_pending_responses() const { return pending_responses_ == 0; }
   // Requests whose work is not over yet, answered or not.
   [[nodiscard]] std::size_t open_requests() const { return open_.size(); }
   // Null without a recovery ramp. Valid as long as the edge.
-  [[nodiscard]] const recovery::RecoveryController* recovery() const { return course_ ? &*course_ : nullptr; }
+  [[nodiscard]] const recovery::RecoveryController* recovery() const {
+    return recovery_ ? &*recovery_ : nullptr;
+  }
   [[nodiscard]] MemberStatus member_status(TimePoint now) const;
   // How long the restart quarantine lasts from `now`; Duration::max() where its end is not known yet.
   [[nodiscard]] Duration key_quarantine_left(TimePoint now) const;
@@ -103,138 +107,166 @@
   [[nodiscard]] warm_state::WarmState export_warm_state(TimePoint now) const;
 
  private:
-  // gathering: the module let it run, and what it needs from below is asked for first.
-  enum class Work : std::uint8_t { held, gathering, running, paused, reusing };
-  struct Open {
-    Request request;
-    TimePoint since;
-    Work work = Work::held;
-    bool ran = false, answered = false, stopped = false;  // stopped: a run of it was, once
-    bool too_late = false;  // read so long after the notice to leave that it must not run
-    std::optional<RequestId> repeats{};
-    std::vector<RequestId> followers{};  // repeats that wait for this one's result
-    bool calling = false;                // its gather has begun
-    std::vector<GatheredPart> parts{};   // that it gathered, before its run
-    TimePoint gathered{};
-  };
   struct Timer {
     TimePoint at;
-    std::uint64_t order;
+    std::uint64_t order;  // timers due at the same time fire in the order in which they were set
     TimerToken token;
-    bool operator>(const Timer& o) const { return at != o.at ? at > o.at : order > o.order; }
+    bool operator>(const Timer& other) const { return at != other.at ? at > other.at : order > other.order; }
+  };
+  struct Fleet {
+    double missing_share = 0;  // of the members agreed on
+    std::mt19937_64 retry_jitter;
+  };
+  struct RetryAdvice {
+    Duration retry_after{};  // 0: none
+    bool do_not_retry_elsewhere;
   };
 
+  // ---- Inputs ----
   void on(Request request);
-  void on(const MalformedRequest& request) { reject(request.reply_to); }
+  void on(const MalformedRequest& request);
+  void on(const PeerDisconnected& disconnected);
+  void on(const RequestCancelled& cancelled);
   void on(const HealthCheck& check);
-  void on(const PeerDisconnected& gone);
-  void on(const RequestCancelled& withdrawn);
+  void on(const DeepHealthCheckResult& result);
+  void on(const LifecycleChanged& changed);
   void on(const Drain& drain);
-  void on(const LifecycleChanged&) { report_health(); }
-  void on(const KernelStarted& booted);
+  void on(const AdmissionClosed& closed);
+  void on(const KernelStarted& started);
   void on(RunReport report);
-  void on(const DependencyCallRequested& wanted);
+  void on(const DependencyCallRequested& call);
   void on(const CommandRejected& rejected);
   void on(const Gauges& gauges);
-  void on(const DeepHealthCheckResult& done);
   void on(const deps::CallReport& report);
-  void on(const DependencySpecUpdate& fresh);
-  void on(const MembershipUpdate& news);
-  void on(const PreviousIncarnationFound& news);
-  void on(const WarmStateReceived& news);
-  void on(const StateTransferFinished& over);
-  void on(const AdmissionClosed& closing);
-  void on(const CacheFillQuery& asked);
-  void mind_course();
-  void tell_course();
-  bool reject_quarantined(const Request& request);
-  void say_how_long();
-  void fire_timers();
+  void on(const DependencySpecUpdate& update);
+  void on(const CacheFillQuery& query);
+  void on(const MembershipUpdate& update);
+  void on(const PreviousIncarnationFound& found);
+  void on(const WarmStateReceived& received);
+  void on(const StateTransferFinished& finished);
 
-  void apply(const Run& a);
-  void apply(const Refuse& a);
-  void apply(const Fail& a);
-  void apply(const Suspend& a);
-  void apply(const Remember& a);
-  void apply(const Forget& a);
-  void apply(const Reuse& a);
-  void apply(const SetHealth& a);
-  void apply(const AdvertiseCredit& a);
-  void apply(const CloseIdle& a);
-  void apply(const SetTimer& a);
-  void apply(const Log& a);
-  void apply(const Call& a);
-  void apply(const SkipCall& a);
-
-  bool gathers(const Open& o) const {
-    return gatherer_ && o.parts.empty() && gatherer_->gathers(o.request.cls);
-  }
-  void begin_gather(RequestId id, Open& o, Duration limit, bool may_call);
-  void pass_on_calls();  // to whoever carries them out, and notes the gathers that ended
-  void gather_ended(const deps::GatherEnded& ended);
-  void begin_run(RequestId id, Open& o);
-  void drop_work(RequestId id, Open& o);
-  PayloadPtr product_of(Open& o, std::string result);
-  Open* find(RequestId id);
-  bool untimely(const Request& request) const;
-  bool past_grace() const;
-  void abandon(RequestId id, Open& o);
-  void answer(Open& o, Outcome outcome, PayloadPtr result = nullptr, Duration backoff = {},
-              bool last = false);
-  void reject(const ReplyAddress& to);
-  void end(RequestId id, IdempotencyTable::RunState state, PayloadPtr result);
-  void settle_follower(RequestId id, IdempotencyTable::RunState state, const PayloadPtr& result);
-  void never_ran(const Open& o, RequestId id);
-  void finish_run(RequestId id, RunResult how, Duration took, PayloadPtr result);
-  void report_health();
-  Duration aim_of(ClassId cls) const;
-  Duration retry_after(Duration advised);
-  void log_event(std::string text, std::string_view event, std::string subject = {}) {
-    out_.emplace_back(LogEvent{std::move(text), event, std::move(subject)});
-  }
-  template <class C>
-  void command(C c) {
-    out_.emplace_back(Command(std::move(c)));
+  // ---- Actions of the controller ----
+  void apply(const Run& run);
+  void apply(const Refuse& refusal);
+  void apply(const Fail& failure);
+  void apply(const Suspend& suspend);
+  void apply(const Remember& remember);
+  void apply(const Forget& forget);
+  void apply(const Reuse& reuse);
+  void apply(const SetHealth& health);
+  void apply(const AdvertiseCredit& advertised);
+  void apply(const CloseIdle& close);
+  void apply(const SetTimer& set);
+  void apply(const Log& log);
+  void apply(const Call& call);
+  void apply(const SkipCall& skip);
+
+  // ---- The step: edge.cpp ----
+  void run_controller();
+  void apply_all(const std::vector<Action>& actions);
+  void expire_keys();
+  void fire_timers();
+  std::span<const float> fresh_gauges() const;
+  void log_event(std::string text, std::string_view event, std::string subject = {});
+  template <class KernelCommand>
+  void command(KernelCommand to_send) {
+    outputs_.emplace_back(Command(std::move(to_send)));
   }
 
+  // ---- Requests: edge_requests.cpp ----
+  bool is_acceptable(const Request& request) const;
+  bool has_bad_stamp(const Request& request) const;
+  bool is_past_grace() const;
+  void abandon(RequestId id, OpenRequest& open);
+  void stop_work(RequestId id, OpenRequest& open);
+  // The only place where the response to an open request is made; further calls for it do nothing.
+  void respond(OpenRequest& open, Outcome outcome, PayloadPtr payload = nullptr,
+               RetryAdvice advice = {{}, false});
+  // For requests that are not taken in.
+  void reject(const ReplyAddress& to, Duration retry_after = {});
+  Duration spread_retry_after(Duration advised);
+  void finish_follower(RequestId id, IdempotencyTable::RunState state, const PayloadPtr& payload);
+  // Ends the request; its followers get the payload.
+  void close_request(RequestId id, IdempotencyTable::RunState state, PayloadPtr payload);
+
+  // ---- Runs: edge_runs.cpp ----
+  void enter_stage(OpenRequest& open, RequestStage stage);
+  void start_run(RequestId id, OpenRequest& open);
+  bool refuse_run(RequestId id, OpenRequest& open);  // true: it must not run, and is closed
+  bool acquire_key_lease(const Request& request);
+  std::optional<RequestId> find_running(const std::string& rid);
+  void finish_run(RequestId id, RunResult result, Duration duration, PayloadPtr payload);
+  void finish_preemption(RequestId id, OpenRequest& open, Duration duration);
+  void discard_run(RequestId id, const OpenRequest& open);
+  Duration latency_objective(ClassId cls) const;
+
+  // ---- Downstream dependencies: edge_dependencies.cpp ----
+  bool needs_gather(const OpenRequest& open) const;
+  void begin_gather(RequestId id, OpenRequest& open, Duration budget, bool may_call);
+  void finish_gather(const deps::GatherEnded& ended);
+  void finish_cache_fill(const deps::GatherEnded& ended, std::uint64_t tag);
+  PayloadPtr make_payload(OpenRequest& open, std::string result);
+  void dispatch_calls();
+  DependencyCall make_call(const deps::StartCall& start) const;
+  void log_dependency_change(const deps::DependencyChanged& changed);
+
+  // ---- Recovery and membership: edge_recovery.cpp ----
+  bool reject_quarantined(const Request& request);  // true: it is rejected
+  void update_recovery();
+  void log_recovery();
+  membership::RecoveryStatus recovery_status() const;
+  double warmth(TimePoint now) const;
+
+  // ---- Health and shutdown: edge_health.cpp ----
+  void start_controller(bool cold, TimePoint started_at);
+  void publish_load_report();
+  void fail_deep_checks();
+
   ParsedSettings settings_;
   NameRegistry catalog_;
   std::uint64_t seed_;
-  std::optional<AdmissionController> module_;
+  std::optional<AdmissionController> controller_;  // from the kernel's first start on
+
+  // Of the step under way.
   Now now_{};
-  std::vector<Event> events_;
-  std::vector<Output> out_;
-  std::map<RequestId, Open> open_;
-  std::unordered_map<std::string, RequestId> by_rid_;
-  std::map<PeerId, std::vector<RequestId>> by_peer_;  // what is open, in order of arrival
-  IdempotencyTable keys_;
-  std::optional<deps::ScatterGather> gatherer_;
+  std::uint64_t batch_ = 0;
+  std::vector<Event> events_;  // not reported to the controller yet
+  std::vector<Output> outputs_;
   std::vector<deps::GatherEnded> ended_gathers_;
-  std::map<RequestId, std::uint64_t> fills_;  // asked by other members: their tags
-  Compose compose_;
+
+  OpenRequests open_;
+  IdempotencyTable keys_;
+  KeyLeaseHooks key_leases_;
+  std::uint32_t next_id_ = 1;
+  std::size_t pending_responses_ = 0;
+  TimePoint keys_expired_at_;
+
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
-  std::map<std::uint64_t, ReplyAddress> deep_checks_;
+  std::uint64_t timer_order_ = 0;
   std::vector<float> gauges_;
-  TimePoint gauges_at_, swept_at_;
-  std::optional<double> hint_;
+  TimePoint gauges_received_at_;
+
+  std::optional<deps::ScatterGather> scatter_gather_;  // where dependencies are declared
+  Compose compose_;
+  std::map<RequestId, std::uint64_t> cache_fills_;  // for other members: the tags of their queries
+  bool logged_call_request_ = false;
+
   lifecycle::Lifecycle lifecycle_;
-  KeyLeaseHooks key_leases_;
-  std::optional<UnixTime> drain_from_;
-  struct Fleet {
-    double missing = 0;  // share of the agreed fleet
-    std::mt19937_64 random;
-  };
-  std::unique_ptr<Fleet> fleet_;                            // where membership is declared
-  std::optional<recovery::RestartQuarantine> lost_memory_;  // where it is declared
-  std::optional<recovery::RecoveryController> course_;      // the same
-  std::mt19937_64 spread_;                                  // of advice while it comes back
-  BoundSet bound_;                                          // as the module holds it
-  TimePoint course_at_{};
-  TimePoint born_{};  // the kernel
-  std::uint64_t batch_ = 0, timer_order_ = 0, next_check_ = 1;
-  std::uint32_t next_id_ = 1;
-  std::size_t unanswered_ = 0;
-  bool from_store_ = false, good_ = true, closing_ = false, told_of_calls_ = false;
+  bool controller_healthy_ = true;
+  bool health_from_store_ = false;
+  std::optional<double> credit_;  // as the controller advertises it
+  std::map<std::uint64_t, ReplyAddress> deep_checks_;
+  std::uint64_t next_deep_check_ = 1;
+  TimePoint kernel_started_at_{};
+  std::optional<UnixTime> draining_since_;
+  bool admission_closed_ = false;
+
+  std::optional<Fleet> fleet_;                             // once there is a membership view
+  std::optional<recovery::RestartQuarantine> quarantine_;  // where it is enabled
+  std::optional<recovery::RecoveryController> recovery_;   // where the ramp is enabled
+  std::mt19937_64 retry_jitter_;                           // of Retry-After during the recovery
+  BoundSet admission_bound_;                               // as the controller knows it
+  TimePoint recovery_ticked_at_{};
 };
 
 }  // namespace granitegap::edge
--- /dev/null
+++ b/src/edge/edge_health.cpp
@@ -0,0 +1,106 @@
+// Health checks, load reports, the start of the kernel, drain and shutdown.
+#include <algorithm>
+#include <chrono>
+#include <utility>
+
+#include "edge/edge.h"
+
+namespace granitegap::edge {
+namespace {
+
+constexpr std::size_t kMaxDeepChecks = 64;
+constexpr Duration kMaxKernelUptime = std::chrono::hours(24);
+// Two reports of one kernel start differ by less than this.
+constexpr Duration kSameStartTolerance = std::chrono::seconds(2);
+constexpr Duration kDefaultWarmUp = std::chrono::seconds(60);
+
+}  // namespace
+
+// ---- Health ----
+
+void Edge::on(const HealthCheck& check) {
+  const bool wants_kernel =
+      check.deep && settings_.settings.deep_checks.value_or(false) && !health_from_store_ && healthy();
+  if (!controller_ || !wants_kernel || deep_checks_.size() >= kMaxDeepChecks) {
+    outputs_.emplace_back(HealthResponse{check.reply_to, healthy(), credit_});
+    return;
+  }
+  deep_checks_[next_deep_check_] = check.reply_to;
+  command(DeepHealthCheck{next_deep_check_++});
+}
+
+void Edge::on(const DeepHealthCheckResult& result) {
+  const auto check = deep_checks_.extract(result.tag);
+  if (check) outputs_.emplace_back(HealthResponse{check.mapped(), result.healthy && healthy(), credit_});
+}
+
+void Edge::apply(const SetHealth& health) {
+  if (lifecycle_.handing_over()) return;
+  health_from_store_ = health.from_store;
+  const bool is_healthy = health.good && !draining_since_;
+  if (std::exchange(controller_healthy_, is_healthy) != is_healthy) publish_load_report();
+  if (recovery_) recovery_->health(controller_healthy_, now_.steady);
+}
+
+void Edge::apply(const AdvertiseCredit& advertised) {
+  if (!lifecycle_.handing_over()) credit_ = std::max(advertised.credit, 0.0);
+}
+
+void Edge::apply(const CloseIdle& close) { outputs_.emplace_back(CloseIdlePeers{close.idle_for}); }
+
+void Edge::on(const LifecycleChanged&) { publish_load_report(); }
+
+void Edge::publish_load_report() {
+  if (!lifecycle_.publishes_load_reports()) return;
+  if (controller_ || draining_since_) outputs_.emplace_back(LoadReport{healthy() && !draining_since_});
+}
+
+// ---- The kernel's start ----
+
+// The kernel's start is the controller's: it may come long after this process's, and how warm the cores are
+// counts from it. Later connections only repeat the report.
+void Edge::on(const KernelStarted& started) {
+  const auto started_at = now_.steady - std::min<Duration>(started.uptime, kMaxKernelUptime);
+  const bool is_restart =
+      controller_ && started.cold && started_at > kernel_started_at_ + kSameStartTolerance;
+  if (recovery_ && (!controller_ || is_restart)) {
+    const auto warm_up = settings_.settings.warm_up.value_or(kDefaultWarmUp);
+    recovery_->kernel(started.cold, started_at + warm_up - now_.steady, now_.steady);
+    recovery_->health(controller_healthy_, now_.steady);
+  }
+  if (is_restart) kernel_started_at_ = started_at;
+  lifecycle_.set_kernel_started();
+  if (!controller_) start_controller(started.cold, started_at);
+}
+
+void Edge::start_controller(bool cold, TimePoint started_at) {
+  settings_.settings.cold = cold;
+  kernel_started_at_ = started_at;
+  controller_.emplace(settings_.settings, seed_, kernel_started_at_);
+  apply_all(controller_->start());
+  publish_load_report();
+}
+
+// ---- Drain and shutdown ----
+
+void Edge::on(const Drain& drain) {
+  if (draining_since_) return;
+  draining_since_ = now_.unix;
+  // While handing over, no caller is told to go elsewhere: that would be read as about the successor too.
+  if (!lifecycle_.handing_over()) {
+    controller_healthy_ = false;
+    publish_load_report();
+    fail_deep_checks();
+  }
+  if (controller_) events_.emplace_back(DrainNotice{drain.time_left});
+}
+
+// Deep checks under way are answered now: the kernel's result may come late, or never.
+void Edge::fail_deep_checks() {
+  for (const auto& [tag, reply_to] : std::exchange(deep_checks_, {}))
+    outputs_.emplace_back(HealthResponse{reply_to, false, credit_});
+}
+
+void Edge::on(const AdmissionClosed&) { admission_closed_ = true; }
+
+}  // namespace granitegap::edge
--- /dev/null
+++ b/src/edge/edge_recovery.cpp
@@ -0,0 +1,175 @@
+// Recovery from a restart: the quarantine of idempotency keys, the ramp, warm state, and the membership.
+#include <algorithm>
+#include <chrono>
+#include <cmath>
+#include <utility>
+
+#include "edge/edge.h"
+#include "edge/recovery_log.h"
+
+namespace granitegap::edge {
+namespace {
+
+constexpr Duration kRecoveryTick = std::chrono::milliseconds(100);
+constexpr Duration kMinQuarantineAdvice = std::chrono::milliseconds(1);
+constexpr Duration kDefaultWarmUp = std::chrono::seconds(60);
+constexpr std::int64_t kMaxFullAfterMs = 0xfffffff0;  // what the membership's wire has room for
+
+std::int64_t to_ms(Duration duration) {
+  return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
+}
+
+// 100 where no credit is left.
+std::uint8_t load_percent(double credit) {
+  return std::uint8_t(std::clamp(100 / (1 + std::max(credit, 0.0)), 0.0, 100.0));
+}
+
+std::uint8_t percent(double share) { return std::uint8_t(100 * std::clamp(share, 0.0, 1.0)); }
+
+}  // namespace
+
+// ---- The restart quarantine ----
+
+void Edge::enable_restart_quarantine(Duration max_clock_back, bool has_folder, TimePoint started) {
+  recovery::RestartQuarantine::Rules rules;
+  for (std::size_t i = 0; i < settings_.settings.classes.size(); ++i) {
+    const ClassId cls = ClassId(i);
+    rules.windows.push_back(catalog_.requires_idempotency_key(cls) ? keys_.window(cls) : Duration{});
+  }
+  rules.max_clock_back = max_clock_back;
+  rules.has_folder = has_folder;
+  quarantine_.emplace(std::move(rules), started);
+}
+
+// A request that an earlier incarnation may have run is rejected before it costs anything, with the time
+// after which to retry. By when it reached the machine: guards against one that lay unread until the
+// quarantine was over.
+bool Edge::reject_quarantined(const Request& request) {
+  if (!quarantine_ || !catalog_.requires_idempotency_key(request.cls)) return false;
+  const auto arrived_at = now_.steady - std::max(now_.unix - request.arrived_at, Duration{});
+  if (!quarantine_->in_doubt(request.cls, arrived_at)) return false;
+  const auto max_advice = settings_.settings.max_advice.value_or(Duration{});
+  const auto until = quarantine_->until(request.cls);
+  const bool end_known = until != TimePoint::max();
+  const auto left = end_known ? std::max(until - now_.steady, kMinQuarantineAdvice) : max_advice;
+  reject(request.reply_to, std::min(left, max_advice));
+  return true;
+}
+
+void Edge::on(const PreviousIncarnationFound& found) {
+  if (!quarantine_) return;
+  quarantine_->learn(found.previous, now_.steady);
+  const auto left = key_quarantine_left(now_.steady);
+  if (left == Duration::max() || left <= Duration{}) return;
+  log_event(
+      "keyed requests wait " + std::to_string(to_ms(left)) + " ms for what an earlier life may have run",
+      "keyed_wait");
+}
+
+Duration Edge::key_quarantine_left(TimePoint now) const {
+  const auto until = quarantine_ ? quarantine_->longest() : TimePoint::min();
+  if (until == TimePoint::max()) return Duration::max();
+  return until <= now ? Duration{} : until - now;
+}
+
+// ---- The recovery ramp ----
+
+void Edge::enable_recovery_ramp(const recovery::RecoveryOptions& options, TimePoint started) {
+  recovery_.emplace(options, started);
+}
+
+// What recovery has found reaches the controller as a bound: the controller stays the one that admits, orders
+// and rejects.
+void Edge::update_recovery() {
+  if (controller_ && now_.steady - recovery_ticked_at_ >= kRecoveryTick) {
+    recovery_ticked_at_ = now_.steady;
+    recovery_->tick(now_.steady);
+  }
+  log_recovery();
+  if (!controller_) return;
+  const BoundSet bound{recovery_->wait_bound(), recovery_->offered()};
+  if (bound.max_wait == admission_bound_.max_wait && bound.offered == admission_bound_.offered) return;
+  admission_bound_ = bound;
+  events_.emplace_back(bound);
+}
+
+void Edge::log_recovery() {
+  for (const auto& news : recovery_->take_news()) {
+    if (news.what == recovery::RecoveryController::News::paused)
+      outputs_.emplace_back(StateTransferRequested{});
+    outputs_.emplace_back(describe(news, *recovery_, now_.steady));
+  }
+}
+
+// ---- Warm state ----
+
+void Edge::on(const WarmStateReceived& received) {
+  const bool from_disk = received.donors == 0;
+  if (recovery_ && from_disk) recovery_->expected(received.state.members.size(), now_.steady);
+  if (!scatter_gather_) return;
+  const auto source =
+      from_disk ? std::string("an earlier life") : std::to_string(received.donors) + " other members";
+  const auto used = scatter_gather_->learn(received.state, now_.steady);
+  if (used.endpoints > 0)
+    log_event("learned of " + std::to_string(used.endpoints) + " endpoints from " + source, "learned");
+  if (used.parts > 0)
+    log_event("learned " + std::to_string(used.parts) + " kept answers from " + source, "learned_parts");
+}
+
+void Edge::on(const StateTransferFinished& finished) {
+  if (recovery_) recovery_->learned(finished.donors, now_.steady);
+}
+
+warm_state::WarmState Edge::export_warm_state(TimePoint now) const {
+  warm_state::WarmState state;
+  if (scatter_gather_) scatter_gather_->export_to(state, now);
+  return state;
+}
+
+// ---- The membership ----
+
+void Edge::on(const MembershipUpdate& update) {
+  if (!update.view) return;
+  const auto& view = *update.view;
+  if (!fleet_) fleet_ = Fleet{0, std::mt19937_64(seed_)};
+  // Without a majority the missing one may be this process: its Retry-After stays as it is.
+  fleet_->missing_share = view.majority ? membership::missing_share(view) : 0;
+  if (recovery_) recovery_->fleet(recovery::fleet_status_of(view), now_.steady);
+  if (quarantine_) quarantine_->another_lives(view.duplicate, now_.steady);
+  if (scatter_gather_) scatter_gather_->fleet(update.view, now_.steady);
+}
+
+MemberStatus Edge::member_status(TimePoint now) const {
+  MemberStatus status;
+  if (scatter_gather_) status.endpoint_health = scatter_gather_->endpoint_health(now);
+  if (credit_) status.load_percent = load_percent(*credit_);
+  if (recovery_) status.recovery_status = recovery_status();
+  if (!controller_) return status;
+  status.warmth_percent = percent(warmth(now));
+  const bool is_leaving = draining_since_ || lifecycle_.phase() == lifecycle::Phase::quiesced;
+  if (is_leaving)
+    status.stage = membership::Stage::draining;
+  else if (status.warmth_percent < 100)
+    status.stage = membership::Stage::warming;
+  else
+    status.stage = membership::Stage::serving;
+  return status;
+}
+
+membership::RecoveryStatus Edge::recovery_status() const {
+  membership::RecoveryStatus status;
+  status.phase = std::uint8_t(1 + std::uint8_t(recovery_->phase()));
+  status.offered = std::uint8_t(std::lround(100 * recovery_->offered()));
+  if (const auto full_after = recovery_->milestones().full)
+    status.full_ms = std::uint32_t(std::clamp<std::int64_t>(to_ms(*full_after), 1, kMaxFullAfterMs));
+  return status;
+}
+
+// 0 to 1: how far the cores' slow start has come.
+double Edge::warmth(TimePoint now) const {
+  if (!settings_.settings.cold.value_or(true)) return 1;
+  const auto warm_up = settings_.settings.warm_up.value_or(kDefaultWarmUp);
+  return double((now - kernel_started_at_).count()) / std::max(double(warm_up.count()), 1.0);
+}
+
+}  // namespace granitegap::edge
--- /dev/null
+++ b/src/edge/edge_requests.cpp
@@ -0,0 +1,213 @@
+// Requests from their arrival to their response, and callers that go.
+#include <algorithm>
+#include <utility>
+
+#include "edge/edge.h"
+
+namespace granitegap::edge {
+namespace {
+
+// Before the end of the grace: the notice to stop is received a little after it was given.
+constexpr Duration kGraceMargin = std::chrono::milliseconds(100);
+// Stamps are of this machine's own clock.
+constexpr Duration kMaxClockSkew = std::chrono::seconds(1);
+
+}  // namespace
+
+// ---- Arrival ----
+
+void Edge::on(Request request) {
+  if (!is_acceptable(request)) return reject(request.reply_to);
+  if (reject_quarantined(request)) return;
+  const RequestId id{next_id_++};
+  RequestArrived arrived;
+  arrived.id = id;
+  arrived.cls = request.cls;
+  arrived.tenant = request.tenant;
+  arrived.caller = request.caller;
+  arrived.key = request.read_key;
+  arrived.cost_hint = request.cost_hint;
+  arrived.memory = request.memory;
+  // Its stamp is of another clock than the controller's: only the span carries over, and never a negative
+  // one.
+  arrived.waited_unread = std::max(now_.unix - request.arrived_at, Duration{});
+  arrived.repeats = keys_.add_attempt(request, id, batch_);
+  open_.add(id, OpenRequest{.request = std::move(request),
+                            .stage_began_at = now_.steady,
+                            .read_after_grace = is_past_grace(),
+                            .original = arrived.repeats});
+  ++pending_responses_;
+  events_.emplace_back(arrived);
+}
+
+// A rid names one attempt: a second one under it could not be told apart in the kernel's reports. And a
+// key's payload is that of the body it came with: nothing else may be served with it.
+bool Edge::is_acceptable(const Request& request) const {
+  return !admission_closed_ && controller_ && !open_.find_by_rid(request.rid) && !has_bad_stamp(request) &&
+         !keys_.has_different_body(request);
+}
+
+// Guards against stamps that no request of this machine can bear: in the future, or past the moment when it
+// was due its response. Such a stamp would also move the window in which its key must not run again.
+bool Edge::has_bad_stamp(const Request& request) const {
+  const auto& settings = settings_.settings;
+  const auto cls = std::size_t(request.cls);
+  if (request.arrived_at > now_.unix + kMaxClockSkew) return true;
+  if (cls >= settings.classes.size() || !settings.classes[cls].deadline) return false;
+  const auto due = request.arrived_at + *settings.classes[cls].deadline;
+  return now_.unix > due + settings.answer_slack.value_or(Duration{}) + kMaxClockSkew;
+}
+
+// By when it is read, not by its stamp: guards against a request that waited for its connection, so that it
+// was written later than its stamp tells.
+bool Edge::is_past_grace() const {
+  if (!draining_since_ || lifecycle_.handing_over()) return false;
+  const auto grace = settings_.settings.drain_grace.value_or(Duration{});
+  return now_.unix > *draining_since_ + std::max(grace - kGraceMargin, Duration{});
+}
+
+void Edge::on(const MalformedRequest& request) { reject(request.reply_to); }
+
+// ---- Callers that go ----
+
+// Guards against work for a connection that can't carry its response. A run under way goes on under the
+// controller's decisions, and its end is reported like any other.
+void Edge::on(const PeerDisconnected& disconnected) {
+  for (const auto id : open_.take_peer(disconnected.peer)) {
+    auto* open = open_.find(id);
+    if (!open || open->answered) continue;
+    open->answered = true;
+    --pending_responses_;
+    abandon(id, *open);
+  }
+  std::erase_if(deep_checks_, [&](const auto& check) { return check.second.peer == disconnected.peer; });
+}
+
+void Edge::on(const RequestCancelled& cancelled) {
+  for (const auto id : open_.requests_of(cancelled.reply_to.peer)) {
+    auto* open = open_.find(id);
+    if (!open || open->answered || open->request.reply_to.stream != cancelled.reply_to.stream) continue;
+    respond(*open, Outcome::failed);
+    abandon(id, *open);
+  }
+}
+
+// The response is given, or nobody can receive it. Work for it ends, unless a repeat waits for the payload:
+// guards against a lost connection that fails the retry which came in time.
+void Edge::abandon(RequestId id, OpenRequest& open) {
+  if (!open.followers.empty()) return;
+  events_.emplace_back(CallerGone{id});
+  stop_work(id, open);
+}
+
+// The response is given, or nobody can receive it: the request is over, but for a run, whose end the kernel
+// reports. Its calls to dependencies end with it, unless a repeat waits for what comes of them.
+void Edge::stop_work(RequestId id, OpenRequest& open) {
+  if (open.stage == RequestStage::running) return;
+  if (open.stage == RequestStage::gathering) {
+    if (open.calls_began && !open.followers.empty()) return;
+    if (open.calls_began) {
+      scatter_gather_->abandon(id, now_.steady);
+      dispatch_calls();
+    }
+    events_.emplace_back(RunEnded{id, RunResult::moot, {}});
+  }
+  close_request(id, IdempotencyTable::RunState::failed, nullptr);
+}
+
+// ---- Responses ----
+
+void Edge::respond(OpenRequest& open, Outcome outcome, PayloadPtr payload, RetryAdvice advice) {
+  if (std::exchange(open.answered, true)) return;
+  --pending_responses_;
+  if (recovery_) recovery_->answered(outcome == Outcome::served, now_.steady);
+  outputs_.emplace_back(Response{open.request.reply_to, outcome, std::move(payload), credit_,
+                                 advice.retry_after, advice.do_not_retry_elsewhere});
+}
+
+void Edge::reject(const ReplyAddress& to, Duration retry_after) {
+  outputs_.emplace_back(Response{to, Outcome::rejected, nullptr, credit_, retry_after, false});
+}
+
+void Edge::apply(const Refuse& refusal) {
+  auto* open = open_.find(refusal.id);
+  if (!open) return;
+  if (recovery_ && refusal.keep_off.count() > 0) recovery_->turned_away(now_.steady);
+  // A rejection promises that this attempt never ran.
+  respond(*open, open->ran ? Outcome::failed : Outcome::rejected, nullptr,
+          {spread_retry_after(refusal.keep_off), refusal.do_not_try_elsewhere});
+  stop_work(refusal.id, *open);
+}
+
+void Edge::apply(const Fail& failure) {
+  auto* open = open_.find(failure.id);
+  if (!open) return;
+  respond(*open, Outcome::failed);
+  stop_work(failure.id, *open);
+}
+
+// Spreads the controller's advice in time while part of the fleet is missing, and over the time that a
+// recovery will still take. Guards against callers that come together again and again while there is no more
+// capacity than the last time.
+Duration Edge::spread_retry_after(Duration advised) {
+  std::uniform_real_distribution<double> unit(0, 1);
+  const auto max_advice = settings_.settings.max_advice.value_or(advised);
+  const bool is_recovering = recovery_ && recovery_->phase() != recovery::Phase::full;
+  if (is_recovering && advised.count() > 0 && advised < max_advice) {
+    const auto window = std::min(max_advice - advised, recovery_->left(now_.steady) / 4);
+    return advised + Duration(std::int64_t(double(window.count()) * unit(retry_jitter_)));
+  }
+  if (!fleet_ || fleet_->missing_share <= 0) return advised;
+  return membership::spread_backoff(advised, max_advice, fleet_->missing_share, unit(fleet_->retry_jitter));
+}
+
+// ---- Idempotency keys ----
+
+void Edge::apply(const Remember& remember) {
+  if (const auto* open = open_.find(remember.id))
+    keys_.remember(open->request, remember.id, now_.unix + remember.keep_for);
+}
+
+void Edge::apply(const Forget& forget) {
+  if (const auto* open = open_.find(forget.id)) keys_.forget(open->request, forget.id);
+}
+
+void Edge::apply(const Reuse& reuse) {
+  auto* open = open_.find(reuse.id);
+  if (!open || open->stage != RequestStage::queued) return;
+  keys_.remove_queued(open->request, reuse.id);
+  enter_stage(*open, RequestStage::awaiting_original);
+  if (const auto* run = keys_.find_run(open->request)) {
+    if (run->state != IdempotencyTable::RunState::running)
+      return finish_follower(reuse.id, run->state, run->payload);
+    open_.at(run->attempt).followers.push_back(reuse.id);
+    return;
+  }
+  auto* original = open->original ? open_.find(*open->original) : nullptr;
+  const bool may_still_run =
+      original && (original->stage == RequestStage::queued || original->stage == RequestStage::gathering);
+  if (!may_still_run) return finish_follower(reuse.id, IdempotencyTable::RunState::failed, nullptr);
+  original->followers.push_back(reuse.id);
+}
+
+void Edge::finish_follower(RequestId id, IdempotencyTable::RunState state, const PayloadPtr& payload) {
+  auto* open = open_.find(id);
+  if (!open) return;
+  const bool succeeded = state == IdempotencyTable::RunState::succeeded;
+  const auto result = succeeded ? RunResult::ok : RunResult::error;
+  events_.emplace_back(RunEnded{id, result, now_.steady - open->stage_began_at});
+  respond(*open, succeeded ? Outcome::served : Outcome::failed, payload);
+  close_request(id, state, nullptr);
+}
+
+// ---- The end ----
+
+void Edge::close_request(RequestId id, IdempotencyTable::RunState state, PayloadPtr payload) {
+  const auto open = open_.remove(id);
+  keys_.record_end(open.request, id, state, payload);
+  keys_.remove_queued(open.request, id);
+  if (!open.ran) keys_.forget(open.request, id);
+  for (const auto follower : open.followers) finish_follower(follower, state, payload);
+}
+
+}  // namespace granitegap::edge
--- /dev/null
+++ b/src/edge/edge_runs.cpp
@@ -0,0 +1,162 @@
+// Runs in the kernel: start, preemption, reports.
+#include <utility>
+
+#include "edge/edge.h"
+
+namespace granitegap::edge {
+
+void Edge::enter_stage(OpenRequest& open, RequestStage stage) {
+  open.stage = stage;
+  open.stage_began_at = now_.steady;
+}
+
+// ---- Start and preemption ----
+
+void Edge::apply(const Run& run) {
+  auto* open = open_.find(run.id);
+  if (!open) {
+    events_.emplace_back(RunEnded{run.id, RunResult::moot, {}});
+    return;
+  }
+  if (open->stage == RequestStage::paused) {
+    enter_stage(*open, RequestStage::running);
+    return command(ResumeRun{open->request.rid});
+  }
+  if (open->stage != RequestStage::queued) return;
+  const bool must_not_run = open->read_after_grace || keys_.run_within_window(open->request);
+  if (must_not_run || !needs_gather(*open)) return start_run(run.id, *open);
+  // Nothing reaches the kernel before its parts are there: a required one that fails costs no core time, and
+  // a rejection stays true.
+  enter_stage(*open, RequestStage::gathering);
+  events_.emplace_back(CallNeeded{run.id});
+}
+
+void Edge::start_run(RequestId id, OpenRequest& open) {
+  if (refuse_run(id, open)) return;
+  enter_stage(open, RequestStage::running);
+  open.ran = true;
+  keys_.record_start(open.request, id);
+  command(StartRun{open.request.rid, open.request.cls, open.request.body});
+}
+
+// The last guard of two rules, whatever the controller decides: no attempt of a request runs again within the
+// window of the one that ran, here or in another process; and nothing runs that was read too long after the
+// notice to stop.
+bool Edge::refuse_run(RequestId id, OpenRequest& open) {
+  const auto end = [&](Outcome outcome, PayloadPtr payload = nullptr) {
+    events_.emplace_back(RunEnded{id, RunResult::moot, {}});
+    respond(open, outcome, std::move(payload));
+    close_request(id, IdempotencyTable::RunState::failed, nullptr);
+    return true;
+  };
+  if (const auto* run = keys_.run_within_window(open.request)) {
+    const bool succeeded = run->state == IdempotencyTable::RunState::succeeded;
+    return succeeded ? end(Outcome::served, run->payload) : end(Outcome::failed);
+  }
+  if (open.read_after_grace) return end(Outcome::rejected);
+  // What another process may have run, or may be running, is not run here. The response has no Retry-After:
+  // that would be advice about the whole server, which is healthy.
+  if (!acquire_key_lease(open.request)) return end(open.ran ? Outcome::failed : Outcome::rejected);
+  return false;
+}
+
+bool Edge::acquire_key_lease(const Request& request) {
+  if (!key_leases_.acquire || request.idempotency_key.empty()) return true;
+  return key_leases_.acquire(request, keys_.retention(request.cls), now_.unix);
+}
+
+void Edge::apply(const Suspend& suspend) {
+  const auto* open = open_.find(suspend.id);
+  if (!open || open->stage != RequestStage::running) return;
+  // A run that others wait for is not stopped because its own caller has gone.
+  const bool is_wanted = !open->followers.empty();
+  if (!open->answered || !is_wanted) command(StopRun{open->request.rid});
+}
+
+// ---- Reports of the kernel ----
+
+std::optional<RequestId> Edge::find_running(const std::string& rid) {
+  const auto id = open_.find_by_rid(rid);
+  if (!id || open_.at(*id).stage != RequestStage::running) return std::nullopt;
+  return id;
+}
+
+void Edge::on(RunReport report) {
+  const auto id = find_running(report.rid);
+  if (!id) return;
+  auto& open = open_.at(*id);
+  switch (report.outcome) {
+    case RunOutcome::ok:
+      return finish_run(*id, RunResult::ok, report.duration, make_payload(open, std::move(report.body)));
+    case RunOutcome::error:
+      return finish_run(*id, RunResult::error, report.duration, nullptr);
+    case RunOutcome::never_ran:
+      discard_run(*id, open);
+      return finish_run(*id, RunResult::moot, report.duration, nullptr);
+    case RunOutcome::stopped:
+      return finish_preemption(*id, open, report.duration);
+  }
+}
+
+void Edge::finish_preemption(RequestId id, OpenRequest& open, Duration duration) {
+  events_.emplace_back(RunEnded{id, RunResult::cancelled, duration});
+  open.preempted = true;
+  if (open.answered) return close_request(id, IdempotencyTable::RunState::failed, nullptr);
+  const bool kernel_can_pause = settings_.settings.suspend == SuspendKind::pause;
+  open.stage = kernel_can_pause ? RequestStage::paused : RequestStage::queued;
+}
+
+void Edge::finish_run(RequestId id, RunResult result, Duration duration, PayloadPtr payload) {
+  auto& open = open_.at(id);
+  const bool succeeded = result == RunResult::ok;
+  events_.emplace_back(RunEnded{id, result, duration});
+  if (recovery_ && result != RunResult::moot) {
+    const auto latency = now_.unix - open.request.arrived_at;
+    const bool within_objective =
+        succeeded && !open.answered && latency <= latency_objective(open.request.cls);
+    recovery_->ran(within_objective, now_.steady);
+  }
+  respond(open, succeeded ? Outcome::served : Outcome::failed, payload);
+  const auto state = succeeded ? IdempotencyTable::RunState::succeeded : IdempotencyTable::RunState::failed;
+  close_request(id, state, std::move(payload));
+}
+
+// The kernel's protocol names no way to make a call for a run: the request is given up at once, and the
+// kernel ends the run of a request that is over.
+void Edge::on(const DependencyCallRequested& call) {
+  const auto id = find_running(call.rid);
+  if (!id) return;
+  auto& open = open_.at(*id);
+  if (!std::exchange(logged_call_request_, true))
+    log_event("kernel wants a call below for request " + call.rid + ": not known here, such requests fail",
+              "call_wanted", call.rid);
+  events_.emplace_back(CallNeeded{*id});
+  respond(open, Outcome::failed);
+  abandon(*id, open);
+}
+
+// A command that the kernel would not carry out must not strand its request: the run is over, with an error.
+void Edge::on(const CommandRejected& rejected) {
+  log_event("kernel rejected a command for request " + rejected.rid, "kernel_rejected", rejected.rid);
+  if (rejected.kind == CommandKind::stop) return;
+  const auto id = find_running(rejected.rid);
+  if (!id) return;
+  // Guards against a key spent for its window by an attempt that the kernel never knew.
+  discard_run(*id, open_.at(*id));
+  finish_run(*id, RunResult::error, {}, nullptr);
+}
+
+// A run that was preempted once has run, whatever comes of its next start.
+void Edge::discard_run(RequestId id, const OpenRequest& open) {
+  if (open.preempted) return;
+  keys_.discard_run(open.request, id);
+  if (key_leases_.release && !open.request.idempotency_key.empty()) key_leases_.release(open.request);
+}
+
+Duration Edge::latency_objective(ClassId cls) const {
+  const auto& classes = settings_.settings.classes;
+  const auto index = std::size_t(cls);
+  return index < classes.size() ? classes[index].aim.value_or(Duration::max()) : Duration::max();
+}
+
+}  // namespace granitegap::edge
--- a/src/edge/idempotency_table.h
+++ b/src/edge/idempotency_table.h
@@ -57,6 +57,8 @@
   [[nodiscard]] const Run* run_within_window(const Request& request) const;
   // The latest run of the key, however long ago; null: none. Valid as above.
   [[nodiscard]] const Run* find_run(const Request& request) const;
+  // The window of the class, as set by its rules.
+  [[nodiscard]] Duration window(ClassId cls) const { return rules(cls).window; }
   // How long after the arrival of the attempt that ran no other one runs: the window and a margin.
   [[nodiscard]] Duration retention(ClassId cls) const;
   // Drops what no attempt can refer to any more.
--- /dev/null
+++ b/src/edge/recovery_log.h
@@ -0,0 +1,13 @@
+// The log lines about a recovery.
+#pragma once
+#include "edge/types.h"
+#include "recovery/recovery_controller.h"
+
+namespace granitegap::edge {
+
+// One line for one entry of RecoveryController::take_news(). `recovery`: the controller it came from, as it
+// stands `now`.
+[[nodiscard]] LogEvent describe(const recovery::RecoveryController::News& news,
+                                const recovery::RecoveryController& recovery, TimePoint now);
+
+}  // namespace granitegap::edge
