--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -17,7 +17,8 @@
 std::vector<IdempotencyTable::Rules> idempotency_rules(const Settings& settings) {
   std::vector<IdempotencyTable::Rules> rules;
   for (const auto& cls : settings.classes)
-    rules.push_back({cls.repeat_window.value_or(kDefaultWindow), cls.deadline.value_or(kDefaultDeadline)});
+    rules.push_back(
+        {cls.idempotency_window.value_or(kDefaultWindow), cls.deadline.value_or(kDefaultDeadline)});
   return rules;
 }
 
@@ -82,7 +83,7 @@
 }
 
 void Edge::apply(const SetTimer& set) {
-  timers_.push({now_.steady + std::max(set.after, Duration(1)), timer_order_++, set.token});
+  timers_.push({now_.steady + std::max(set.delay, Duration(1)), timer_order_++, set.token});
 }
 
 void Edge::on(const Gauges& gauges) {
@@ -112,7 +113,7 @@
 
 // ---- The log ----
 
-void Edge::apply(const Log& log) { log_event("module: " + log.text, "module"); }
+void Edge::apply(const Log& log) { log_event("module: " + log.message, "module"); }
 
 void Edge::log_event(std::string text, std::string_view event, std::string subject) {
   outputs_.emplace_back(LogEvent{std::move(text), event, std::move(subject)});
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -147,15 +147,15 @@
 
   // ---- Actions of the controller ----
   void apply(const Run& run);
-  void apply(const Refuse& refusal);
+  void apply(const Reject& rejection);
   void apply(const Fail& failure);
   void apply(const Suspend& suspend);
-  void apply(const Remember& remember);
-  void apply(const Forget& forget);
-  void apply(const Reuse& reuse);
+  void apply(const CacheResult& cache);
+  void apply(const EvictResult& evict);
+  void apply(const ReuseResult& reuse);
   void apply(const SetHealth& health);
   void apply(const AdvertiseCredit& advertised);
-  void apply(const CloseIdle& close);
+  void apply(const CloseIdleConnections& close);
   void apply(const SetTimer& set);
   void apply(const Log& log);
   void apply(const Call& call);
@@ -265,7 +265,7 @@
   std::optional<recovery::RestartQuarantine> quarantine_;  // where it is enabled
   std::optional<recovery::RecoveryController> recovery_;   // where the ramp is enabled
   std::mt19937_64 retry_jitter_;                           // of Retry-After during the recovery
-  BoundSet admission_bound_;                               // as the controller knows it
+  AdmissionLimits admission_limits_;                       // as the controller knows it
   TimePoint recovery_ticked_at_{};
 };
 
--- a/src/edge/edge_dependencies.cpp
+++ b/src/edge/edge_dependencies.cpp
@@ -28,7 +28,7 @@
 void Edge::apply(const Call& call) {
   auto* open = open_.find(call.id);
   if (!open || open->stage != RequestStage::gathering) return apply(Fail{call.id});
-  begin_gather(call.id, *open, call.limit, true);
+  begin_gather(call.id, *open, call.timeout, true);
 }
 
 void Edge::apply(const SkipCall& skip) {
--- a/src/edge/edge_health.cpp
+++ b/src/edge/edge_health.cpp
@@ -20,7 +20,7 @@
 
 void Edge::on(const HealthCheck& check) {
   const bool wants_kernel =
-      check.deep && settings_.settings.deep_checks.value_or(false) && !health_from_store_ && healthy();
+      check.deep && settings_.settings.deep_health_checks.value_or(false) && !health_from_store_ && healthy();
   if (!controller_ || !wants_kernel || deep_checks_.size() >= kMaxDeepChecks) {
     outputs_.emplace_back(HealthResponse{check.reply_to, healthy(), credit_});
     return;
@@ -36,8 +36,8 @@
 
 void Edge::apply(const SetHealth& health) {
   if (lifecycle_.handing_over()) return;
-  health_from_store_ = health.from_store;
-  const bool is_healthy = health.good && !draining_since_;
+  health_from_store_ = health.answer_from_state;
+  const bool is_healthy = health.healthy && !draining_since_;
   if (std::exchange(controller_healthy_, is_healthy) != is_healthy) publish_load_report();
   if (recovery_) recovery_->health(controller_healthy_, now_.steady);
 }
@@ -46,7 +46,7 @@
   if (!lifecycle_.handing_over()) credit_ = std::max(advertised.credit, 0.0);
 }
 
-void Edge::apply(const CloseIdle& close) { outputs_.emplace_back(CloseIdlePeers{close.idle_for}); }
+void Edge::apply(const CloseIdleConnections& close) { outputs_.emplace_back(CloseIdlePeers{close.idle_for}); }
 
 void Edge::on(const LifecycleChanged&) { publish_load_report(); }
 
@@ -92,7 +92,7 @@
     publish_load_report();
     fail_deep_checks();
   }
-  if (controller_) events_.emplace_back(DrainNotice{drain.time_left});
+  if (controller_) events_.emplace_back(DrainStarted{drain.time_left});
 }
 
 // Deep checks under way are answered now: the kernel's result may come late, or never.
--- a/src/edge/edge_recovery.cpp
+++ b/src/edge/edge_recovery.cpp
@@ -48,7 +48,7 @@
   if (!quarantine_ || !catalog_.requires_idempotency_key(request.cls)) return false;
   const auto arrived_at = now_.steady - std::max(now_.unix - request.arrived_at, Duration{});
   if (!quarantine_->in_doubt(request.cls, arrived_at)) return false;
-  const auto max_advice = settings_.settings.max_advice.value_or(Duration{});
+  const auto max_advice = settings_.settings.max_retry_after.value_or(Duration{});
   const auto until = quarantine_->until(request.cls);
   const bool end_known = until != TimePoint::max();
   const auto left = end_known ? std::max(until - now_.steady, kMinQuarantineAdvice) : max_advice;
@@ -87,10 +87,12 @@
   }
   log_recovery();
   if (!controller_) return;
-  const BoundSet bound{recovery_->wait_bound(), recovery_->offered()};
-  if (bound.max_wait == admission_bound_.max_wait && bound.offered == admission_bound_.offered) return;
-  admission_bound_ = bound;
-  events_.emplace_back(bound);
+  const AdmissionLimits limits{recovery_->wait_bound(), recovery_->offered()};
+  if (limits.max_wait_ratio == admission_limits_.max_wait_ratio &&
+      limits.credit_fraction == admission_limits_.credit_fraction)
+    return;
+  admission_limits_ = limits;
+  events_.emplace_back(limits);
 }
 
 void Edge::log_recovery() {
--- a/src/edge/edge_requests.cpp
+++ b/src/edge/edge_requests.cpp
@@ -22,7 +22,7 @@
   const RequestId id{next_id_++};
   RequestArrived arrived;
   arrived.id = id;
-  arrived.cls = request.cls;
+  arrived.class_id = request.cls;
   arrived.tenant = request.tenant;
   arrived.caller = request.caller;
   arrived.key = request.read_key;
@@ -30,12 +30,12 @@
   arrived.memory = request.memory;
   // Its stamp is of another clock than the controller's: only the span carries over, and never a negative
   // one.
-  arrived.waited_unread = std::max(now_.unix - request.arrived_at, Duration{});
-  arrived.repeats = keys_.add_attempt(request, id, batch_);
+  arrived.unread_wait = std::max(now_.unix - request.arrived_at, Duration{});
+  arrived.duplicate_of = keys_.add_attempt(request, id, batch_);
   open_.add(id, OpenRequest{.request = std::move(request),
                             .stage_began_at = now_.steady,
                             .read_after_grace = is_past_grace(),
-                            .original = arrived.repeats});
+                            .original = arrived.duplicate_of});
   ++pending_responses_;
   events_.emplace_back(arrived);
 }
@@ -96,7 +96,7 @@
 // guards against a lost connection that fails the retry which came in time.
 void Edge::abandon(RequestId id, OpenRequest& open) {
   if (!open.followers.empty()) return;
-  events_.emplace_back(CallerGone{id});
+  events_.emplace_back(RequestAbandoned{id});
   stop_work(id, open);
 }
 
@@ -129,14 +129,14 @@
   outputs_.emplace_back(Response{to, Outcome::rejected, nullptr, credit_, retry_after, false});
 }
 
-void Edge::apply(const Refuse& refusal) {
-  auto* open = open_.find(refusal.id);
+void Edge::apply(const Reject& rejection) {
+  auto* open = open_.find(rejection.id);
   if (!open) return;
-  if (recovery_ && refusal.keep_off.count() > 0) recovery_->turned_away(now_.steady);
+  if (recovery_ && rejection.retry_after.count() > 0) recovery_->turned_away(now_.steady);
   // A rejection promises that this attempt never ran.
   respond(*open, open->ran ? Outcome::failed : Outcome::rejected, nullptr,
-          {spread_retry_after(refusal.keep_off), refusal.do_not_try_elsewhere});
-  stop_work(refusal.id, *open);
+          {spread_retry_after(rejection.retry_after), rejection.do_not_retry_elsewhere});
+  stop_work(rejection.id, *open);
 }
 
 void Edge::apply(const Fail& failure) {
@@ -151,7 +151,7 @@
 // capacity than the last time.
 Duration Edge::spread_retry_after(Duration advised) {
   std::uniform_real_distribution<double> unit(0, 1);
-  const auto max_advice = settings_.settings.max_advice.value_or(advised);
+  const auto max_advice = settings_.settings.max_retry_after.value_or(advised);
   const bool is_recovering = recovery_ && recovery_->phase() != recovery::Phase::full;
   if (is_recovering && advised.count() > 0 && advised < max_advice) {
     const auto window = std::min(max_advice - advised, recovery_->left(now_.steady) / 4);
@@ -163,16 +163,15 @@
 
 // ---- Idempotency keys ----
 
-void Edge::apply(const Remember& remember) {
-  if (const auto* open = open_.find(remember.id))
-    keys_.remember(open->request, remember.id, now_.unix + remember.keep_for);
+void Edge::apply(const CacheResult& cache) {
+  if (const auto* open = open_.find(cache.id)) keys_.remember(open->request, cache.id, now_.unix + cache.ttl);
 }
 
-void Edge::apply(const Forget& forget) {
-  if (const auto* open = open_.find(forget.id)) keys_.forget(open->request, forget.id);
+void Edge::apply(const EvictResult& evict) {
+  if (const auto* open = open_.find(evict.id)) keys_.forget(open->request, evict.id);
 }
 
-void Edge::apply(const Reuse& reuse) {
+void Edge::apply(const ReuseResult& reuse) {
   auto* open = open_.find(reuse.id);
   if (!open || open->stage != RequestStage::queued) return;
   keys_.remove_queued(open->request, reuse.id);
--- a/src/edge/edge_runs.cpp
+++ b/src/edge/edge_runs.cpp
@@ -156,7 +156,8 @@
 Duration Edge::latency_objective(ClassId cls) const {
   const auto& classes = settings_.settings.classes;
   const auto index = std::size_t(cls);
-  return index < classes.size() ? classes[index].aim.value_or(Duration::max()) : Duration::max();
+  return index < classes.size() ? classes[index].latency_objective.value_or(Duration::max())
+                                : Duration::max();
 }
 
 }  // namespace granitegap::edge
--- a/src/edge/request.h
+++ b/src/edge/request.h
@@ -41,7 +41,7 @@
   CallerId caller{};
   UnixTime arrived_at;                // when it reached this machine, by the machine's clock
   std::optional<Duration> cost_hint;  // expected core time
-  Kilobytes memory{};                 // reserved while the request is open
+  MemorySize memory{};                // reserved while the request is open
   std::string idempotency_key;        // shared by all attempts of one request; empty: none
   std::uint64_t read_key = 0;         // the object that a read is about; 0: not given
   std::string body;
