--- a/src/edge/edge_recovery.cpp
+++ b/src/edge/edge_recovery.cpp
@@ -135,9 +135,9 @@
   const auto& view = *update.view;
   if (!fleet_) fleet_ = Fleet{0, std::mt19937_64(seed_)};
   // Without a majority the missing one may be this process: its Retry-After stays as it is.
-  fleet_->missing_share = view.majority ? membership::missing_share(view) : 0;
+  fleet_->missing_share = view.has_quorum ? membership::missing_fraction(view) : 0;
   if (recovery_) recovery_->fleet(recovery::fleet_status_of(view), now_.steady);
-  if (quarantine_) quarantine_->another_lives(view.duplicate, now_.steady);
+  if (quarantine_) quarantine_->another_lives(view.name_conflict, now_.steady);
   if (scatter_gather_) scatter_gather_->fleet(update.view, now_.steady);
 }
 
@@ -152,7 +152,7 @@
   if (is_leaving)
     status.stage = membership::Stage::draining;
   else if (status.warmth_percent < 100)
-    status.stage = membership::Stage::warming;
+    status.stage = membership::Stage::warming_up;
   else
     status.stage = membership::Stage::serving;
   return status;
@@ -161,9 +161,9 @@
 membership::RecoveryStatus Edge::recovery_status() const {
   membership::RecoveryStatus status;
   status.phase = std::uint8_t(1 + std::uint8_t(recovery_->phase()));
-  status.offered = std::uint8_t(std::lround(100 * recovery_->offered()));
+  status.offered_percent = std::uint8_t(std::lround(100 * recovery_->offered()));
   if (const auto full_after = recovery_->milestones().full)
-    status.full_ms = std::uint32_t(std::clamp<std::int64_t>(to_ms(*full_after), 1, kMaxFullAfterMs));
+    status.full_service_ms = std::uint32_t(std::clamp<std::int64_t>(to_ms(*full_after), 1, kMaxFullAfterMs));
   return status;
 }
 
--- a/src/edge/edge_requests.cpp
+++ b/src/edge/edge_requests.cpp
@@ -158,7 +158,7 @@
     return advised + Duration(std::int64_t(double(window.count()) * unit(retry_jitter_)));
   }
   if (!fleet_ || fleet_->missing_share <= 0) return advised;
-  return membership::spread_backoff(advised, max_advice, fleet_->missing_share, unit(fleet_->retry_jitter));
+  return membership::jittered_backoff(advised, max_advice, fleet_->missing_share, unit(fleet_->retry_jitter));
 }
 
 // ---- Idempotency keys ----
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -98,7 +98,7 @@
     if (const char* folder = std::getenv("TMPDIR")) server_options.lease_folder = folder;
   }
   if (server_options.declared && server_options.declared->membership)
-    server_options.declared->membership->options.plain = options.plain_membership;
+    server_options.declared->membership->options.baseline_mode = options.plain_membership;
   // Guards against gathers that wait until they are due for a leave that the module can never give.
   const auto& settings = config.parsed.settings;
   if (server_options.declared && !server_options.declared->spec.gathers.empty() &&
@@ -147,7 +147,7 @@
     return kUnusable;
   }
   for (;;) {
-    const auto reply = membership_udp::ask(*address, std::chrono::seconds(2), recovery_report);
+    const auto reply = membership_udp::query_status(*address, std::chrono::seconds(2), recovery_report);
     if (!reply) {
       std::fprintf(stderr, "granitegap: no answer from %s within 2 s\n", text.c_str());
       return 1;
