--- a/tests/hot_restart_process_test.cpp
+++ b/tests/hot_restart_process_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using standin::Caller;
+using standin::Client;
 
 constexpr char kHandsOver[] = "the door is another process's";  // logged where a successor serves
 
@@ -25,53 +25,53 @@
   options.run_cost = 400ms;
   ServerProcesses servers(options);
   servers.start_healthy();
-  Caller client(servers.client_port());
-  client.tell(keyed_request(kKey, 400));
-  ASSERT_TRUE(servers.until([&] { return servers.run_count(kServer, kKey) == 1; }, kPatience));
+  Client client(servers.client_port());
+  client.send(keyed_request(kKey, 400));
+  ASSERT_TRUE(servers.wait_until([&] { return servers.run_count(kServer, kKey) == 1; }, kPatience));
   const auto successor = servers.start_successor();
-  servers.end(kServer);
+  servers.terminate(kServer);
   ASSERT_TRUE(servers.wait_for_log(kServer, kHandsOver)) << servers.log(kServer);
-  EXPECT_TRUE(is_served(client.hear())) << servers.log(kServer);
+  EXPECT_TRUE(is_served(client.receive())) << servers.log(kServer);
   EXPECT_TRUE(is_served(servers.ask())) << servers.log(successor);
-  EXPECT_EQ(Caller(servers.client_port()).check(), true);
+  EXPECT_EQ(Client(servers.client_port()).check_health(), true);
   servers.expect_graceful_shutdown(kServer);
-  EXPECT_FALSE(servers.ended(successor));
+  EXPECT_FALSE(servers.has_exited(successor));
   EXPECT_EQ(total_run_count(servers, successor, kKey), 1);
 }
 
 TEST(HotRestart, ARequestHalfReadAtTheShutdownIsAnsweredByTheProcessThatReadIt) {
   ServerProcesses servers(hot_restart_options());
   servers.start_healthy();
-  Caller idle_client(servers.client_port()), half_client(servers.client_port());
-  EXPECT_TRUE(is_served(idle_client.ask(kTile)));
-  half_client.tell_begin(kTile, 20);
-  EXPECT_TRUE(is_served(idle_client.ask(kTile)));  // by now the half has been read
+  Client idle_client(servers.client_port()), half_client(servers.client_port());
+  EXPECT_TRUE(is_served(idle_client.call(kTile)));
+  half_client.send_prefix(kTile, 20);
+  EXPECT_TRUE(is_served(idle_client.call(kTile)));  // by now the half has been read
   const auto successor = servers.start_successor();
-  servers.end(kServer);
+  servers.terminate(kServer);
   ASSERT_TRUE(servers.wait_for_log(kServer, kHandsOver));
-  half_client.tell_rest();
-  EXPECT_TRUE(is_served(half_client.hear())) << servers.log(kServer);
+  half_client.send_remainder();
+  EXPECT_TRUE(is_served(half_client.receive())) << servers.log(kServer);
   // A request that crosses the notice to reconnect, on a connection that was idle.
-  EXPECT_TRUE(is_served(idle_client.ask(kTile))) << servers.log(kServer);
-  EXPECT_EQ(idle_client.check(), true);  // a failed check would count against the successor too
+  EXPECT_TRUE(is_served(idle_client.call(kTile))) << servers.log(kServer);
+  EXPECT_EQ(idle_client.check_health(), true);  // a failed check would count against the successor too
   servers.expect_graceful_shutdown(kServer);
-  EXPECT_FALSE(servers.ended(successor));
+  EXPECT_FALSE(servers.has_exited(successor));
 }
 
 TEST(HotRestart, WithoutASuccessorThatServesTheBacklogIsAnswered) {
   ServerProcesses servers(hot_restart_options());
   servers.start_healthy();
-  const auto starting = servers.start_twin(kServer, false);
-  ASSERT_TRUE(servers.until([&] { return servers.admin_port(starting) != 0; }, kPatience));
-  EXPECT_TRUE(servers.admin(starting, "health").starts_with("ERR starting"));
+  const auto starting = servers.start_duplicate(kServer, false);
+  ASSERT_TRUE(servers.wait_until([&] { return servers.admin_port(starting) != 0; }, kPatience));
+  EXPECT_TRUE(servers.admin_command(starting, "health").starts_with("ERR starting"));
   servers.pause(starting);  // it shares the socket and accepts nothing
   EXPECT_TRUE(is_served(servers.ask()));
   servers.pause(kServer);
-  Caller client(servers.client_port());
-  client.tell(kTile);
-  servers.end(kServer);
+  Client client(servers.client_port());
+  client.send(kTile);
+  servers.terminate(kServer);
   servers.resume(kServer);
-  EXPECT_TRUE(is_served(client.hear())) << servers.log(kServer);
+  EXPECT_TRUE(is_served(client.receive())) << servers.log(kServer);
   servers.expect_graceful_shutdown(kServer);
   EXPECT_FALSE(servers.has_logged(kServer, kHandsOver));
 }
@@ -80,18 +80,18 @@
 TEST(HotRestart, ADrainingProcessIsNobodysSuccessor) {
   ServerProcesses servers(hot_restart_options());
   servers.start_healthy();
-  Caller idle_client(servers.client_port());
-  EXPECT_TRUE(is_served(idle_client.ask(kTile)));  // keeps the old process from ending early
+  Client idle_client(servers.client_port());
+  EXPECT_TRUE(is_served(idle_client.call(kTile)));  // keeps the old process from ending early
   const auto successor = servers.start_successor();
-  servers.end(kServer);
+  servers.terminate(kServer);
   ASSERT_TRUE(servers.wait_for_log(kServer, kHandsOver));
   servers.pause(successor);
   servers.pause(kServer);  // still alive, however fast the machine is
-  Caller client(servers.client_port());
-  client.tell(kTile);
-  servers.end(successor);
+  Client client(servers.client_port());
+  client.send(kTile);
+  servers.terminate(successor);
   servers.resume(successor);
-  EXPECT_TRUE(is_served(client.hear())) << servers.log(successor);
+  EXPECT_TRUE(is_served(client.receive())) << servers.log(successor);
   EXPECT_FALSE(servers.has_logged(successor, kHandsOver)) << servers.log(successor);
   servers.expect_graceful_shutdown(successor);
   servers.resume(kServer);
@@ -102,13 +102,13 @@
   servers.start_healthy();
   EXPECT_TRUE(is_served(servers.ask(keyed_request(kKey))));
   const auto second = servers.start_successor();
-  EXPECT_EQ(servers.admin(kServer, "quiesce"), "OK quiesced");
-  servers.end(kServer);
+  EXPECT_EQ(servers.admin_command(kServer, "quiesce"), "OK quiesced");
+  servers.terminate(kServer);
   servers.expect_graceful_shutdown(kServer);
   EXPECT_TRUE(servers.has_logged(kServer, kHandsOver));
-  EXPECT_EQ(Caller(servers.client_port()).check(), true);
+  EXPECT_EQ(Client(servers.client_port()).check_health(), true);
   servers.start_healthy();  // the third, with the first one's directory
-  servers.end(second);
+  servers.terminate(second);
   servers.expect_graceful_shutdown(second);
   EXPECT_TRUE(servers.has_logged(second, kHandsOver));
   EXPECT_TRUE(is_served(servers.ask()));
@@ -133,16 +133,16 @@
 void expect_key_of_killed_process_is_not_run(ServerProcesses& servers, const std::string& successor,
                                              const std::string& killed, const std::string& survivor) {
   servers.pause(survivor);
-  Caller client(servers.client_port());
-  client.tell(keyed_request(kKey));
-  ASSERT_TRUE(servers.until([&] { return servers.run_count(killed, kKey) == 1; }, kPatience));
+  Client client(servers.client_port());
+  client.send(keyed_request(kKey));
+  ASSERT_TRUE(servers.wait_until([&] { return servers.run_count(killed, kKey) == 1; }, kPatience));
   servers.kill(killed);
   servers.resume(survivor);
   EXPECT_TRUE(is_rejected(servers.ask(keyed_request(kKey)))) << servers.log(survivor);
   EXPECT_EQ(total_run_count(servers, successor, kKey), 1);
 }
 
-Options slow_run_options() {
+ProcessFleetOptions slow_run_options() {
   auto options = hot_restart_options();
   options.run_cost = 20s;
   return options;
@@ -160,20 +160,20 @@
   servers.start_healthy();
   const auto successor = servers.start_successor();
   expect_key_of_killed_process_is_not_run(servers, successor, successor, kServer);
-  servers.end(kServer);
+  servers.terminate(kServer);
   servers.expect_graceful_shutdown(kServer);
   EXPECT_FALSE(servers.has_logged(kServer, kHandsOver));
 }
 
 TEST(HotRestart, WithoutASharedDirectoryNoKeyedRequestRunsAndReadsAreServed) {
   auto options = hot_restart_options();
-  options.shared_folder = false;
+  options.create_shared_folder = false;
   ServerProcesses servers(options);
   servers.start_healthy();
   EXPECT_TRUE(is_served(servers.ask()));
   const auto rejected = servers.ask(keyed_request(kKey));
   ASSERT_TRUE(is_rejected(rejected));
-  EXPECT_EQ(rejected->backoff, 0ms);  // only this request is rejected: the server is healthy
+  EXPECT_EQ(rejected->retry_after, 0ms);  // only this request is rejected: the server is healthy
   EXPECT_EQ(servers.run_count(kServer, kKey), 0);
   EXPECT_TRUE(servers.has_logged(kServer, "no keyed request runs"));
 }
@@ -187,7 +187,7 @@
 
 // Runs the program with further environment variables.
 CommandResult run_program(const ServerProcesses& servers, const std::string& environment) {
-  const auto config = (servers.folder(kServer).parent_path() / "config.json").string();
+  const auto config = (servers.state_folder(kServer).parent_path() / "config.json").string();
   const auto command =
       "env -u EDGE_FD -u EDGE_ADMIN_ADDR EDGE_CONFIG=" + config + " " + environment + " " PROGRAM " 2>&1";
   CommandResult result;
