--- a/src/edge/edge_health.cpp
+++ b/src/edge/edge_health.cpp
@@ -39,7 +39,7 @@
   health_from_store_ = health.answer_from_state;
   const bool is_healthy = health.healthy && !draining_since_;
   if (std::exchange(controller_healthy_, is_healthy) != is_healthy) publish_load_report();
-  if (recovery_) recovery_->health(controller_healthy_, now_.steady);
+  if (recovery_) recovery_->on_health_check(controller_healthy_, now_.steady);
 }
 
 void Edge::apply(const AdvertiseCredit& advertised) {
@@ -65,8 +65,8 @@
       controller_ && started.cold && started_at > kernel_started_at_ + kSameStartTolerance;
   if (recovery_ && (!controller_ || is_restart)) {
     const auto warm_up = settings_.settings.warm_up.value_or(kDefaultWarmUp);
-    recovery_->kernel(started.cold, started_at + warm_up - now_.steady, now_.steady);
-    recovery_->health(controller_healthy_, now_.steady);
+    recovery_->on_kernel_ready(started.cold, started_at + warm_up - now_.steady, now_.steady);
+    recovery_->on_health_check(controller_healthy_, now_.steady);
   }
   if (is_restart) kernel_started_at_ = started_at;
   lifecycle_.set_kernel_started();
--- a/src/edge/edge_recovery.cpp
+++ b/src/edge/edge_recovery.cpp
@@ -31,14 +31,15 @@
 // ---- The restart quarantine ----
 
 void Edge::enable_restart_quarantine(Duration max_clock_back, bool has_folder, TimePoint started) {
-  recovery::RestartQuarantine::Rules rules;
+  recovery::RestartQuarantine::Options options;
   for (std::size_t i = 0; i < settings_.settings.classes.size(); ++i) {
     const ClassId cls = ClassId(i);
-    rules.windows.push_back(catalog_.requires_idempotency_key(cls) ? keys_.window(cls) : Duration{});
+    options.idempotency_windows.push_back(catalog_.requires_idempotency_key(cls) ? keys_.window(cls)
+                                                                                 : Duration{});
   }
-  rules.max_clock_back = max_clock_back;
-  rules.has_folder = has_folder;
-  quarantine_.emplace(std::move(rules), started);
+  options.max_clock_setback = max_clock_back;
+  options.has_state_directory = has_folder;
+  quarantine_.emplace(std::move(options), started);
 }
 
 // A request that an earlier incarnation may have run is rejected before it costs anything, with the time
@@ -47,9 +48,9 @@
 bool Edge::reject_quarantined(const Request& request) {
   if (!quarantine_ || !catalog_.requires_idempotency_key(request.cls)) return false;
   const auto arrived_at = now_.steady - std::max(now_.unix - request.arrived_at, Duration{});
-  if (!quarantine_->in_doubt(request.cls, arrived_at)) return false;
+  if (!quarantine_->is_quarantined(request.cls, arrived_at)) return false;
   const auto max_advice = settings_.settings.max_retry_after.value_or(Duration{});
-  const auto until = quarantine_->until(request.cls);
+  const auto until = quarantine_->quarantined_until(request.cls);
   const bool end_known = until != TimePoint::max();
   const auto left = end_known ? std::max(until - now_.steady, kMinQuarantineAdvice) : max_advice;
   reject(request.reply_to, std::min(left, max_advice));
@@ -58,7 +59,7 @@
 
 void Edge::on(const PreviousIncarnationFound& found) {
   if (!quarantine_) return;
-  quarantine_->learn(found.previous, now_.steady);
+  quarantine_->on_previous_incarnation(found.previous, now_.steady);
   const auto left = key_quarantine_left(now_.steady);
   if (left == Duration::max() || left <= Duration{}) return;
   log_event(
@@ -67,7 +68,7 @@
 }
 
 Duration Edge::key_quarantine_left(TimePoint now) const {
-  const auto until = quarantine_ ? quarantine_->longest() : TimePoint::min();
+  const auto until = quarantine_ ? quarantine_->last_quarantine_end() : TimePoint::min();
   if (until == TimePoint::max()) return Duration::max();
   return until <= now ? Duration{} : until - now;
 }
@@ -87,7 +88,7 @@
   }
   log_recovery();
   if (!controller_) return;
-  const AdmissionLimits limits{recovery_->wait_bound(), recovery_->offered()};
+  const AdmissionLimits limits{recovery_->max_wait_factor(), recovery_->advertised_share()};
   if (limits.max_wait_ratio == admission_limits_.max_wait_ratio &&
       limits.credit_fraction == admission_limits_.credit_fraction)
     return;
@@ -96,10 +97,10 @@
 }
 
 void Edge::log_recovery() {
-  for (const auto& news : recovery_->take_news()) {
-    if (news.what == recovery::RecoveryController::News::paused)
+  for (const auto& event : recovery_->take_events()) {
+    if (event.type == recovery::RecoveryEvent::pause_detected)
       outputs_.emplace_back(StateTransferRequested{});
-    outputs_.emplace_back(describe(news, *recovery_, now_.steady));
+    outputs_.emplace_back(describe(event, *recovery_, now_.steady));
   }
 }
 
@@ -107,7 +108,7 @@
 
 void Edge::on(const WarmStateReceived& received) {
   const bool from_disk = received.donors == 0;
-  if (recovery_ && from_disk) recovery_->expected(received.state.members.size(), now_.steady);
+  if (recovery_ && from_disk) recovery_->on_last_known_members(received.state.members.size(), now_.steady);
   if (!scatter_gather_) return;
   const auto source =
       from_disk ? std::string("an earlier life") : std::to_string(received.donors) + " other members";
@@ -119,7 +120,7 @@
 }
 
 void Edge::on(const StateTransferFinished& finished) {
-  if (recovery_) recovery_->learned(finished.donors, now_.steady);
+  if (recovery_) recovery_->on_state_transferred(finished.donors, now_.steady);
 }
 
 warm_state::WarmState Edge::export_warm_state(TimePoint now) const {
@@ -136,8 +137,8 @@
   if (!fleet_) fleet_ = Fleet{0, std::mt19937_64(seed_)};
   // Without a majority the missing one may be this process: its Retry-After stays as it is.
   fleet_->missing_share = view.has_quorum ? membership::missing_fraction(view) : 0;
-  if (recovery_) recovery_->fleet(recovery::fleet_status_of(view), now_.steady);
-  if (quarantine_) quarantine_->another_lives(view.name_conflict, now_.steady);
+  if (recovery_) recovery_->on_fleet_status(recovery::fleet_status_of(view), now_.steady);
+  if (quarantine_) quarantine_->on_name_conflict(view.name_conflict, now_.steady);
   if (scatter_gather_) scatter_gather_->fleet(update.view, now_.steady);
 }
 
@@ -160,9 +161,9 @@
 
 membership::RecoveryStatus Edge::recovery_status() const {
   membership::RecoveryStatus status;
-  status.phase = std::uint8_t(1 + std::uint8_t(recovery_->phase()));
-  status.offered_percent = std::uint8_t(std::lround(100 * recovery_->offered()));
-  if (const auto full_after = recovery_->milestones().full)
+  status.phase = recovery::metadata_value_of(recovery_->phase());
+  status.offered_percent = std::uint8_t(std::lround(100 * recovery_->advertised_share()));
+  if (const auto full_after = recovery_->timeline().in_service)
     status.full_service_ms = std::uint32_t(std::clamp<std::int64_t>(to_ms(*full_after), 1, kMaxFullAfterMs));
   return status;
 }
--- a/src/edge/edge_requests.cpp
+++ b/src/edge/edge_requests.cpp
@@ -120,7 +120,7 @@
 void Edge::respond(OpenRequest& open, Outcome outcome, PayloadPtr payload, RetryAdvice advice) {
   if (std::exchange(open.answered, true)) return;
   --pending_responses_;
-  if (recovery_) recovery_->answered(outcome == Outcome::served, now_.steady);
+  if (recovery_) recovery_->on_response(outcome == Outcome::served, now_.steady);
   outputs_.emplace_back(Response{open.request.reply_to, outcome, std::move(payload), credit_,
                                  advice.retry_after, advice.do_not_retry_elsewhere});
 }
@@ -132,7 +132,7 @@
 void Edge::apply(const Reject& rejection) {
   auto* open = open_.find(rejection.id);
   if (!open) return;
-  if (recovery_ && rejection.retry_after.count() > 0) recovery_->turned_away(now_.steady);
+  if (recovery_ && rejection.retry_after.count() > 0) recovery_->on_request_rejected(now_.steady);
   // A rejection promises that this attempt never ran.
   respond(*open, open->ran ? Outcome::failed : Outcome::rejected, nullptr,
           {spread_retry_after(rejection.retry_after), rejection.do_not_retry_elsewhere});
@@ -152,9 +152,9 @@
 Duration Edge::spread_retry_after(Duration advised) {
   std::uniform_real_distribution<double> unit(0, 1);
   const auto max_advice = settings_.settings.max_retry_after.value_or(advised);
-  const bool is_recovering = recovery_ && recovery_->phase() != recovery::Phase::full;
+  const bool is_recovering = recovery_ && recovery_->phase() != recovery::Phase::in_service;
   if (is_recovering && advised.count() > 0 && advised < max_advice) {
-    const auto window = std::min(max_advice - advised, recovery_->left(now_.steady) / 4);
+    const auto window = std::min(max_advice - advised, recovery_->remaining(now_.steady) / 4);
     return advised + Duration(std::int64_t(double(window.count()) * unit(retry_jitter_)));
   }
   if (!fleet_ || fleet_->missing_share <= 0) return advised;
--- a/src/edge/edge_runs.cpp
+++ b/src/edge/edge_runs.cpp
@@ -114,7 +114,7 @@
     const auto latency = now_.unix - open.request.arrived_at;
     const bool within_objective =
         succeeded && !open.answered && latency <= latency_objective(open.request.cls);
-    recovery_->ran(within_objective, now_.steady);
+    recovery_->on_run_finished(within_objective, now_.steady);
   }
   respond(open, succeeded ? Outcome::served : Outcome::failed, payload);
   const auto state = succeeded ? IdempotencyTable::RunState::succeeded : IdempotencyTable::RunState::failed;
--- a/src/edge/recovery_log.h
+++ b/src/edge/recovery_log.h
@@ -5,9 +5,9 @@
 
 namespace granitegap::edge {
 
-// One line for one entry of RecoveryController::take_news(). `recovery`: the controller it came from, as it
+// One line for one entry of RecoveryController::take_events(). `recovery`: the controller it came from, as it
 // stands `now`.
-[[nodiscard]] LogEvent describe(const recovery::RecoveryController::News& news,
+[[nodiscard]] LogEvent describe(const recovery::RecoveryEvent& event,
                                 const recovery::RecoveryController& recovery, TimePoint now);
 
 }  // namespace granitegap::edge
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -32,10 +32,10 @@
   struct Options {  // what an operator may add; none of it on the platform
     std::optional<operators::OperatorConfig> declared;  // its classes numbered
     LogFormat log = LogFormat::text;
-    bool protect_calls = true;              // false: the plain policy that measurements compare with
-    std::optional<int> inherited_listener;  // an inherited socket; docs/operation.md
-    std::optional<config::Endpoint> admin;  // the operators' door
-    std::string lease_folder;               // with `listening`: what processes at one door share
+    bool protect_calls = true;  // false: the plain policy that measurements compare with
+    std::optional<net::FileDescriptor> inherited_listener;  // an inherited socket; docs/operation.md
+    std::optional<config::Endpoint> admin;                  // the operators' door
+    std::string lease_folder;  // with `listening`: what processes at one door share
   };
   Server(boost::asio::io_context& context, config::Config config, Options options,
          edge::EdgeActor::Clocks clocks = edge::read_clocks);
--- a/src/state_transfer/actor.cpp
+++ b/src/state_transfer/actor.cpp
@@ -127,7 +127,7 @@
 
 void Actor::start_transfer() {
   donor_selection_.begin(callbacks_.clock());
-  if (view_) donor_selection_.view(*view_, callbacks_.clock());
+  if (view_) donor_selection_.on_view(*view_, callbacks_.clock());
   transfer_pending_ = true;
   wake_timer_.cancel();
 }
@@ -135,7 +135,7 @@
 void Actor::update_view(std::shared_ptr<const membership::View> newest) {
   view_ = std::move(newest);
   if (!transfer_pending_) return;
-  donor_selection_.view(*view_, callbacks_.clock());
+  donor_selection_.on_view(*view_, callbacks_.clock());
   wake_timer_.cancel();
 }
 
@@ -143,7 +143,7 @@
   while (!closed_) {
     const auto now = callbacks_.clock();
     if (transfer_pending_) advance_transfer(now);
-    const auto next = transfer_pending_ ? donor_selection_.next(now) : std::nullopt;
+    const auto next = transfer_pending_ ? donor_selection_.next_deadline(now) : std::nullopt;
     wake_timer_.expires_at(next ? to_steady(*next) : SteadyTime::max());
     error_code ignored;  // cancelled where there is something to do earlier
     co_await wake_timer_.async_wait(into(ignored));
@@ -151,38 +151,38 @@
 }
 
 void Actor::advance_transfer(TimePoint now) {
-  for (auto& request : donor_selection_.ask(now))
+  for (auto& request : donor_selection_.next_requests(now))
     asio::co_spawn(executor_, request_from(std::move(request)), asio::detached);
-  if (donor_selection_.over(now)) finish_transfer(now);
+  if (donor_selection_.finished(now)) finish_transfer(now);
 }
 
 void Actor::finish_transfer(TimePoint now) {
   transfer_pending_ = false;
-  donors_ = donor_selection_.from();
+  donors_ = donor_selection_.donors();
   transferred_at_ = now;
   const auto names = joined(donors_);
   log_.line("recovery: learned from " + (names.empty() ? std::string("nobody") : names),
             {{"event", "learned_from"}, {"names", names}});
-  callbacks_.finished(donor_selection_.result(), donor_selection_.sources());
+  callbacks_.finished(donor_selection_.result(), donor_selection_.donor_count());
 }
 
 asio::awaitable<void> Actor::request_from(recovery::TransferRequest request) {
   Tcp::socket socket(executor_);
   std::optional<recovery::TransferResponse> response;
   {
-    const SocketDeadline deadline(socket, to_steady(request.until));
+    const SocketDeadline deadline(socket, to_steady(request.deadline));
     response = co_await exchange(socket, request);
   }
   if (response)
-    donor_selection_.answered(*response, callbacks_.clock());
+    donor_selection_.on_response(*response, callbacks_.clock());
   else
-    donor_selection_.failed(request.nonce, callbacks_.clock());
+    donor_selection_.on_failure(request.nonce);
   wake_timer_.cancel();
 }
 
 asio::awaitable<std::optional<recovery::TransferResponse>> Actor::exchange(
     Tcp::socket& socket, const recovery::TransferRequest& request) {
-  const auto udp = membership_udp::endpoint_of(request.at);
+  const auto udp = membership_udp::endpoint_of(request.address);
   error_code error;
   co_await socket.async_connect({udp.address(), udp.port()}, into(error));
   if (error) co_return std::nullopt;
