--- a/src/frames/frame_decoder.cpp
+++ b/src/frames/frame_decoder.cpp
@@ -114,7 +114,7 @@
 Message FrameDecoder::decode_health_check(std::uint32_t stream, std::string_view payload) const {
   edge::HealthCheck check{{peer_, stream}, false};
   const bool complete = read_fields(payload, [&](std::string_view name, std::string_view value) {
-    if (name == "full") check.full = value == "1";
+    if (name == "full") check.deep = value == "1";
   });
   if (!complete) return ProtocolError{ProtocolErrorCode::malformed_health_check};
   return check;
--- a/src/frames/frame_encoder.cpp
+++ b/src/frames/frame_encoder.cpp
@@ -55,32 +55,32 @@
   return {text, result.ptr};
 }
 
-void add_rejection(const edge::Answer& answer, FieldWriter& fields) {
-  const auto backoff = std::chrono::ceil<std::chrono::milliseconds>(answer.backoff).count();
+void add_rejection(const edge::Response& answer, FieldWriter& fields) {
+  const auto backoff = std::chrono::ceil<std::chrono::milliseconds>(answer.retry_after).count();
   if (backoff > 0) fields.add("backoff", std::to_string(backoff));
-  if (answer.last) fields.add("final", "1");
+  if (answer.do_not_retry_elsewhere) fields.add("final", "1");
 }
 
 }  // namespace
 
-void encode(const edge::Answer& answer, std::string& out) {
+void encode(const edge::Response& answer, std::string& out) {
   const FrameWriter frame(out, FrameType::response, answer.to.stream);
   append_big_endian(out, std::uint32_t(answer.outcome), 1);
   FieldWriter fields(out);
-  if (answer.hint) fields.add("hint", format_hint(*answer.hint));
-  if (answer.outcome == edge::Outcome::refused) add_rejection(answer, fields);
-  if (answer.outcome != edge::Outcome::served || !answer.result) return;
-  const auto& result = *answer.result;
-  if (!result.parts.empty()) fields.add("parts", result.parts);
-  if (!result.missing.empty()) fields.add("missing", result.missing);
-  out += result.bytes;
+  if (answer.credit_hint) fields.add("hint", format_hint(*answer.credit_hint));
+  if (answer.outcome == edge::Outcome::rejected) add_rejection(answer, fields);
+  if (answer.outcome != edge::Outcome::served || !answer.payload) return;
+  const auto& payload = *answer.payload;
+  if (!payload.present_parts.empty()) fields.add("parts", payload.present_parts);
+  if (!payload.missing_parts.empty()) fields.add("missing", payload.missing_parts);
+  out += payload.bytes;
 }
 
-void encode(const edge::HealthAnswer& answer, std::string& out) {
+void encode(const edge::HealthResponse& answer, std::string& out) {
   const FrameWriter frame(out, FrameType::health_response, answer.to.stream);
-  append_big_endian(out, answer.good ? 0 : 1, 1);
+  append_big_endian(out, answer.healthy ? 0 : 1, 1);
   FieldWriter fields(out);
-  if (answer.hint) fields.add("hint", format_hint(*answer.hint));
+  if (answer.credit_hint) fields.add("hint", format_hint(*answer.credit_hint));
 }
 
 void encode_error(std::string_view reason, std::string& out) {
--- a/src/kernel/command_log.cpp
+++ b/src/kernel/command_log.cpp
@@ -18,7 +18,7 @@
       std::holds_alternative<edge::StartRun>(command) || std::holds_alternative<edge::ResumeRun>(command);
   if (begins_run) {
     runs_[run_id(command)] = {next_order_++, command, false};
-  } else if (const auto* check = std::get_if<edge::DeepCheck>(&command)) {
+  } else if (const auto* check = std::get_if<edge::DeepHealthCheck>(&command)) {
     deep_checks_.insert(check->tag);
   } else if (const auto* stop = std::get_if<edge::StopRun>(&command)) {
     const auto run = runs_.find(stop->rid);
@@ -55,7 +55,7 @@
 void CommandLog::complete(const Notice& notice) {
   if (const auto* report = std::get_if<edge::RunReport>(&notice.content)) {
     runs_.erase(report->rid);
-  } else if (const auto* done = std::get_if<edge::DeepCheckDone>(&notice.content)) {
+  } else if (const auto* done = std::get_if<edge::DeepHealthCheckResult>(&notice.content)) {
     deep_checks_.erase(done->tag);
   } else if (const auto* rejected = std::get_if<edge::CommandRejected>(&notice.content)) {
     const bool run_rejected =
@@ -74,7 +74,7 @@
     commands.push_back(run->command);
     if (run->stop_requested) commands.emplace_back(edge::StopRun{run_id(run->command)});
   }
-  for (const auto tag : deep_checks_) commands.emplace_back(edge::DeepCheck{tag});
+  for (const auto tag : deep_checks_) commands.emplace_back(edge::DeepHealthCheck{tag});
   return commands;
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -22,7 +22,7 @@
   CHECK(c.stop == 3200ms);
   CHECK(c.catalog.classes == std::vector<std::string>{"a, b"});
   CHECK(c.catalog.tenants == std::vector<std::string>{"x y"});
-  CHECK(c.catalog.keyed == std::vector<bool>{true});
+  CHECK(c.catalog.key_required == std::vector<bool>{true});
   CHECK(c.parsed.settings.cores == 6.0);
   CHECK(c.parsed.settings.classes.at(0).latency_objective == Duration(100500));
   CHECK(c.parsed.settings.classes.at(0).makes_calls == false);
