--- a/src/frames/request_parser.cpp
+++ b/src/frames/request_parser.cpp
@@ -45,8 +45,8 @@
 
 class RequestParser {
  public:
-  RequestParser(const edge::Origin& origin, const edge::NameRegistry& names) : names_(names) {
-    request_.from = origin;
+  RequestParser(const edge::ReplyAddress& origin, const edge::NameRegistry& names) : names_(names) {
+    request_.reply_to = origin;
     request_.tenant = names_.find_tenant({});
   }
 
@@ -63,12 +63,12 @@
   Message finish(std::string_view body) {
     if (invalid_field_.empty()) invalid_field_ = missing_field();
     const auto fail = [&](RequestErrorCode code) {
-      return MalformedRequest{request_.from.stream, code, std::string(invalid_field_)};
+      return MalformedRequest{request_.reply_to.stream, code, std::string(invalid_field_)};
     };
     if (!invalid_field_.empty()) return fail(RequestErrorCode::invalid_field);
     if (body.size() > kMaxBodyBytes) return fail(RequestErrorCode::body_too_large);
     request_.cls = *class_;
-    if (!names_.is_keyed(request_.cls)) request_.token.clear();
+    if (!names_.requires_idempotency_key(request_.cls)) request_.idempotency_key.clear();
     request_.body = body;
     return std::move(request_);
   }
@@ -93,7 +93,7 @@
     has_arrival_time_ = true;
     const auto milliseconds = parse_integer<std::int64_t>(value, 10);
     if (!is_digits(value) || !milliseconds || *milliseconds >= kMaxUnixMilliseconds) return false;
-    request_.reached = edge::UnixTime(std::chrono::milliseconds(*milliseconds));
+    request_.arrived_at = edge::UnixTime(std::chrono::milliseconds(*milliseconds));
     return true;
   }
   bool parse_caller(std::string_view value) {
@@ -126,12 +126,12 @@
     return priority && *priority < 1;
   }
   bool parse_idempotency_key(std::string_view value) {
-    request_.token = value;
+    request_.idempotency_key = value;
     return !value.empty() && value.size() <= kMaxTokenBytes;
   }
   bool parse_object(std::string_view value) {
     const auto object = parse_integer<std::uint64_t>(value, 16);
-    request_.read = object.value_or(0);
+    request_.read_key = object.value_or(0);
     return object.has_value();
   }
 
@@ -142,7 +142,7 @@
     if (!has_arrival_time_) return "t0";
     if (!has_memory_) return "mem";
     // Without a key its attempts could not be told apart, and it could run twice.
-    if (names_.is_keyed(*class_) && request_.token.empty()) return "token";
+    if (names_.requires_idempotency_key(*class_) && request_.idempotency_key.empty()) return "token";
     return {};
   }
 
@@ -169,7 +169,8 @@
 
 }  // namespace
 
-Message parse_request(const edge::Origin& origin, std::string_view payload, const edge::NameRegistry& names) {
+Message parse_request(const edge::ReplyAddress& origin, std::string_view payload,
+                      const edge::NameRegistry& names) {
   RequestParser parser(origin, names);
   auto body = payload;
   const bool complete = read_fields(
--- a/src/kernel/line_codec.cpp
+++ b/src/kernel/line_codec.cpp
@@ -30,8 +30,10 @@
   }
   void operator()(const edge::StopRun& stop) const { append_line("PREEMPT ", stop.rid); }
   void operator()(const edge::ResumeRun& resume) const { append_line("RESCHED ", resume.rid); }
-  void operator()(const edge::DeepCheck& check) const { append_line("POST ", std::to_string(check.tag)); }
-  void operator()(const edge::AskGauges&) const { encode_sysinfo_request(kGaugesTag, out_); }
+  void operator()(const edge::DeepHealthCheck& check) const {
+    append_line("POST ", std::to_string(check.tag));
+  }
+  void operator()(const edge::PollGauges&) const { encode_sysinfo_request(kGaugesTag, out_); }
 
  private:
   void append_line(std::string_view verb, std::string_view argument) const {
@@ -102,7 +104,7 @@
   if (bytes.substr(payload_bytes_, kLineEnd.size()) != kLineEnd)
     return fail(DecodeErrorCode::unterminated_payload);
   if (auto* report = std::get_if<edge::RunReport>(&awaiting_payload_->content))
-    report->result = bytes.substr(0, payload_bytes_);
+    report->body = bytes.substr(0, payload_bytes_);
   position_ += payload_bytes_ + kLineEnd.size();
   return std::exchange(awaiting_payload_, std::nullopt);
 }
--- a/src/kernel/link.cpp
+++ b/src/kernel/link.cpp
@@ -48,7 +48,7 @@
       retry_timer_(executor) {}
 
 void Link::send(const edge::Command& command) {
-  if (std::holds_alternative<edge::AskGauges>(command)) {
+  if (std::holds_alternative<edge::PollGauges>(command)) {
     if (!ready_ || gauges_requested_) return;
     gauges_requested_ = true;
   } else {
@@ -179,14 +179,14 @@
     co_await forward(std::move(*call));
   } else if (auto* rejected = std::get_if<edge::CommandRejected>(&content)) {
     co_await forward(std::move(*rejected));
-  } else if (auto* done = std::get_if<edge::DeepCheckDone>(&content)) {
+  } else if (auto* done = std::get_if<edge::DeepHealthCheckResult>(&content)) {
     co_await forward(*done);
   }
 }
 
 asio::awaitable<void> Link::handle_boot(const edge::KernelStarted& started) {
   const auto* caches = started.cold ? "cold" : "warm";
-  const std::int64_t ago_ms = started.ago.count();
+  const std::int64_t ago_ms = started.uptime.count();
   log_.line(std::string("kernel up: ") + caches + ", started " + std::to_string(ago_ms) + " ms ago",
             {{"event", "kernel_up"}, {"cores", caches}, {"ago_ms", ago_ms}});
   encode_sysinfo_request(kReplayEndTag, output_);
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -133,8 +133,8 @@
   return candidate != nullptr;
 }
 
-void Listener::deliver(const edge::Origin& to, OutgoingMessage message) {
-  if (const auto* answer = std::get_if<edge::Answer>(&message)) load_hint_ = answer->hint;
+void Listener::deliver(const edge::ReplyAddress& to, OutgoingMessage message) {
+  if (const auto* answer = std::get_if<edge::Response>(&message)) load_hint_ = answer->credit_hint;
   const auto connection = connections_.find(to.peer);
   if (connection != connections_.end()) connection->second->deliver(std::move(message));
 }
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -40,7 +40,7 @@
   boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
   // Sends a message to the connection that `to` names; dropped if that is over.
-  void deliver(const edge::Origin& to, OutgoingMessage message);
+  void deliver(const edge::ReplyAddress& to, OutgoingMessage message);
 
   // Closes connections that were idle for at least that long.
   void close_idle_connections(Duration idle_for);
