--- a/examples/try/toy.cpp
+++ b/examples/try/toy.cpp
@@ -1,7 +1,8 @@
-// A toy of all that a tile server talks to, for a first try on one machine; no yardstick of anything.
+// Stand-ins for everything that a tile server talks to, for a first run on one machine; not for measurements.
 //
-//   granitegap_toy world                       a kernel on 4400 whose every run takes 200 ms, and the list on
-//   8761 granitegap_toy ask CLASS BODY [TOKEN]      a client proxy's one request to 7001, and its answer
+//   granitegap_toy world                       a kernel on 4400 whose runs take 200 ms, and the receiver of
+//                                              load reports on 8761
+//   granitegap_toy ask CLASS BODY [TOKEN]      one request of a client proxy to 7001, and its response
 //   granitegap_toy check                       a health check
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/io_context.hpp>
@@ -68,11 +69,11 @@
 int world() {
   std::thread(watch_list).detach();
   asio::io_context io;
-  tcp::acceptor door(io, {loopback(), 4400});
+  tcp::acceptor listener(io, {loopback(), 4400});
   std::cout << "toy kernel on 4400, toy list on 8761; stop with Ctrl-C" << std::endl;
   for (;;) {
-    // A kernel of its own for each that comes: several tile servers may be tried on one toy.
-    std::thread([link = door.accept()]() mutable {
+    // A kernel of its own for each connection, so that several tile servers can share one toy.
+    std::thread([link = listener.accept()]() mutable {
       try {
         serve_kernel_link(link);
       } catch (const boost::system::system_error& e) {
--- a/tools/fleet/clock_shift.cpp
+++ b/tools/fleet/clock_shift.cpp
@@ -1,5 +1,5 @@
-// Loaded into a process of a test fleet (LD_PRELOAD): its calendar clock is off by CLOCK_SHIFT_MS. Its steady
-// clock is as it is.
+// A library for LD_PRELOAD that shifts the wall clock of one process of a test fleet by the environment
+// variable CLOCK_SHIFT_MS (milliseconds, may be negative). The steady clock stays as it is.
 #include <dlfcn.h>
 #include <time.h>
 
@@ -7,6 +7,11 @@
 
 namespace {
 
+constexpr long long kNanosPerSecond = 1'000'000'000, kNanosPerMilli = 1'000'000;
+
+using ClockGettime = int (*)(clockid_t, timespec*);
+
+// Zero where the variable is not set.
 long long shift_ms() {
   const char* text = std::getenv("CLOCK_SHIFT_MS");
   return text ? std::atoll(text) : 0;
@@ -14,13 +19,13 @@
 
 }  // namespace
 
-extern "C" int clock_gettime(clockid_t clock, timespec* to) noexcept {
-  using Real = int (*)(clockid_t, timespec*);
-  static const auto real = reinterpret_cast<Real>(::dlsym(RTLD_NEXT, "clock_gettime"));
-  const int failed = real(clock, to);
-  if (failed || clock != CLOCK_REALTIME) return failed;
-  const auto ns = to->tv_sec * 1'000'000'000LL + to->tv_nsec + shift_ms() * 1'000'000LL;
-  to->tv_sec = time_t(ns / 1'000'000'000LL);
-  to->tv_nsec = long(ns % 1'000'000'000LL);
+extern "C" int clock_gettime(clockid_t clock, timespec* time) noexcept {
+  static const auto system_clock_gettime =
+      reinterpret_cast<ClockGettime>(::dlsym(RTLD_NEXT, "clock_gettime"));
+  const int status = system_clock_gettime(clock, time);
+  if (status != 0 || clock != CLOCK_REALTIME) return status;
+  const auto nanos = time->tv_sec * kNanosPerSecond + time->tv_nsec + shift_ms() * kNanosPerMilli;
+  time->tv_sec = time_t(nanos / kNanosPerSecond);
+  time->tv_nsec = long(nanos % kNanosPerSecond);
   return 0;
 }
--- a/tools/standin/main.cpp
+++ b/tools/standin/main.cpp
@@ -1,4 +1,4 @@
-// A stand-in dependency to try things on: serves its script on loopback until it is ended.
+// A stand-in dependency for trials by hand: serves a script on loopback until SIGINT or SIGTERM.
 #include <CLI/CLI.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <cstdio>
