--- a/bench/recovery.cpp
+++ b/bench/recovery.cpp
@@ -4,7 +4,7 @@
 //   granitegap_bench_recovery [--scenario FILE] [--seed N] [--size N] [--program PATH] [--svg FILE]
 //   granitegap_bench_recovery --draw RESULT --svg FILE    # of a play before, whose object lies in RESULT
 //
-// Scenarios are records (bench/scenarios/comeback_*.cue; schema: bench/recovery.schema.cue). Each is played
+// Scenarios are records (bench/scenarios/recovery_*.cue; schema: bench/recovery.schema.cue). Each is played
 // on the same arrivals by `guided` (membership and recovery declared, with a directory) and `plain`
 // (neither). The last line is one JSON object.
 //
@@ -376,7 +376,7 @@
   const auto document = typed_config::load(path);
   if (const auto* error = std::get_if<typed_config::Error>(&document)) return std::vector{*error};
   static const auto schema =
-      std::get<typed_config::Document>(typed_config::parse(kComebackSchema, "comeback.schema.cue"));
+      std::get<typed_config::Document>(typed_config::parse(kRecoverySchema, "recovery.schema.cue"));
   auto checked = typed_config::validate(std::get<typed_config::Document>(document), schema, "#Scenario");
   if (auto* errors = std::get_if<std::vector<typed_config::Error>>(&checked)) return std::move(*errors);
   const auto& v = std::get<typed_config::Value>(checked);
@@ -409,7 +409,7 @@
 int main(int argc, char** argv) {
   using namespace granitegap::bench;
   CLI::App app("Coming back after a mass restart.", "granitegap_bench_recovery");
-  std::string file = SCENARIOS "/comeback_most.cue", program = PROGRAM;
+  std::string file = SCENARIOS "/recovery_most.cue", program = PROGRAM;
   std::uint64_t seed = 1;
   std::size_t size = 24;
   bool only_plain = false, only_guided = false;
--- a/src/recovery/restart_quarantine.cpp
+++ b/src/recovery/restart_quarantine.cpp
@@ -4,33 +4,34 @@
 
 namespace granitegap::recovery {
 
-RestartQuarantine::RestartQuarantine(Options rules, TimePoint started)
-    : rules_(std::move(rules)), latest_(started), held_(rules_.has_state_directory) {}
+RestartQuarantine::RestartQuarantine(Options options, TimePoint started)
+    : options_(std::move(options)), latest_end_(started), record_may_remain_(options_.has_state_directory) {}
 
 void RestartQuarantine::on_previous_incarnation(const PreviousIncarnation& found, TimePoint now) {
-  held_ = found.shutdown_record_remains;
-  // An end that lies ahead is none: guards against a clock that is not the one it was written by.
+  record_may_remain_ = found.shutdown_record_remains;
+  // A shutdown in the future is none: guards against a clock that is not the one it was recorded by.
   if (found.clean_shutdown_age && found.clean_shutdown_age->count() >= 0)
-    latest_ = std::min(latest_, now - *found.clean_shutdown_age);
-  behind_ = std::max(behind_, std::clamp(found.clock_setback, Duration{}, rules_.max_clock_setback));
+    latest_end_ = std::min(latest_end_, now - *found.clean_shutdown_age);
+  clock_setback_ =
+      std::max(clock_setback_, std::clamp(found.clock_setback, Duration{}, options_.max_clock_setback));
 }
 
-void RestartQuarantine::on_name_conflict(bool there, TimePoint now) {
-  if (there || duplicate_) latest_ = std::max(latest_, now);
-  duplicate_ = there;
+void RestartQuarantine::on_name_conflict(bool present, TimePoint now) {
+  if (present || name_conflict_) latest_end_ = std::max(latest_end_, now);
+  name_conflict_ = present;
 }
 
 TimePoint RestartQuarantine::quarantined_until(ClassId cls) const {
   const auto i = std::size_t(cls);
-  if (i >= rules_.idempotency_windows.size() || rules_.idempotency_windows[i].count() <= 0)
+  if (i >= options_.idempotency_windows.size() || options_.idempotency_windows[i].count() <= 0)
     return TimePoint::min();
-  if (held_ || duplicate_) return TimePoint::max();
-  return latest_ + rules_.idempotency_windows[i] + rules_.clock_skew_margin + behind_;
+  if (record_may_remain_ || name_conflict_) return TimePoint::max();
+  return latest_end_ + options_.idempotency_windows[i] + options_.clock_skew_margin + clock_setback_;
 }
 
 TimePoint RestartQuarantine::last_quarantine_end() const {
   auto longest = TimePoint::min();
-  for (std::size_t i = 0; i < rules_.idempotency_windows.size(); ++i)
+  for (std::size_t i = 0; i < options_.idempotency_windows.size(); ++i)
     longest = std::max(longest, quarantined_until(ClassId(i)));
   return longest;
 }
--- a/src/warm_state/warm_state.cpp
+++ b/src/warm_state/warm_state.cpp
@@ -8,126 +8,189 @@
 #include <utility>
 
 namespace granitegap::warm_state {
+namespace {
+
+// A latency measured so long ago has half of the weight of a new one.
+constexpr Duration kWeightHalfLife = std::chrono::seconds(10);
+
+using EndpointKey = std::tuple<std::string, std::string, std::uint16_t>;  // dependency, host, port
+using ResponseKey = std::pair<std::string, std::string>;                  // dependency, path
+using EndpointReports = std::vector<const Endpoint*>;
+
+// One cached response over all states that hold it.
+struct MergedResponse {
+  const CachedResponse* youngest = nullptr;
+  std::size_t holders = 0;
+  std::size_t best_position = 0;
+};
+using MergedResponses = std::map<ResponseKey, MergedResponse>;
+
+bool is_ejected(const Endpoint& endpoint) { return endpoint.ejected_for > Duration{}; }
 
-bool is_within_limits(const CachedResponse& p) {
-  return p.body && p.body->size() <= kMaxBodyBytes && !p.path.empty() && p.path.size() <= kMaxPathLength;
+double weight_of(Duration age) {
+  return std::exp2(-double(std::max(age, Duration{}).count()) / double(kWeightHalfLife.count()));
 }
 
-std::size_t size_of(const CachedResponse& p) { return p.body->size() + p.path.size() + p.dependency.size(); }
+void limit_endpoints(std::vector<Endpoint>& endpoints) {
+  if (endpoints.size() <= kMaxEndpoints) return;
+  const auto more_relevant = [](const Endpoint& a, const Endpoint& b) {
+    return std::pair(a.ejected_for, a.latency) > std::pair(b.ejected_for, b.latency);
+  };
+  std::nth_element(endpoints.begin(), endpoints.begin() + kMaxEndpoints, endpoints.end(), more_relevant);
+  endpoints.resize(kMaxEndpoints);
+}
 
-void enforce_limits(WarmState& learned) {
-  auto& e = learned.endpoints;
-  if (e.size() > kMaxEndpoints) {
-    const auto says_more = [](const Endpoint& a, const Endpoint& b) {
-      return std::pair(a.ejected_for, a.latency) > std::pair(b.ejected_for, b.latency);
-    };
-    std::nth_element(e.begin(), e.begin() + kMaxEndpoints, e.end(), says_more);
-    e.resize(kMaxEndpoints);
-  }
-  if (learned.members.size() > kMaxMembers) learned.members.resize(kMaxMembers);
-  std::erase_if(learned.cached_responses, [](const CachedResponse& p) { return !is_within_limits(p); });
-  std::size_t bytes = 0, kept = 0;
-  for (; kept < std::min(learned.cached_responses.size(), kMaxCachedResponses); ++kept) {
-    bytes += size_of(learned.cached_responses[kept]);
+void limit_cached_responses(std::vector<CachedResponse>& responses) {
+  std::erase_if(responses, [](const CachedResponse& response) { return !is_within_limits(response); });
+  const auto max_count = std::min(responses.size(), kMaxCachedResponses);
+  std::size_t bytes = 0;
+  std::size_t count = 0;
+  for (; count < max_count; ++count) {
+    bytes += size_of(responses[count]);
     if (bytes > kMaxCachedResponseBytes) break;
   }
-  learned.cached_responses.resize(kept);
+  responses.resize(count);
 }
 
-namespace {
+// The report at which half of the weight is reached, by latency. `reports` is sorted by it.
+const Endpoint& weighted_median(EndpointReports& reports) {
+  std::sort(reports.begin(), reports.end(), [](auto* a, auto* b) { return a->latency < b->latency; });
+  double total = 0;
+  for (const auto* report : reports) total += weight_of(report->latency_age);
+  double sum = 0;
+  for (const auto* report : reports) {
+    sum += weight_of(report->latency_age);
+    if (sum >= total / 2) return *report;
+  }
+  return *reports.back();
+}
 
-constexpr Duration kWeightHalves = std::chrono::seconds(10);
+// An ejection weighs as much as a new measurement: its reporter has not called the endpoint for a while, but
+// is certain now.
+bool majority_ejects(const EndpointReports& reports) {
+  double ejected = 0;
+  double available = 0;
+  for (const auto* report : reports) {
+    if (is_ejected(*report)) {
+      ejected += 1;
+    } else {
+      available += weight_of(report->latency_age);
+    }
+  }
+  return ejected > available;
+}
 
-double weight_of(Duration heard_ago) {
-  return std::exp2(-double(std::max(heard_ago, Duration{}).count()) / double(kWeightHalves.count()));
+// The shortest ejection that is reported: better to probe the endpoint too early than too late.
+void set_shortest_ejection(Endpoint& merged, const EndpointReports& reports) {
+  for (const auto* report : reports) {
+    if (!is_ejected(*report)) continue;
+    if (is_ejected(merged) && report->ejected_for >= merged.ejected_for) continue;
+    merged.ejected_for = report->ejected_for;
+    merged.consecutive_ejections = report->consecutive_ejections;
+  }
 }
 
-// The one at which half of the weight is reached.
-const Endpoint& weighted_median(std::vector<const Endpoint*>& heard) {
-  std::sort(heard.begin(), heard.end(), [](auto* a, auto* b) { return a->latency < b->latency; });
-  double all = 0, sum = 0;
-  for (const auto* e : heard) all += weight_of(e->latency_age);
-  for (const auto* e : heard)
-    if ((sum += weight_of(e->latency_age)) >= all / 2) return *e;
-  return *heard.back();
+Endpoint merge_endpoint(const EndpointReports& reports) {
+  Endpoint merged;
+  merged.dependency = reports.front()->dependency;
+  merged.host = reports.front()->host;
+  merged.port = reports.front()->port;
+  EndpointReports measured;
+  for (const auto* report : reports)
+    if (report->latency > Duration{}) measured.push_back(report);
+  if (!measured.empty()) {
+    const auto& median = weighted_median(measured);
+    merged.latency = median.latency;
+    merged.latency_age = median.latency_age;
+  }
+  if (majority_ejects(reports)) set_shortest_ejection(merged, reports);
+  return merged;
 }
 
-Endpoint merged_endpoint(const std::vector<const Endpoint*>& said) {
-  Endpoint to = *said.front();
-  std::vector<const Endpoint*> heard;
-  double in = 0, out = 0;
-  for (const auto* e : said) {
-    // Whoever holds it out now has not called it for a while, but is sure now.
-    (e->ejected_for > Duration{} ? out : in) += e->ejected_for > Duration{} ? 1 : weight_of(e->latency_age);
-    if (e->latency > Duration{}) heard.push_back(e);
+void collect(MergedResponses& merged, const std::vector<CachedResponse>& responses) {
+  for (std::size_t position = 0; position < responses.size(); ++position) {
+    const auto& response = responses[position];
+    auto& entry = merged[{response.dependency, response.path}];
+    if (!entry.youngest || response.age < entry.youngest->age) entry.youngest = &response;
+    entry.best_position = entry.holders == 0 ? position : std::min(entry.best_position, position);
+    ++entry.holders;
   }
-  to.latency = to.latency_age = to.ejected_for = {};
-  to.consecutive_ejections = 0;
-  if (!heard.empty()) {
-    const auto& middle = weighted_median(heard);
-    to.latency = middle.latency;
-    to.latency_age = middle.latency_age;
+}
+
+std::vector<CachedResponse> by_relevance(const MergedResponses& merged) {
+  std::vector<MergedResponse> order;
+  for (const auto& [key, entry] : merged) order.push_back(entry);
+  std::stable_sort(order.begin(), order.end(), [](const MergedResponse& a, const MergedResponse& b) {
+    return std::pair(b.holders, a.best_position) < std::pair(a.holders, b.best_position);
+  });
+  std::vector<CachedResponse> responses;
+  for (const auto& entry : order) responses.push_back(*entry.youngest);
+  return responses;
+}
+
+void age_endpoints(std::vector<Endpoint>& endpoints, Duration age) {
+  for (auto& endpoint : endpoints) {
+    endpoint.ejected_for = std::max(endpoint.ejected_for - age, Duration{});
+    endpoint.latency_age += age;
+    if (endpoint.latency_age > kLatencyLifetime) endpoint.latency = {};
   }
-  if (out <= in) return to;
-  // The shortest of those that hold it out: an ejection is tried again rather too soon than too late.
-  for (const auto* e : said)
-    if (e->ejected_for > Duration{} && (to.ejected_for == Duration{} || e->ejected_for < to.ejected_for)) {
-      to.ejected_for = e->ejected_for;
-      to.consecutive_ejections = e->consecutive_ejections;
-    }
-  return to;
+  std::erase_if(endpoints, [](const Endpoint& endpoint) {
+    return !is_ejected(endpoint) && endpoint.latency <= Duration{};
+  });
+}
+
+void age_cached_responses(std::vector<CachedResponse>& responses, Duration age) {
+  for (auto& response : responses) response.age += age;
+  std::erase_if(responses,
+                [](const CachedResponse& response) { return response.age > kCachedResponseLifetime; });
 }
 
 }  // namespace
 
-WarmState merge(const std::vector<WarmState>& several) {
-  WarmState to;
-  std::map<std::tuple<std::string, std::string, std::uint16_t>, std::vector<const Endpoint*>> endpoints;
+std::size_t size_of(const CachedResponse& response) {
+  return response.body->size() + response.path.size() + response.dependency.size();
+}
+
+bool is_within_limits(const CachedResponse& response) {
+  return response.body && response.body->size() <= kMaxBodyBytes && !response.path.empty() &&
+         response.path.size() <= kMaxPathLength;
+}
+
+void enforce_limits(WarmState& state) {
+  limit_endpoints(state.endpoints);
+  if (state.members.size() > kMaxMembers) state.members.resize(kMaxMembers);
+  limit_cached_responses(state.cached_responses);
+}
+
+WarmState merge(const std::vector<WarmState>& states) {
+  std::map<EndpointKey, EndpointReports> endpoints;
   std::set<membership::Address> members;
-  struct Kept {
-    const CachedResponse* youngest = nullptr;
-    std::size_t by = 0, at = 0;  // how many keep it; its best place among theirs
-  };
-  std::map<std::pair<std::string, std::string>, Kept> parts;
-  for (const auto& one : several) {
-    for (std::size_t n = 0; n < one.cached_responses.size(); ++n) {
-      auto& k = parts[{one.cached_responses[n].dependency, one.cached_responses[n].path}];
-      if (!k.youngest || one.cached_responses[n].age < k.youngest->age) k.youngest = &one.cached_responses[n];
-      k.at = k.by++ == 0 ? n : std::min(k.at, n);
-    }
-    for (const auto& e : one.endpoints) endpoints[{e.dependency, e.host, e.port}].push_back(&e);
-    members.insert(one.members.begin(), one.members.end());
+  MergedResponses responses;
+  for (const auto& state : states) {
+    collect(responses, state.cached_responses);
+    for (const auto& endpoint : state.endpoints)
+      endpoints[{endpoint.dependency, endpoint.host, endpoint.port}].push_back(&endpoint);
+    members.insert(state.members.begin(), state.members.end());
   }
-  for (const auto& [key, said] : endpoints) to.endpoints.push_back(merged_endpoint(said));
-  to.members.assign(members.begin(), members.end());
-  std::vector<Kept> order;
-  for (const auto& [key, kept] : parts) order.push_back(kept);
-  std::stable_sort(order.begin(), order.end(), [](const Kept& a, const Kept& b) {
-    return std::pair(b.by, a.at) < std::pair(a.by, b.at);
-  });
-  for (const auto& k : order) to.cached_responses.push_back(*k.youngest);
-  enforce_limits(to);
-  return to;
+  WarmState merged;
+  for (const auto& [key, reports] : endpoints) merged.endpoints.push_back(merge_endpoint(reports));
+  merged.members.assign(members.begin(), members.end());
+  merged.cached_responses = by_relevance(responses);
+  enforce_limits(merged);
+  return merged;
 }
 
-WarmState age_by(WarmState learned, std::optional<Duration> age) {
+WarmState age_by(WarmState state, std::optional<Duration> age) {
   if (!age || *age < Duration{}) {
-    learned.endpoints.clear();  // of no known age: guards against acting on an hour-old ejection
-    learned.cached_responses.clear();
-    return learned;
-  }
-  for (auto& e : learned.endpoints) {
-    e.ejected_for = std::max(e.ejected_for - *age, Duration{});
-    e.latency_age += *age;
-    if (e.latency_age > kLatencyLifetime) e.latency = {};
+    // Guards against acting on an ejection of an hour ago.
+    state.endpoints.clear();
+    state.cached_responses.clear();
+    return state;
   }
-  std::erase_if(learned.endpoints,
-                [](const Endpoint& e) { return e.ejected_for <= Duration{} && e.latency <= Duration{}; });
-  for (auto& p : learned.cached_responses) p.age += *age;
-  std::erase_if(learned.cached_responses,
-                [](const CachedResponse& p) { return p.age > kCachedResponseLifetime; });
-  if (*age > kMembersLifetime) learned.members.clear();
-  return learned;
+  age_endpoints(state.endpoints, *age);
+  age_cached_responses(state.cached_responses, *age);
+  if (*age > kMembersLifetime) state.members.clear();
+  return state;
 }
 
 }  // namespace granitegap::warm_state
--- a/src/warm_state/warm_state.h
+++ b/src/warm_state/warm_state.h
@@ -1,15 +1,16 @@
-// What a process has learned and a later life of it may use: a typed, bounded value, each piece with its age.
-// Export and import are functions of the decision objects; nothing here does I/O or reads a clock.
+// The warm state of a process: what it has observed of dependencies and members that a later incarnation, or
+// another member, may start from. A typed, bounded value in which every item carries its age.
 //
-// Nothing of it decides by itself: a piece fades with its age by kind, is dropped past a most, and the first
-// evidence of one's own overrules it.
+// It decides nothing by itself: items decay with their age by kind, are dropped past a limit, and the first
+// observation of the process that uses them takes precedence. No I/O, no clock; functions have no state and
+// may be called from any thread. There are no errors: what exceeds a limit is dropped.
 //
-// | piece | used for | fades |
+// | item | used for | decays |
 // | --- | --- | --- |
-// | an endpoint's ejection | not choosing it until its time is over | by what is left of its time |
-// | an endpoint's latency | choosing among endpoints | as one's own does, within seconds |
-// | members' addresses | whom to call beside the seeds | dropped after a day: they are only asked |
-// | kept answers of dependencies | parts of answers | by their age, against what each part declares |
+// | an endpoint's ejection | not choosing it until it ends | by what is left of it |
+// | an endpoint's latency | choosing among endpoints | as an own observation does, within seconds |
+// | members' addresses | contacts beside the seeds | dropped after a day: they are only contacted |
+// | cached responses | parts of answers | by their age, against what each part declares |
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -22,56 +23,64 @@
 
 namespace granitegap::warm_state {
 
-inline constexpr std::size_t kMaxEndpoints = 1024, kMaxMembers = 512;
-// Of kept answers: how many, how long a path and a body may be, and all of them together, in bytes.
-inline constexpr std::size_t kMaxCachedResponses = 512, kMaxPathLength = 1024, kMaxBodyBytes = 16 * 1024,
-                             kMaxCachedResponseBytes = 128 * 1024;
+inline constexpr std::size_t kMaxEndpoints = 1024;
+inline constexpr std::size_t kMaxMembers = 512;
+inline constexpr std::size_t kMaxCachedResponses = 512;
+inline constexpr std::size_t kMaxPathLength = 1024;                 // bytes
+inline constexpr std::size_t kMaxBodyBytes = 16 * 1024;             // of one cached response
+inline constexpr std::size_t kMaxCachedResponseBytes = 128 * 1024;  // of all of them together
 inline constexpr Duration kCachedResponseLifetime = std::chrono::hours(24);
 inline constexpr Duration kLatencyLifetime = std::chrono::seconds(60);
 inline constexpr Duration kMembersLifetime = std::chrono::hours(24);
 
+// What was observed of one endpoint of a dependency.
 struct Endpoint {
-  std::string dependency, host;
+  std::string dependency;  // its declared name
+  std::string host;
   std::uint16_t port = 0;
-  Duration ejected_for{};                   // what is left of its ejection; zero: it is in
-  std::uint32_t consecutive_ejections = 0;  // in a row: the next ejection lasts longer
+  Duration ejected_for{};                   // what is left of its ejection; zero: not ejected
+  std::uint32_t consecutive_ejections = 0;  // each makes the next one longer
   Duration latency{};                       // its recent peak; zero: not known
-  Duration latency_age{};                   // when that was
+  Duration latency_age{};                   // since that was measured
   bool operator==(const Endpoint&) const = default;
 };
 
-// One kept answer of a dependency.
+// One cached response of a dependency.
 struct CachedResponse {
-  std::string dependency, path;
+  std::string dependency;
+  std::string path;
   std::shared_ptr<const std::string> body;  // never null
-  Duration age{};                           // since the dependency answered
-  bool operator==(const CachedResponse& o) const {
-    return dependency == o.dependency && path == o.path && age == o.age && *body == *o.body;
+  Duration age{};                           // since the dependency responded
+  bool operator==(const CachedResponse& other) const {
+    return dependency == other.dependency && path == other.path && age == other.age && *body == *other.body;
   }
 };
 
 struct WarmState {
-  std::string process_name;   // the process's name
-  std::uint64_t boot_id = 0;  // which of its lives; 0: it takes part in no fleet
+  std::string process_name;
+  std::uint64_t boot_id = 0;  // of the incarnation that collected it; zero: it is in no fleet
   std::vector<Endpoint> endpoints;
-  std::vector<membership::Address> members;      // alive in the last certain view, without this one
-  std::vector<CachedResponse> cached_responses;  // the hottest first
+  std::vector<membership::Address> members;      // alive in the last certain view, without this process
+  std::vector<CachedResponse> cached_responses;  // most requested first
   bool operator==(const WarmState&) const = default;
 };
 
-std::size_t size_of(const CachedResponse& part);
-// Whether it can be among what is learned at all.
-bool is_within_limits(const CachedResponse& part);
-// Keeps to the bounds: the endpoints with most to say, members and parts as they come.
-void enforce_limits(WarmState& learned);
+// The bytes that a cached response counts against kMaxCachedResponseBytes.
+std::size_t size_of(const CachedResponse& response);
+// Whether a single cached response may be part of a warm state.
+bool is_within_limits(const CachedResponse& response);
+// Drops what exceeds the limits: endpoints with the shortest ejections and latencies first, members and
+// cached responses from the end.
+void enforce_limits(WarmState& state);
 
-// What several say of the same, in one value: of each endpoint the weighted median of its latency, where what
-// was heard longer ago weighs less; out only where most of the weight of those that speak of it says so. One
-// that differs wildly from the others moves nothing. Each member's address once, and of each kept answer the
-// youngest; those that several keep come first.
-WarmState merge(const std::vector<WarmState>& several);
+// The states of several processes as one. Of each endpoint the weighted median of its latencies, where older
+// measurements weigh less; it is ejected only where most of the weight of those that report it says so, so
+// that a single outlier has no effect. Every member once, and of each cached response the youngest, those
+// held by several processes first.
+WarmState merge(const std::vector<WarmState>& states);
 
-// As it may still be used after `age`; nothing of it that fades where the age is not known.
-WarmState age_by(WarmState learned, std::optional<Duration> age);
+// The state as it may be used after `age` has passed. With an unknown or negative age only the members
+// remain.
+WarmState age_by(WarmState state, std::optional<Duration> age);
 
 }  // namespace granitegap::warm_state
