--- a/tests/recovery_process_fixture.h
+++ b/tests/recovery_process_fixture.h
@@ -27,7 +27,7 @@
 
 inline constexpr auto kLong = 60s;
 
-ProcessFleetOptions options(const std::string& recovery) {
+inline ProcessFleetOptions options(const std::string& recovery) {
   ProcessFleetOptions o;
   o.program = PROGRAM;
   o.clock_shift_library = CLOCK_LIBRARY;
