--- /dev/null
+++ b/src/edge/edge_recovery.cpp
@@ -0,0 +1,178 @@
+// Recovery from a restart: the quarantine of idempotency keys, the ramp, warm state, and the membership.
+#include <algorithm>
+#include <chrono>
+#include <cmath>
+#include <utility>
+
+#include "edge/edge.h"
+#include "edge/recovery_log.h"
+
+namespace granitegap::edge {
+namespace {
+
+constexpr Duration kRecoveryTick = std::chrono::milliseconds(100);
+constexpr Duration kMinQuarantineAdvice = std::chrono::milliseconds(1);
+constexpr Duration kDefaultWarmUp = std::chrono::seconds(60);
+constexpr std::int64_t kMaxFullAfterMs = 0xfffffff0;  // what the membership's wire has room for
+
+std::int64_t to_ms(Duration duration) {
+  return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
+}
+
+// 100 where no credit is left.
+std::uint8_t load_percent(double credit) {
+  return std::uint8_t(std::clamp(100 / (1 + std::max(credit, 0.0)), 0.0, 100.0));
+}
+
+std::uint8_t percent(double share) { return std::uint8_t(100 * std::clamp(share, 0.0, 1.0)); }
+
+}  // namespace
+
+// ---- The restart quarantine ----
+
+void Edge::enable_restart_quarantine(Duration max_clock_back, bool has_folder, TimePoint started) {
+  recovery::RestartQuarantine::Options options;
+  for (std::size_t i = 0; i < settings_.settings.classes.size(); ++i) {
+    const ClassId cls = ClassId(i);
+    options.idempotency_windows.push_back(catalog_.requires_idempotency_key(cls) ? keys_.window(cls)
+                                                                                 : Duration{});
+  }
+  options.max_clock_setback = max_clock_back;
+  options.has_state_directory = has_folder;
+  quarantine_.emplace(std::move(options), started);
+}
+
+// A request that an earlier incarnation may have run is rejected before it costs anything, with the time
+// after which to retry. By when it reached the machine: guards against one that lay unread until the
+// quarantine was over.
+bool Edge::reject_quarantined(const Request& request) {
+  if (!quarantine_ || !catalog_.requires_idempotency_key(request.cls)) return false;
+  const auto arrived_at = now_.steady - std::max(now_.unix - request.arrived_at, Duration{});
+  if (!quarantine_->is_quarantined(request.cls, arrived_at)) return false;
+  const auto max_advice = settings_.settings.max_retry_after.value_or(Duration{});
+  const auto until = quarantine_->quarantined_until(request.cls);
+  const bool end_known = until != TimePoint::max();
+  const auto left = end_known ? std::max(until - now_.steady, kMinQuarantineAdvice) : max_advice;
+  reject(request.reply_to, std::min(left, max_advice));
+  return true;
+}
+
+void Edge::on(const PreviousIncarnationFound& found) {
+  if (!quarantine_) return;
+  quarantine_->on_previous_incarnation(found.previous, now_.steady);
+  const auto left = key_quarantine_left(now_.steady);
+  if (left == Duration::max() || left <= Duration{}) return;
+  log_event(
+      "keyed requests wait " + std::to_string(to_ms(left)) + " ms for what an earlier life may have run",
+      "keyed_wait");
+}
+
+Duration Edge::key_quarantine_left(TimePoint now) const {
+  const auto until = quarantine_ ? quarantine_->last_quarantine_end() : TimePoint::min();
+  if (until == TimePoint::max()) return Duration::max();
+  return until <= now ? Duration{} : until - now;
+}
+
+// ---- The recovery ramp ----
+
+void Edge::enable_recovery_ramp(const recovery::RecoveryOptions& options, TimePoint started) {
+  recovery_.emplace(options, started);
+}
+
+// What recovery has found reaches the controller as a bound: the controller stays the one that admits, orders
+// and rejects.
+void Edge::update_recovery() {
+  if (controller_ && now_.steady - recovery_ticked_at_ >= kRecoveryTick) {
+    recovery_ticked_at_ = now_.steady;
+    recovery_->tick(now_.steady);
+  }
+  log_recovery();
+  if (!controller_) return;
+  const AdmissionLimits limits{recovery_->max_wait_factor(), recovery_->advertised_share()};
+  if (limits.max_wait_ratio == admission_limits_.max_wait_ratio &&
+      limits.credit_fraction == admission_limits_.credit_fraction)
+    return;
+  admission_limits_ = limits;
+  events_.emplace_back(limits);
+}
+
+void Edge::log_recovery() {
+  for (const auto& event : recovery_->take_events()) {
+    if (event.type == recovery::RecoveryEvent::pause_detected)
+      outputs_.emplace_back(StateTransferRequested{});
+    outputs_.emplace_back(describe(event, *recovery_, now_.steady));
+  }
+}
+
+// ---- Warm state ----
+
+void Edge::on(const WarmStateReceived& received) {
+  const bool from_disk = received.donors == 0;
+  if (recovery_ && from_disk) recovery_->on_last_known_members(received.state.members.size(), now_.steady);
+  if (!scatter_gather_) return;
+  const auto source =
+      from_disk ? std::string("an earlier life") : std::to_string(received.donors) + " other members";
+  const auto used = scatter_gather_->learn(received.state, now_.steady);
+  if (used.endpoints > 0)
+    log_event("learned of " + std::to_string(used.endpoints) + " endpoints from " + source, "learned");
+  if (used.parts > 0)
+    log_event("learned " + std::to_string(used.parts) + " kept answers from " + source, "learned_parts");
+}
+
+void Edge::on(const StateTransferFinished& finished) {
+  if (recovery_) recovery_->on_state_transferred(finished.donors, now_.steady);
+}
+
+warm_state::WarmState Edge::export_warm_state(TimePoint now) const {
+  warm_state::WarmState state;
+  if (scatter_gather_) scatter_gather_->export_to(state, now);
+  return state;
+}
+
+// ---- The membership ----
+
+void Edge::on(const MembershipUpdate& update) {
+  if (!update.view) return;
+  const auto& view = *update.view;
+  if (!fleet_) fleet_ = Fleet{0, std::mt19937_64(seed_)};
+  // Without a majority the missing one may be this process: its Retry-After stays as it is.
+  fleet_->missing_share = view.has_quorum ? membership::missing_fraction(view) : 0;
+  if (recovery_) recovery_->on_fleet_status(recovery::fleet_status_of(view), now_.steady);
+  if (quarantine_) quarantine_->on_name_conflict(view.name_conflict, now_.steady);
+  if (scatter_gather_) scatter_gather_->fleet(update.view, now_.steady);
+}
+
+MemberStatus Edge::member_status(TimePoint now) const {
+  MemberStatus status;
+  if (scatter_gather_) status.endpoint_health = scatter_gather_->endpoint_health(now);
+  if (credit_) status.load_percent = load_percent(*credit_);
+  if (recovery_) status.recovery_status = recovery_status();
+  if (!controller_) return status;
+  status.warmth_percent = percent(warmth(now));
+  const bool is_leaving = draining_since_ || lifecycle_.phase() == lifecycle::Phase::quiesced;
+  if (is_leaving)
+    status.stage = membership::Stage::draining;
+  else if (status.warmth_percent < 100)
+    status.stage = membership::Stage::warming_up;
+  else
+    status.stage = membership::Stage::serving;
+  return status;
+}
+
+membership::RecoveryStatus Edge::recovery_status() const {
+  membership::RecoveryStatus status;
+  status.phase = recovery::metadata_value_of(recovery_->phase());
+  status.offered_percent = std::uint8_t(std::lround(100 * recovery_->advertised_share()));
+  if (const auto full_after = recovery_->timeline().in_service)
+    status.full_service_ms = std::uint32_t(std::clamp<std::int64_t>(to_ms(*full_after), 1, kMaxFullAfterMs));
+  return status;
+}
+
+// 0 to 1: how far the cores' slow start has come.
+double Edge::warmth(TimePoint now) const {
+  if (!settings_.settings.cold.value_or(true)) return 1;
+  const auto warm_up = settings_.settings.warm_up.value_or(kDefaultWarmUp);
+  return double((now - kernel_started_at_).count()) / std::max(double(warm_up.count()), 1.0);
+}
+
+}  // namespace granitegap::edge
--- a/src/frames/request_parser.h
+++ b/src/frames/request_parser.h
@@ -8,6 +8,7 @@
 namespace granitegap::frames {
 
 // An edge::Request, or a MalformedRequest that names the last field that is not accepted.
-Message parse_request(const edge::Origin& origin, std::string_view payload, const edge::NameRegistry& names);
+Message parse_request(const edge::ReplyAddress& origin, std::string_view payload,
+                      const edge::NameRegistry& names);
 
 }  // namespace granitegap::frames
--- a/src/kernel/notice_parser.cpp
+++ b/src/kernel/notice_parser.cpp
@@ -49,11 +49,11 @@
   return bytes;
 }
 
-std::optional<edge::RunEnd> parse_run_end(std::string_view word) {
-  if (word == "OK") return edge::RunEnd::ok;
-  if (word == "ERROR") return edge::RunEnd::error;
-  if (word == "STOPPED") return edge::RunEnd::stopped;
-  if (word == "MOOT") return edge::RunEnd::moot;
+std::optional<edge::RunOutcome> parse_run_end(std::string_view word) {
+  if (word == "OK") return edge::RunOutcome::ok;
+  if (word == "ERROR") return edge::RunOutcome::error;
+  if (word == "STOPPED") return edge::RunOutcome::stopped;
+  if (word == "MOOT") return edge::RunOutcome::never_ran;
   return std::nullopt;
 }
 
@@ -120,7 +120,7 @@
   if (words.size() != 3) return std::nullopt;
   const auto tag = parse_number<std::uint64_t>(words[1]);
   if (!tag) return std::nullopt;
-  return ParsedLine{{0, edge::DeepCheckDone{*tag, words[2] == "OK"}}, std::nullopt};
+  return ParsedLine{{0, edge::DeepHealthCheckResult{*tag, words[2] == "OK"}}, std::nullopt};
 }
 
 // BOOTED COLD|WARM MILLISECONDS
--- a/tests/kernel_command_log_test.cpp
+++ b/tests/kernel_command_log_test.cpp
@@ -13,8 +13,8 @@
   command_log.record(edge::StartRun{"a", ClassId{0}, ""});
   command_log.record(edge::StopRun{"b"});
   command_log.record(edge::StopRun{"never started"});
-  CHECK(command_log.accept({1, edge::RunReport{"a", edge::RunEnd::ok, {}, ""}}));
-  CHECK_FALSE(command_log.accept({1, edge::RunReport{"b", edge::RunEnd::ok, {}, ""}}));
+  CHECK(command_log.accept({1, edge::RunReport{"a", edge::RunOutcome::ok, {}, ""}}));
+  CHECK_FALSE(command_log.accept({1, edge::RunReport{"b", edge::RunOutcome::ok, {}, ""}}));
   const auto again = command_log.commands_to_resend();
   REQUIRE(again.size() == 2);
   CHECK(std::get<edge::StartRun>(again[0]).rid == "b");
@@ -30,17 +30,17 @@
 TEST_CASE("command log: notices of an earlier incarnation are rejected, and its own are still accepted") {
   kernel::CommandLog command_log;
   command_log.connection_opened();
-  CHECK_FALSE(command_log.accept({57, edge::RunReport{"old", edge::RunEnd::ok, {}, "x"}}));
+  CHECK_FALSE(command_log.accept({57, edge::RunReport{"old", edge::RunOutcome::ok, {}, "x"}}));
   CHECK_FALSE(command_log.accept({1, kernel::IgnoredNotice{}}));  // before BOOTED: of an earlier incarnation
   CHECK(command_log.accept({0, edge::KernelStarted{}}));
-  CHECK_FALSE(command_log.accept({58, edge::RunReport{"older", edge::RunEnd::ok, {}, "x"}}));
+  CHECK_FALSE(command_log.accept({58, edge::RunReport{"older", edge::RunOutcome::ok, {}, "x"}}));
   CHECK(command_log.last_sequence() == 0);
   command_log.record(edge::StartRun{"a", ClassId{0}, ""});
   CHECK(command_log.accept({1, kernel::IgnoredNotice{}}));
-  CHECK(command_log.accept({2, edge::RunReport{"a", edge::RunEnd::ok, {}, "x"}}));
+  CHECK(command_log.accept({2, edge::RunReport{"a", edge::RunOutcome::ok, {}, "x"}}));
   // Notices that the kernel no longer keeps leave a gap; the report of a run in flight is accepted after it.
   command_log.record(edge::StartRun{"b", ClassId{0}, ""});
-  CHECK(command_log.accept({9, edge::RunReport{"b", edge::RunEnd::ok, {}, "x"}}));
+  CHECK(command_log.accept({9, edge::RunReport{"b", edge::RunOutcome::ok, {}, "x"}}));
   CHECK(command_log.last_sequence() == 9);
 }
 
--- a/tests/lifecycle_test.cpp
+++ b/tests/lifecycle_test.cpp
@@ -8,16 +8,17 @@
 namespace granitegap::lifecycle {
 namespace {
 
-enum class Event { kernel_up, quiesce, resume, drain, hand_over };
-constexpr Event kEvents[] = {Event::kernel_up, Event::quiesce, Event::resume, Event::drain, Event::hand_over};
+enum class Event { set_kernel_started, quiesce, resume, drain, hand_over };
+constexpr Event kEvents[] = {Event::set_kernel_started, Event::quiesce, Event::resume, Event::drain,
+                             Event::hand_over};
 
 bool is_stop(Event event) { return event == Event::drain || event == Event::hand_over; }
 
 // Whether the event was accepted; those that nobody can refuse always are.
 bool apply(Lifecycle& lifecycle, Event event) {
   switch (event) {
-    case Event::kernel_up:
-      lifecycle.kernel_up();
+    case Event::set_kernel_started:
+      lifecycle.set_kernel_started();
       return true;
     case Event::quiesce:
       return lifecycle.quiesce();
@@ -40,20 +41,20 @@
       : stopped(is_stop(first) || is_stop(second)),
         stop(is_stop(first) ? first : second),
         quiesced(second == Event::quiesce || (first == Event::quiesce && second != Event::resume)),
-        kernel_up(first == Event::kernel_up || second == Event::kernel_up),
+        set_kernel_started(first == Event::set_kernel_started || second == Event::set_kernel_started),
         second_accepted(!is_stop(first) || (second != Event::quiesce && second != Event::resume)) {}
 
   Phase phase() const {
     if (stopped) return Phase::stopping;
     if (quiesced) return Phase::quiesced;
-    return kernel_up ? Phase::serving : Phase::starting;
+    return set_kernel_started ? Phase::serving : Phase::starting;
   }
   bool handing_over() const { return stopped && stop == Event::hand_over; }
 
   bool stopped;
   Event stop;
   bool quiesced;
-  bool kernel_up;
+  bool set_kernel_started;
   bool second_accepted;
 };
 
@@ -74,19 +75,19 @@
 TEST(Lifecycle, EveryOrderedPairOfEventsLeadsToTheDocumentedPhase) {
   for_every_pair([](const Lifecycle& lifecycle, const Expectation& expected) {
     EXPECT_EQ(lifecycle.phase(), expected.phase());
-    EXPECT_EQ(lifecycle.up(), expected.kernel_up);
+    EXPECT_EQ(lifecycle.kernel_started(), expected.set_kernel_started);
   });
 }
 
 TEST(Lifecycle, HealthChecksAreGoodUnlessQuiescedOrDraining) {
   for_every_pair([](const Lifecycle& lifecycle, const Expectation& expected) {
-    EXPECT_EQ(lifecycle.welcomes(), expected.stopped ? expected.handing_over() : !expected.quiesced);
+    EXPECT_EQ(lifecycle.accepts_traffic(), expected.stopped ? expected.handing_over() : !expected.quiesced);
   });
 }
 
 TEST(Lifecycle, AProcessThatHandsOverReportsNothing) {
   for_every_pair([](const Lifecycle& lifecycle, const Expectation& expected) {
-    EXPECT_EQ(lifecycle.reports(), !expected.handing_over());
+    EXPECT_EQ(lifecycle.publishes_load_reports(), !expected.handing_over());
   });
 }
 
--- a/tests/recovery_process_test.cpp
+++ b/tests/recovery_process_test.cpp
@@ -40,7 +40,7 @@
   ASSERT_TRUE(f.wait_until([&] { return f.has_exited("n0"); }, kLong));
   EXPECT_TRUE(std::filesystem::exists(f.state_folder("n0") / "ended")) << f.log("n0");
   f.up();
-  EXPECT_TRUE(f.wait_until([&] { return f.says("the last life ended in order"); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.says("the previous process shut down gracefully"); }, kLong));
   EXPECT_FALSE(std::filesystem::exists(f.state_folder("n0") / "ended"));
   EXPECT_EQ(f.insist(kOther)->code, standin::ResponseCode::served);
 }
@@ -66,7 +66,8 @@
   std::filesystem::create_directories(f.state_folder("n0").parent_path());
   std::ofstream(f.state_folder("n0")) << "in the way";
   f.up();
-  EXPECT_TRUE(f.wait_until([&] { return f.says("keyed requests are refused until"); }, kLong));
+  EXPECT_TRUE(
+      f.wait_until([&] { return f.says("requests with an idempotency key are rejected until"); }, kLong));
   EXPECT_EQ(f.report(kToken)->code, standin::ResponseCode::rejected);
   EXPECT_TRUE(f.answers("n0"));
   std::filesystem::remove(f.state_folder("n0"));
@@ -78,8 +79,7 @@
   std::filesystem::create_directories(f.state_folder("n0"));
   std::ofstream(f.state_folder("n0") / "ended") << "gge1 and then nothing that makes sense";
   f.up();
-  EXPECT_TRUE(f.wait_until(
-      [&] { return f.says("what the last life left is not believed: reading it: damaged"); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.says("shutdown record rejected: reading it: damaged"); }, kLong));
   EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
 }
 
@@ -92,7 +92,8 @@
   ASSERT_TRUE(f.wait_until([&] { return f.has_exited("n0"); }, kLong));
   f.shift_clock("n0", -60s);
   f.start("n0");
-  EXPECT_TRUE(f.wait_until([&] { return f.says("the last life ended in order") && f.port("n0"); }, kLong));
+  EXPECT_TRUE(f.wait_until(
+      [&] { return f.says("the previous process shut down gracefully") && f.port("n0"); }, kLong));
   const auto told = f.log("n0");
   const auto at = told.rfind("keyed requests wait ");
   ASSERT_NE(at, std::string::npos) << told;
@@ -156,8 +157,8 @@
       },
       kLong))
       << f.describe();
-  EXPECT_TRUE(f.says("recovery: a snapshot", "n2"));
-  EXPECT_FALSE(f.says("recovery: a snapshot", "n3"));
+  EXPECT_TRUE(f.says("recovery: snapshot loaded", "n2"));
+  EXPECT_FALSE(f.says("recovery: snapshot loaded", "n3"));
 }
 
 // An hour-old word that an endpoint is out is not acted on; a fresh one is.
@@ -174,14 +175,14 @@
     s.taken_at = snapshot::read_clock_stamp();
     if (old) {
       s.taken_at.kernel_boot_id = "another";
-      s.taken_at.since_boot -= 1h;
+      s.taken_at.since_boot = 1s;  // an hour less than now would be negative on a machine just booted
       s.taken_at.unix_us -= 3'600'000'000;
     }
     s.state.process_name = "n0";
     s.state.endpoints = {{"e.example.org", "127.0.0.1", 9, 30s, 2, 80ms, 0s}};
     ASSERT_FALSE(snapshot::write_snapshot(f.state_folder("n0"), snapshot::encode(s)));
     f.up();
-    EXPECT_TRUE(f.wait_until([&] { return f.says("recovery: a snapshot"); }, kLong));
+    EXPECT_TRUE(f.wait_until([&] { return f.says("recovery: snapshot loaded"); }, kLong));
     EXPECT_TRUE(f.answers("n0"));
     EXPECT_EQ(f.says("learned of 1 endpoints"), !old) << f.log("n0");
   }
@@ -193,7 +194,7 @@
   std::ofstream(f.state_folder("n0") / "learned-a") << "ggl1 and then nothing that makes sense";
   std::filesystem::create_directory(f.state_folder("n0") / "learned-b");  // can be neither read nor replaced
   f.up();
-  EXPECT_TRUE(f.wait_until([&] { return f.says("a snapshot is not believed: learned-a"); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.says("snapshot rejected: learned-a"); }, kLong));
   EXPECT_TRUE(f.answers("n0"));
   EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
 }
@@ -245,7 +246,8 @@
     std::filesystem::create_directories(f.state_folder("n0"));
     ASSERT_EQ(::mkfifo(note.c_str(), 0600), 0);  // whoever opens it waits
     f.up();
-    ASSERT_TRUE(f.wait_until([&] { return f.says("does not answer: keyed requests are refused"); }, kLong));
+    ASSERT_TRUE(f.wait_until(
+        [&] { return f.says("is slow to respond: requests with an idempotency key are rejected"); }, kLong));
     const auto way = membership_udp::query_status(f.bound("n0"), 2s, true);
     ASSERT_TRUE(way && way->recovery_report);
     EXPECT_GT(way->recovery_report->keyed_wait_ms, 1'000'000'000u);  // no end in sight
--- a/tests/recovery_slow_start_process_test.cpp
+++ b/tests/recovery_slow_start_process_test.cpp
@@ -86,7 +86,8 @@
       kLong));
   f.kill("n2");
   f.start("n2");
-  ASSERT_TRUE(f.wait_until([&] { return f.says("recovery: learned from", "n2") && f.way("n2"); }, kLong));
+  ASSERT_TRUE(
+      f.wait_until([&] { return f.says("recovery: warm state received from", "n2") && f.way("n2"); }, kLong));
   const auto asked = f.way("n2").value();
   for (const auto& s : asked.sources) EXPECT_TRUE(s.name == "n0" || s.name == "n1") << s.name;
   f.heal_all();
@@ -99,7 +100,7 @@
 TEST(RecoveryProcess, ADonorThatStandsStillIsLeftForTheNext) {
   Ways f(6, "learn_most: 5s");
   f.form();
-  const auto before = f.count_in_log("n0", "recovery: learned from");
+  const auto before = f.count_in_log("n0", "recovery: warm state received from");
   f.kill("n0");
   f.pause("n3");  // of n0's zone: asked first
   f.start("n0");
@@ -108,7 +109,7 @@
   for (const auto& s : learned.sources) EXPECT_NE(s.name, "n3");
   f.resume("n3");
   ASSERT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
-  EXPECT_EQ(f.count_in_log("n0", "recovery: learned from"), before + 1);  // once a life
+  EXPECT_EQ(f.count_in_log("n0", "recovery: warm state received from"), before + 1);  // once a life
 }
 
 // One that dies in the middle, its connection taken and the question with it.
