--- a/bench/micro.cpp
+++ b/bench/micro.cpp
@@ -97,7 +97,7 @@
     g.begin(id, ClassId(id == RequestId{} ? 0 : std::uint32_t(id) % std::uint32_t(options.dependencies)),
             with, milliseconds(400), true, now);
     for (std::size_t most = all ? options.dependencies : 1; most > 0 && last - first >= others; --most)
-      g.ended({open[first++ % open.size()], CallFate::ok, milliseconds(8), {}, body}, now);
+      g.on_call_completed({open[first++ % open.size()], CallOutcome::ok, milliseconds(8), {}, body}, now);
     for (const auto& a : g.actions()) {
       if (const auto* start = std::get_if<StartCall>(&a)) open[last++ % open.size()] = start->id;
       if (const auto* ended = std::get_if<GatherEnded>(&a)) g.release(ended->id);
@@ -107,10 +107,10 @@
   };
   for (int i = 0; i < 200000; ++i) one();  // caches full, slabs and heaps at their size
   const auto before = allocations.load();
-  const auto calls = g.totals().calls;
+  const auto calls = g.counters().calls;
   for (auto _ : state) one();
   const auto made = double(allocations.load() - before);
-  const auto started = double(g.totals().calls - calls);
+  const auto started = double(g.counters().calls - calls);
   state.counters["allocations_per_call"] = made / std::max(started, 1.0);
   const double per_gather = started / double(state.iterations());
   state.counters["calls_per_gather"] = per_gather;
@@ -132,7 +132,7 @@
     order_.splice(order_.begin(), order_, it->second);
     return true;
   }
-  void put(std::uint64_t key, Bytes body) {
+  void insert(std::uint64_t key, SharedBody body) {
     bytes_ += body->size() + 160;
     order_.emplace_front(key, std::move(body));
     at_[key] = order_.begin();
@@ -145,8 +145,8 @@
 
  private:
   std::size_t most_, bytes_ = 0;
-  std::list<std::pair<std::uint64_t, Bytes>> order_;
-  std::unordered_map<std::uint64_t, std::list<std::pair<std::uint64_t, Bytes>>::iterator> at_;
+  std::list<std::pair<std::uint64_t, SharedBody>> order_;
+  std::unordered_map<std::uint64_t, std::list<std::pair<std::uint64_t, SharedBody>>::iterator> at_;
 };
 
 std::vector<std::uint64_t> trace() {
@@ -184,9 +184,9 @@
         hit = cache.find(key);
       if (!hit) {
         if constexpr (std::is_same_v<Cache, ResponseCache>)
-          cache.put(key, 0, {}, body, now);
+          cache.insert(key, 0, {}, body, now);
         else
-          cache.put(key, body);
+          cache.insert(key, body);
       }
       if (n < options.keys) ++asked, hits += hit;
     }
@@ -198,7 +198,7 @@
 }
 void cache_tiny_lfu(benchmark::State& state) {
   play_cache<ResponseCache>(state, "w_tiny_lfu", [](std::uint64_t n) {
-    return Key{mix_bits(n + 1), mix_bits(n * 3 + 7)};
+    return CacheKey{mix_bits(n + 1), mix_bits(n * 3 + 7)};
   });
 }
 void cache_plain_lru(benchmark::State& state) {
@@ -212,7 +212,7 @@
 ScatterGather& full_gatherer() {
   static auto gatherer = [] {
     auto spec = std::make_shared<Spec>();
-    spec->cache_bytes = std::size_t(64) << 20;
+    spec->max_cache_bytes = std::size_t(64) << 20;
     GatherSpec g;
     for (std::size_t d = 0; d < 16; ++d) {
       DependencySpec dependency;
@@ -224,7 +224,7 @@
       part.name = "p" + std::to_string(d);
       part.dependency = d;
       part.path = "/{obj}";
-      part.fresh_for = std::chrono::hours(1);
+      part.max_fresh_age = std::chrono::hours(1);
       g.parts.push_back(part);
     }
     spec->gathers.push_back(g);
@@ -237,14 +237,14 @@
     for (const auto& d : spec->dependencies)
       for (const auto& e : d.endpoints)
         what.endpoints.push_back({d.name, e.host, e.port, std::chrono::seconds(30), 1, milliseconds(5), {}});
-    full.learn(what, now);
+    full.restore(what, now);
     return full;
   }();
   return gatherer;
 }
 warm_state::WarmState exported() {
   warm_state::WarmState what;
-  full_gatherer().export_to(what, TimePoint(std::chrono::hours(2)));
+  full_gatherer().export_state(what, TimePoint(std::chrono::hours(2)));
   return what;
 }
 void snapshot_collect(benchmark::State& state) {
@@ -296,7 +296,7 @@
   std::uint64_t n = 0;
   for (auto _ : state) {
     now += milliseconds(1);
-    window.add(Duration(std::int64_t(latency(random))), now);
+    window.record(Duration(std::int64_t(latency(random))), now);
     if (++n % 16 == 0) benchmark::DoNotOptimize(window.quantile(0.99, now));
   }
 }
--- a/bench/recovery_sim.cpp
+++ b/bench/recovery_sim.cpp
@@ -22,12 +22,12 @@
 using namespace std::chrono_literals;
 
 // Plays one member of such a fleet for ten seconds: its calls of the slow endpoint in each.
-std::vector<int> play_member(deps::World& w) {
+std::vector<int> play_member(deps::DependencySimulation& w) {
   std::vector<int> slow(10);
   const auto start = w.now;
   w.behaviour = [&](std::uint32_t, std::uint32_t endpoint, TimePoint now) {
     if (endpoint == 0 && now - start < 10s) ++slow[std::size_t((now - start) / 1s)];
-    deps::World::Reply r;
+    deps::DependencySimulation::Reply r;
     r.after = Duration(std::int64_t((endpoint == 0 ? 100'000 : 10'000) * (0.7 + 0.6 * w.roll())));
     return r;
   };
@@ -46,14 +46,14 @@
       {"127.0.0.1", 9001}, {"127.0.0.1", 9002}, {"127.0.0.1", 9003}, {"127.0.0.1", 9004}};
   std::vector<warm_state::WarmState> told;
   for (std::size_t n = 1; n < members; ++n) {
-    deps::World w(spec, seed * 1000 + n);
+    deps::DependencySimulation w(spec, seed * 1000 + n);
     play_member(w);
-    if (told.size() < 3) w.gatherer.export_to(told.emplace_back(), w.now);
+    if (told.size() < 3) w.gatherer.export_state(told.emplace_back(), w.now);
   }
   nlohmann::ordered_json out{{"members", members}};
   for (const bool blind : {false, true}) {
-    deps::World w(spec, seed * 1000);
-    if (!blind) w.gatherer.learn(warm_state::merged(told), w.now);
+    deps::DependencySimulation w(spec, seed * 1000);
+    if (!blind) w.gatherer.restore(warm_state::merged(told), w.now);
     const auto slow = play_member(w);
     std::size_t after = slow.size();
     while (after > 0 && slow[after - 1] <= 2) --after;
--- a/src/cache_fill_http/server.cpp
+++ b/src/cache_fill_http/server.cpp
@@ -39,7 +39,7 @@
             {{"event", "fill_door"}, {"port", std::int64_t(port())}});
 }
 
-void CacheFillServer::begin(membership::BootId boot_id, Hooks hooks) {
+void CacheFillServer::start(membership::BootId boot_id, Hooks hooks) {
   boot_id_ = boot_id;
   hooks_ = std::move(hooks);
 }
@@ -50,7 +50,7 @@
   door_.close(ignored);
 }
 
-void CacheFillServer::answer(edge::CacheFillReply answer) {
+void CacheFillServer::reply(edge::CacheFillReply answer) {
   const auto it = waiting_.find(answer.tag);
   if (it == waiting_.end()) return;  // it waits no more
   it->second->answer = std::move(answer);
@@ -83,12 +83,12 @@
     http::response<http::string_body> response(http::status::bad_request, request.version());
     response.keep_alive(request.keep_alive());
     const auto target = request.target();
-    auto question = deps::read_target({target.data(), target.size()});
-    if (question && question->to != boot_id_) {
+    auto question = deps::parse_request_target({target.data(), target.size()});
+    if (question && question->target_boot_id != boot_id_) {
       response.result(http::status::gone);  // of an earlier life, or of whoever had this port then
     } else if (question) {
       const auto waiting = std::make_shared<Waiting>(executor_);
-      const auto within = question->within;
+      const auto within = question->timeout;
       waiting->over.expires_after(within + within / 5);
       const auto tag = next_++;
       waiting_.emplace(tag, waiting);
@@ -96,7 +96,7 @@
       waiting_.erase(tag);
       if (const auto& a = waiting->answer; a && a->body) {
         response.result(http::status::ok);
-        response.body() = deps::filled(a->age, *a->body);
+        response.body() = deps::encode_fill_body(a->age, *a->body);
       } else {
         response.result(a ? http::status::not_found : http::status::service_unavailable);
       }
--- a/src/cache_fill_http/server.h
+++ b/src/cache_fill_http/server.h
@@ -27,10 +27,10 @@
   // Throws boost::system::system_error where it can't be opened.
   CacheFillServer(const boost::asio::any_io_executor& executor, const boost::asio::ip::tcp::endpoint& at,
                   Logger& log);
-  void begin(membership::BootId boot_id, Hooks hooks);
+  void start(membership::BootId boot_id, Hooks hooks);
   std::uint16_t port() const { return door_.local_endpoint().port(); }
   boost::asio::awaitable<void> serve();
-  void answer(edge::CacheFillReply answer);
+  void reply(edge::CacheFillReply answer);
   void close();
 
  private:
--- a/src/deps/cache_fill.cpp
+++ b/src/deps/cache_fill.cpp
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-void KeyOwners::see(const membership::View& view) {
+void KeyOwnerSelector::update_view(const membership::View& view) {
   own_ = view.own_hash;
   sure_ = membership::can_rely(view) && !view.duplicate;
   std::vector<Other> fresh;
@@ -51,38 +51,39 @@
     fresh.push_back(std::move(o));
   }
   std::sort(fresh.begin(), fresh.end(),
-            [](const Other& a, const Other& b) { return a.owner.hash < b.owner.hash; });
+            [](const Other& a, const Other& b) { return a.owner.member_hash < b.owner.member_hash; });
   others_ = std::move(fresh);
 }
 
-KeyOwners::Other* KeyOwners::find(std::uint64_t member) {
-  const auto at = std::lower_bound(others_.begin(), others_.end(), member,
-                                   [](const Other& o, std::uint64_t hash) { return o.owner.hash < hash; });
-  return at != others_.end() && at->owner.hash == member ? &*at : nullptr;
+KeyOwnerSelector::Other* KeyOwnerSelector::find(std::uint64_t member) {
+  const auto at =
+      std::lower_bound(others_.begin(), others_.end(), member,
+                       [](const Other& o, std::uint64_t hash) { return o.owner.member_hash < hash; });
+  return at != others_.end() && at->owner.member_hash == member ? &*at : nullptr;
 }
 
-std::optional<KeyOwner> KeyOwners::of(std::uint64_t key, TimePoint now) const {
+std::optional<KeyOwner> KeyOwnerSelector::owner_of(std::uint64_t key, TimePoint now) const {
   if (!sure_) return std::nullopt;
   const Other* best = nullptr;
   std::uint64_t most = membership::score(own_, key), whose = own_;
   for (const auto& o : others_) {
     if (now < o.until) continue;
-    const auto s = membership::score(o.owner.hash, key);
-    if (s < most || (s == most && o.owner.hash < whose)) continue;
-    best = &o, most = s, whose = o.owner.hash;
+    const auto s = membership::score(o.owner.member_hash, key);
+    if (s < most || (s == most && o.owner.member_hash < whose)) continue;
+    best = &o, most = s, whose = o.owner.member_hash;
   }
   if (!best) return std::nullopt;
   return best->owner;
 }
 
-void KeyOwners::failed(std::uint64_t member, TimePoint now) {
+void KeyOwnerSelector::on_failure(std::uint64_t member, TimePoint now) {
   auto* o = find(member);
   if (!o || now < o->until) return;  // of those asked together the first failure counts
-  o->until = now + std::min(kPassedOver * (std::int64_t(1) << std::min(o->in_a_row, 10u)), kPassedOverMost);
+  o->until = now + std::min(kBaseBackoff * (std::int64_t(1) << std::min(o->in_a_row, 10u)), kMaxBackoff);
   ++o->in_a_row;
 }
 
-void KeyOwners::answered(std::uint64_t member) {
+void KeyOwnerSelector::on_success(std::uint64_t member) {
   if (auto* o = find(member)) o->until = {}, o->in_a_row = 0;
 }
 
@@ -90,21 +91,21 @@
   return XXH3_64bits_withSeed(path.data(), path.size(), XXH3_64bits(dependency.data(), dependency.size()));
 }
 
-std::string target_of(const CacheFillRequest& q) {
+std::string to_request_target(const CacheFillRequest& q) {
   char boot_id[17];
-  const auto end = std::to_chars(boot_id, boot_id + sizeof boot_id, std::uint64_t(q.to), 16).ptr;
-  return std::string(kFill) + std::string(boot_id, end) + "/" + std::to_string(q.fresh.count()) + "/" +
-         std::to_string(q.within.count()) + "/" + q.dependency + q.path;
+  const auto end = std::to_chars(boot_id, boot_id + sizeof boot_id, std::uint64_t(q.target_boot_id), 16).ptr;
+  return std::string(kFill) + std::string(boot_id, end) + "/" + std::to_string(q.max_age.count()) + "/" +
+         std::to_string(q.timeout.count()) + "/" + q.dependency + q.path;
 }
 
-std::optional<CacheFillRequest> read_target(std::string_view text) {
+std::optional<CacheFillRequest> parse_request_target(std::string_view text) {
   if (!text.starts_with(kFill) || text.size() > kMaxPath) return std::nullopt;
   text.remove_prefix(kFill.size());
   CacheFillRequest q;
   std::uint64_t boot_id = 0;
-  if (!number(cut(text), boot_id, 16) || !span(cut(text), q.fresh) || !span(cut(text), q.within))
+  if (!number(cut(text), boot_id, 16) || !span(cut(text), q.max_age) || !span(cut(text), q.timeout))
     return std::nullopt;
-  q.to = membership::BootId(boot_id);
+  q.target_boot_id = membership::BootId(boot_id);
   const auto path = text.find('/');
   if (path == std::string_view::npos || path == 0 || path > kMaxName) return std::nullopt;
   q.dependency = text.substr(0, path);
@@ -115,11 +116,11 @@
   return q;
 }
 
-std::string filled(Duration age, std::string_view body) {
+std::string encode_fill_body(Duration age, std::string_view body) {
   return std::to_string(std::max<std::int64_t>(age.count(), 0)).append("\n").append(body);
 }
 
-std::optional<CacheFillResponse> read_filled(const std::string& bytes) {
+std::optional<CacheFillResponse> parse_fill_body(const std::string& bytes) {
   const auto line = bytes.find('\n');
   CacheFillResponse f;
   if (line == std::string::npos || !span(std::string_view(bytes).substr(0, line), f.age)) return std::nullopt;
--- a/src/deps/cache_fill.h
+++ b/src/deps/cache_fill.h
@@ -19,22 +19,22 @@
 namespace granitegap::deps {
 
 struct KeyOwner {
-  std::uint64_t hash = 0;  // name_hash() of the member
+  std::uint64_t member_hash = 0;  // name_hash() of the member
   membership::BootId boot_id{};
-  EndpointSpec at;
+  EndpointSpec address;
 };
 
-class KeyOwners {
+class KeyOwnerSelector {
  public:
   // How long one that did not answer is passed over, doubling with each time in a row.
-  static constexpr Duration kPassedOver = std::chrono::milliseconds(500),
-                            kPassedOverMost = std::chrono::seconds(8);
+  static constexpr Duration kBaseBackoff = std::chrono::milliseconds(500),
+                            kMaxBackoff = std::chrono::seconds(8);
 
-  void see(const membership::View& view);
+  void update_view(const membership::View& view);
   // Who else fills this key; absent where that is this one, or it can't be told.
-  std::optional<KeyOwner> of(std::uint64_t key, TimePoint now) const;
-  void failed(std::uint64_t member, TimePoint now);
-  void answered(std::uint64_t member);
+  std::optional<KeyOwner> owner_of(std::uint64_t key, TimePoint now) const;
+  void on_failure(std::uint64_t member, TimePoint now);
+  void on_success(std::uint64_t member);
   std::size_t size() const { return others_.size(); }
 
  private:
@@ -55,22 +55,22 @@
 // What is asked of the owner: the value of a path below, no older than `fresh`, within so long. `to`: the
 // life that is asked; a later one on the same port does not answer for it.
 struct CacheFillRequest {
-  membership::BootId to{};
+  membership::BootId target_boot_id{};
   std::string dependency, path;
-  Duration fresh{}, within{};
+  Duration max_age{}, timeout{};
   bool operator==(const CacheFillRequest&) const = default;
 };
 // As the target of an HTTP request, and back; absent where it is none.
-std::string target_of(const CacheFillRequest& question);
-std::optional<CacheFillRequest> read_target(std::string_view target);
+std::string to_request_target(const CacheFillRequest& question);
+std::optional<CacheFillRequest> parse_request_target(std::string_view target);
 
 // The value and its age, as the body of the answer, and back; kMaxFillHead: bytes more than the value's.
-inline constexpr std::size_t kMaxFillHead = 24;
-std::string filled(Duration age, std::string_view body);
+inline constexpr std::size_t kMaxFillHeaderBytes = 24;
+std::string encode_fill_body(Duration age, std::string_view body);
 struct CacheFillResponse {
   Duration age{};
   std::string body;
 };
-std::optional<CacheFillResponse> read_filled(const std::string& bytes);
+std::optional<CacheFillResponse> parse_fill_body(const std::string& bytes);
 
 }  // namespace granitegap::deps
--- a/src/deps/latency_window.cpp
+++ b/src/deps/latency_window.cpp
@@ -19,7 +19,7 @@
   total_ = 0;
 }
 
-void LatencyWindow::turn(TimePoint now) {
+void LatencyWindow::advance(TimePoint now) {
   const auto number = now.time_since_epoch() / slice_;
   if (!started_) {
     started_ = true;
@@ -39,8 +39,8 @@
   }
 }
 
-void LatencyWindow::add(Duration latency, TimePoint now) {
-  turn(now);
+void LatencyWindow::record(Duration latency, TimePoint now) {
+  advance(now);
   const auto bin = std::size_t(axis_.index(std::max(double(latency.count()), 1.0)) + 1);
   const auto i = std::size_t(at_) % kSlices;
   ++slices_[i][bin];
@@ -50,13 +50,13 @@
 }
 
 std::uint32_t LatencyWindow::samples(TimePoint now) {
-  turn(now);
+  advance(now);
   return total_;
 }
 
-std::optional<Duration> LatencyWindow::quantile(double q, TimePoint now, std::uint32_t least) {
-  turn(now);
-  if (total_ == 0 || total_ < least) return std::nullopt;
+std::optional<Duration> LatencyWindow::quantile(double q, TimePoint now, std::uint32_t min_samples) {
+  advance(now);
+  if (total_ == 0 || total_ < min_samples) return std::nullopt;
   const auto rank = std::uint32_t(std::ceil(std::clamp(q, 0.0, 1.0) * total_));
   std::uint32_t seen = 0;
   for (std::size_t b = 0; b < sum_.size(); ++b) {
--- a/src/deps/latency_window.h
+++ b/src/deps/latency_window.h
@@ -15,16 +15,16 @@
 class LatencyWindow {
  public:
   explicit LatencyWindow(Duration slice = std::chrono::seconds(1));
-  void add(Duration latency, TimePoint now);
-  // Absent where the window holds fewer than `least` samples.
-  std::optional<Duration> quantile(double q, TimePoint now, std::uint32_t least = 1);
+  void record(Duration latency, TimePoint now);
+  // Absent where the window holds fewer than `min_samples` samples.
+  std::optional<Duration> quantile(double q, TimePoint now, std::uint32_t min_samples = 1);
   std::uint32_t samples(TimePoint now);
   void clear();
 
  private:
   static constexpr std::size_t kSlices = 10, kBins = 128;
   using Counts = std::array<std::uint32_t, kBins + 2>;  // with those under and over the axis
-  void turn(TimePoint now);
+  void advance(TimePoint now);
   boost::histogram::axis::regular<double, boost::histogram::axis::transform::log> axis_;
   std::array<Counts, kSlices> slices_{};
   std::array<std::uint32_t, kSlices> totals_{};
--- a/src/deps/limits.cpp
+++ b/src/deps/limits.cpp
@@ -29,13 +29,13 @@
   limit_ = std::clamp(8.0, least_, most_);  // until latency has been heard of
 }
 
-void ConcurrencyLimit::rebound(std::uint32_t least, std::uint32_t most) {
+void ConcurrencyLimit::set_bounds(std::uint32_t least, std::uint32_t most) {
   least_ = std::max(least, 1u);
   most_ = std::max<double>(most, least_);
   limit_ = std::clamp(limit_, ramp_to_ > 0 ? 1.0 : least_, most_);
 }
 
-void ConcurrencyLimit::succeeded(Duration took, std::uint32_t open_then) {
+void ConcurrencyLimit::on_success(Duration took, std::uint32_t open_then) {
   const double us = std::max<double>(double(took.count()), 1);
   mean_ = mean_ > 0 ? mean_ + kMeanGain * (us - mean_) : us;
   best_ = best_ > 0 ? std::min(best_, mean_) : mean_;
@@ -58,63 +58,65 @@
   limit_ = std::clamp(limit_ + (next > limit_ ? kGrow : kShrink) * (next - limit_), least_, most_);
 }
 
-void ConcurrencyLimit::failed() {
+void ConcurrencyLimit::on_failure() {
   if (++since_cut_ < std::uint32_t(limit_)) return;
   since_cut_ = 0;
   limit_ = std::clamp(limit_ * kCut, ramp_to_ > 0 ? 1.0 : least_, most_);
 }
 
-void ConcurrencyLimit::restart() {
+void ConcurrencyLimit::begin_slow_start() {
   ramp_to_ = std::max(limit_, least_);
   limit_ = 1;
   ends_ = since_cut_ = 0;
 }
 
-double RetryBudget::saved(TimePoint now) {
-  saved_ = aged(saved_, now - at_, kBudgetHalfLife);
+double RetryBudget::balance(TimePoint now) {
+  balance_ = aged(balance_, now - at_, kBudgetHalfLife);
   at_ = std::max(at_, now);
-  return saved_;
+  return balance_;
 }
 
-void RetryBudget::succeeded(TimePoint now) { saved_ = std::min(saved(now) + share_, burst_); }
+void RetryBudget::deposit(TimePoint now) { balance_ = std::min(balance(now) + share_, burst_); }
 
-bool RetryBudget::take(TimePoint now) {
-  if (saved(now) < 1) return false;
-  saved_ -= 1;
+bool RetryBudget::try_withdraw(TimePoint now) {
+  if (balance(now) < 1) return false;
+  balance_ -= 1;
   return true;
 }
 
-void RetryBudget::reset(double share, double burst) {
+void RetryBudget::configure(double share, double burst) {
   share_ = share;
   burst_ = burst;
-  saved_ = std::min(saved_, burst_);
+  balance_ = std::min(balance_, burst_);
 }
 
-Outage::Outage(Duration probe_every, Duration max_probe) { reset(probe_every, max_probe); }
+CircuitBreaker::CircuitBreaker(Duration probe_interval, Duration max_probe_interval) {
+  configure(probe_interval, max_probe_interval);
+}
 
-void Outage::reset(Duration probe_every, Duration max_probe) {
-  probe_every_ = std::max(probe_every, Duration(1));
-  max_probe_ = std::max(max_probe, probe_every_);
+void CircuitBreaker::configure(Duration probe_interval, Duration max_probe_interval) {
+  probe_every_ = std::max(probe_interval, Duration(1));
+  max_probe_ = std::max(max_probe_interval, probe_every_);
 }
 
-void Outage::fade(TimePoint now) {
+void CircuitBreaker::fade(TimePoint now) {
   good_ = aged(good_, now - at_, kOutageHalfLife);
   bad_ = aged(bad_, now - at_, kOutageHalfLife);
   at_ = std::max(at_, now);
 }
 
-bool Outage::succeeded(TimePoint now) {
+bool CircuitBreaker::on_success(TimePoint now) {
   fade(now);
   good_ += 1;
   in_a_row_ = 0;
   probing_ = false;
-  if (!out_) return false;
-  out_ = false;
+  if (!open_) return false;
+  open_ = false;
   good_ = bad_ = 0;
   return true;
 }
 
-bool Outage::failed(TimePoint now, double random) {
+bool CircuitBreaker::on_failure(TimePoint now, double random) {
   fade(now);
   bad_ += 1;
   ++in_a_row_;
@@ -123,7 +125,7 @@
   const auto next = [&] {
     next_probe_ = now + Duration(std::llround(double(pause_.count()) * (0.5 + random / 2)));
   };
-  if (out_) {
+  if (open_) {
     if (!probing_) return false;  // a call from before the outage
     probing_ = false;
     pause_ = std::min(Duration(std::llround(double(pause_.count()) * kProbeGrowth)), max_probe_);
@@ -132,9 +134,9 @@
   }
   const bool most = good_ + bad_ >= kOutCalls && bad_ > kOutShare * (good_ + bad_);
   if (in_a_row_ < kOutInARow && !most) return false;
-  out_ = true;
+  open_ = true;
   probing_ = false;
-  since_ = now;
+  opened_at_ = now;
   pause_ = probe_every_;
   next();
   return true;
--- a/src/deps/limits.h
+++ b/src/deps/limits.h
@@ -20,13 +20,13 @@
   ConcurrencyLimit(std::uint32_t least, std::uint32_t most);
   std::uint32_t limit() const { return std::min(std::uint32_t(limit_), cap_); }
   // This process's share of what a fleet may have open, over whatever it has learned; 1 at the least.
-  void cap(std::uint32_t most) { cap_ = std::max(most, 1u); }
-  void succeeded(Duration took, std::uint32_t open_then);
-  void failed();
+  void set_cap(std::uint32_t most) { cap_ = std::max(most, 1u); }
+  void on_success(Duration took, std::uint32_t open_then);
+  void on_failure();
   // The mean of the newest few answers; zero before the first.
-  Duration recent() const { return Duration(std::int64_t(mean_)); }
-  void restart();  // the dependency is back: from one
-  void rebound(std::uint32_t least, std::uint32_t most);
+  Duration recent_latency() const { return Duration(std::int64_t(mean_)); }
+  void begin_slow_start();  // the dependency is back: from one
+  void set_bounds(std::uint32_t least, std::uint32_t most);
 
  private:
   void update(std::uint32_t open_then);
@@ -42,41 +42,41 @@
 class RetryBudget {
  public:
   RetryBudget(double share, double burst) : share_(share), burst_(burst) {}
-  void succeeded(TimePoint now);
-  bool take(TimePoint now);
-  double saved(TimePoint now);
-  void reset(double share, double burst);
+  void deposit(TimePoint now);
+  bool try_withdraw(TimePoint now);
+  double balance(TimePoint now);
+  void configure(double share, double burst);
 
  private:
-  double share_, burst_, saved_ = 0;
+  double share_, burst_, balance_ = 0;
   TimePoint at_{};
 };
 
 // Whether the whole dependency is out: so many failures in a row with no success among them, or most of the
 // recent calls. While out, calls don't go to it but for one probe at a time, at growing, bounded pauses with
 // jitter. A success ends it.
-class Outage {
+class CircuitBreaker {
  public:
-  Outage(Duration probe_every, Duration max_probe);
-  bool out() const { return out_; }
+  CircuitBreaker(Duration probe_interval, Duration max_probe_interval);
+  bool is_open() const { return open_; }
   // Both return true when the state changes with this end.
-  bool succeeded(TimePoint now);
-  bool failed(TimePoint now, double random);
+  bool on_success(TimePoint now);
+  bool on_failure(TimePoint now, double random);
   // While out: whether a probe may start now. Only one is open until its end is told.
-  bool may_probe(TimePoint now) const { return out_ && !probing_ && now >= next_probe_; }
-  void probe_started() { probing_ = true; }
+  bool may_probe(TimePoint now) const { return open_ && !probing_ && now >= next_probe_; }
+  void on_probe_started() { probing_ = true; }
   void probe_now(TimePoint now) { next_probe_ = std::min(next_probe_, now); }  // somebody found it back
-  void probe_lost() { probing_ = false; }                                      // abandoned, its end unknown
-  TimePoint since() const { return since_; }
-  void reset(Duration probe_every, Duration max_probe);
+  void on_probe_cancelled() { probing_ = false; }                              // abandoned, its end unknown
+  TimePoint opened_at() const { return opened_at_; }
+  void configure(Duration probe_interval, Duration max_probe_interval);
 
  private:
   void fade(TimePoint now);
   Duration probe_every_, max_probe_, pause_{};
-  bool out_ = false, probing_ = false;
+  bool open_ = false, probing_ = false;
   std::uint32_t in_a_row_ = 0;
   double good_ = 0, bad_ = 0;  // fading counts
-  TimePoint at_{}, next_probe_{}, since_{};
+  TimePoint at_{}, next_probe_{}, opened_at_{};
 };
 
 }  // namespace granitegap::deps
--- a/src/deps/path_template.h
+++ b/src/deps/path_template.h
@@ -16,21 +16,21 @@
 
 class PathTemplate {
  public:
-  struct Bad {
-    std::string why;
-    std::size_t at = 0;  // byte in the text
+  struct ParseError {
+    std::string reason;
+    std::size_t position = 0;  // byte in the text
   };
-  static std::variant<PathTemplate, Bad> parse(std::string_view text);
+  static std::variant<PathTemplate, ParseError> parse(std::string_view text);
   // Appends; whatever is filled in is percent-encoded, so that no request can end its path, name another host
-  // or add a header. False where it grows over `most` bytes.
-  bool fill(const PathVariables& variables, std::string& to, std::size_t most = 2048) const;
+  // or add a header. False where it grows over `max_bytes` bytes.
+  bool expand(const PathVariables& variables, std::string& to, std::size_t max_bytes = 2048) const;
   bool uses_needed() const;
 
  private:
-  enum class Hole : std::uint8_t { none, obj, body, cls, needed };
+  enum class Placeholder : std::uint8_t { none, obj, body, cls, needed };
   struct Piece {
     std::string literal;
-    Hole hole = Hole::none;
+    Placeholder placeholder = Placeholder::none;
   };
   std::vector<Piece> pieces_;
 };
--- a/src/deps/response_cache.cpp
+++ b/src/deps/response_cache.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-Key key_of(std::size_t dependency, std::string_view path, std::uint64_t seed) {
+CacheKey cache_key(std::size_t dependency, std::string_view path, std::uint64_t seed) {
   const auto hash = XXH3_128bits_withSeed(path.data(), path.size(), seed ^ mix_bits(dependency + 1));
   return {hash.high64, hash.low64};
 }
@@ -25,11 +25,11 @@
     : nibbles_(std::bit_ceil(std::max<std::size_t>(counters, 64)) * kRows),
       mask_(nibbles_.size() / kRows - 1) {}
 
-std::size_t FrequencySketch::slot(const Key& key, unsigned row) const {
+std::size_t FrequencySketch::slot(const CacheKey& key, unsigned row) const {
   return std::size_t(mix_bits(key.low + row * key.high) & mask_) * kRows + row;
 }
 
-void FrequencySketch::note(const Key& key) {
+void FrequencySketch::record(const CacheKey& key) {
   const auto least = estimate(key);
   if (least < kMaxCount)
     for (unsigned row = 0; row < kRows; ++row)
@@ -39,7 +39,7 @@
   samples_ /= 2;
 }
 
-std::uint32_t FrequencySketch::estimate(const Key& key) const {
+std::uint32_t FrequencySketch::estimate(const CacheKey& key) const {
   std::uint8_t least = kMaxCount;
   for (unsigned row = 0; row < kRows; ++row) least = std::min(least, nibbles_[slot(key, row)]);
   return least;
@@ -50,10 +50,10 @@
 
 void ResponseCache::resize(std::size_t max_bytes) {
   most_ = max_bytes;
-  settle();
+  evict_to_capacity();
 }
 
-std::size_t ResponseCache::cost(const Entry& e) {
+std::size_t ResponseCache::charge(const Entry& e) {
   return kEntryBytes + (e.body ? e.body->capacity() : 0) + e.path.capacity();
 }
 
@@ -62,7 +62,7 @@
   auto& list = lists_[e.where];
   (e.before == kNone ? list.newest : entries_[e.before].after) = e.after;
   (e.after == kNone ? list.oldest : entries_[e.after].before) = e.before;
-  list.bytes -= cost(e);
+  list.bytes -= charge(e);
 }
 
 void ResponseCache::push(Index i, Where where) {
@@ -73,13 +73,13 @@
   e.after = list.newest;
   (list.newest == kNone ? list.oldest : entries_[list.newest].before) = i;
   list.newest = i;
-  list.bytes += cost(e);
+  list.bytes += charge(e);
 }
 
 void ResponseCache::drop(Index i) {
   unlink(i);
   auto& e = entries_[i];
-  bytes_ -= cost(e);
+  bytes_ -= charge(e);
   --size_;
   index_.erase(e.key.low, i);
   e.body.reset();
@@ -88,8 +88,8 @@
   free_.push_back(i);
 }
 
-std::optional<ResponseCache::Found> ResponseCache::find(const Key& key, TimePoint now) {
-  sketch_.note(key);
+std::optional<ResponseCache::Hit> ResponseCache::find(const CacheKey& key, TimePoint now) {
+  sketch_.record(key);
   const auto i = lookup(key);
   if (i == kNone) return std::nullopt;
   const auto where = entries_[i].where;
@@ -103,41 +103,41 @@
     push(back, kProbation);
   }
   const auto& e = entries_[i];
-  return Found{e.body, std::max(now - e.stored, Duration{})};
+  return Hit{e.body, std::max(now - e.stored, Duration{})};
 }
 
-std::optional<TimePoint> ResponseCache::stored(const Key& key) const {
+std::optional<TimePoint> ResponseCache::stored_at(const CacheKey& key) const {
   const auto i = lookup(key);
   if (i == kNone) return std::nullopt;
   return entries_[i].stored;
 }
 
-std::vector<ResponseCache::Hot> ResponseCache::hottest(std::size_t most) const {
+std::vector<ResponseCache::HotEntry> ResponseCache::hottest(std::size_t most) const {
   std::vector<std::pair<std::uint32_t, Index>> seen;
   for (const auto where : {kProtected, kProbation, kWindow})
     for (auto i = lists_[where].newest; i != kNone && seen.size() < most; i = entries_[i].after)
       seen.push_back({sketch_.estimate(entries_[i].key), i});
   std::stable_sort(seen.begin(), seen.end(), [](auto& a, auto& b) { return a.first > b.first; });
-  std::vector<Hot> hot;
+  std::vector<HotEntry> hot;
   hot.reserve(seen.size());
   for (const auto& [times, i] : seen)
     hot.push_back({entries_[i].dependency, &entries_[i].path, entries_[i].body, entries_[i].stored});
   return hot;
 }
 
-void ResponseCache::put(const Key& key, std::uint32_t dependency, std::string_view path, Bytes body,
-                        TimePoint now) {
+void ResponseCache::insert(const CacheKey& key, std::uint32_t dependency, std::string_view path,
+                           SharedBody body, TimePoint now) {
   if (!body) return;
   auto i = lookup(key);
   if (i != kNone) {
     const auto where = entries_[i].where;
     unlink(i);
-    bytes_ -= cost(entries_[i]);
+    bytes_ -= charge(entries_[i]);
     entries_[i].body = std::move(body);
     entries_[i].stored = now;
-    bytes_ += cost(entries_[i]);
+    bytes_ += charge(entries_[i]);
     push(i, where);
-    return settle();
+    return evict_to_capacity();
   }
   if (free_.empty()) {
     entries_.emplace_back();
@@ -152,16 +152,16 @@
   e.path = path;
   e.body = std::move(body);
   e.stored = now;
-  bytes_ += cost(e);
+  bytes_ += charge(e);
   ++size_;
   index_.put(key.low, i);
   push(i, kWindow);
-  settle();
+  evict_to_capacity();
 }
 
 // The window overflows into the main part as long as that has room; after that a newcomer must have been
 // asked for more often than the oldest on probation, or it goes itself.
-void ResponseCache::settle() {
+void ResponseCache::evict_to_capacity() {
   const auto window =
       std::max(std::size_t(double(most_) * kWindowShare), std::min(most_, kEntryBytes + kUsualEntry));
   while (lists_[kWindow].bytes > window && lists_[kWindow].oldest != kNone) {
@@ -189,7 +189,7 @@
   }
 }
 
-ResponseCache::Index ResponseCache::lookup(const Key& key) const {
+ResponseCache::Index ResponseCache::lookup(const CacheKey& key) const {
   return index_.find(key.low, [&](Index i) { return entries_[i].key == key; });
 }
 
--- a/src/deps/response_cache.h
+++ b/src/deps/response_cache.h
@@ -17,25 +17,25 @@
 
 namespace granitegap::deps {
 
-using Bytes = std::shared_ptr<const std::string>;
+using SharedBody = std::shared_ptr<const std::string>;
 
 // 128 bits of a seeded hash: two paths under one key are not expected in the life of a machine.
-struct Key {
+struct CacheKey {
   std::uint64_t high = 0, low = 0;
-  bool operator==(const Key&) const = default;
+  bool operator==(const CacheKey&) const = default;
 };
-Key key_of(std::size_t dependency, std::string_view path, std::uint64_t seed);
+CacheKey cache_key(std::size_t dependency, std::string_view path, std::uint64_t seed);
 
 // How often a key was asked for lately: four rows of 4-bit counters, halved after ten times as many samples
 // as there are counters in a row.
 class FrequencySketch {
  public:
   explicit FrequencySketch(std::size_t counters);
-  void note(const Key& key);
-  std::uint32_t estimate(const Key& key) const;
+  void record(const CacheKey& key);
+  std::uint32_t estimate(const CacheKey& key) const;
 
  private:
-  std::size_t slot(const Key& key, unsigned row) const;
+  std::size_t slot(const CacheKey& key, unsigned row) const;
   std::vector<std::uint8_t> nibbles_;  // one a byte: small enough, and simpler
   std::size_t mask_;
   std::size_t samples_ = 0;
@@ -44,25 +44,26 @@
 class ResponseCache {
  public:
   explicit ResponseCache(std::size_t max_bytes);
-  struct Found {
-    Bytes body;
+  struct Hit {
+    SharedBody body;
     Duration age{};
   };
   // Counts as a use. Absent where nothing is kept; how old is too old, the caller says.
-  std::optional<Found> find(const Key& key, TimePoint now);
+  std::optional<Hit> find(const CacheKey& key, TimePoint now);
   // `stored`: when the dependency answered. `path` is what the key was made of, for hottest().
-  void put(const Key& key, std::uint32_t dependency, std::string_view path, Bytes body, TimePoint stored);
+  void insert(const CacheKey& key, std::uint32_t dependency, std::string_view path, SharedBody body,
+              TimePoint stored);
   // When what is kept was stored; no use.
-  std::optional<TimePoint> stored(const Key& key) const;
+  std::optional<TimePoint> stored_at(const CacheKey& key) const;
   // What was asked for most lately, hottest first, as far as it is cheap to tell: among the newest `most` of
   // those used more than once, then of the rest.
-  struct Hot {
+  struct HotEntry {
     std::uint32_t dependency = 0;
     const std::string* path = nullptr;  // lent until the next put()
-    Bytes body;
+    SharedBody body;
     TimePoint stored{};
   };
-  std::vector<Hot> hottest(std::size_t most) const;
+  std::vector<HotEntry> hottest(std::size_t most) const;
   std::size_t bytes() const { return bytes_; }
   std::size_t size() const { return size_; }
   void resize(std::size_t max_bytes);
@@ -72,8 +73,8 @@
   static constexpr Index kNone = ~Index(0);
   enum Where : std::uint8_t { kWindow, kProbation, kProtected, kLists, kFree };
   struct Entry {
-    Key key;
-    Bytes body;
+    CacheKey key;
+    SharedBody body;
     std::string path;
     TimePoint stored{};
     std::uint32_t dependency = 0;
@@ -84,12 +85,12 @@
     Index newest = kNone, oldest = kNone;
     std::size_t bytes = 0;
   };
-  static std::size_t cost(const Entry& e);
+  static std::size_t charge(const Entry& e);
   void unlink(Index i);
   void push(Index i, Where where);
   void drop(Index i);
-  void settle();
-  Index lookup(const Key& key) const;
+  void evict_to_capacity();
+  Index lookup(const CacheKey& key) const;
 
   std::size_t most_, bytes_ = 0, size_ = 0;
   std::array<List, kLists> lists_;
--- a/src/deps/scatter_gather.cpp
+++ b/src/deps/scatter_gather.cpp
@@ -25,15 +25,15 @@
 ScatterGather::Dependency::Dependency(const DependencySpec& s)
     : spec(s),
       endpoints(s),
-      limit(s.min_open, s.max_open),
-      budget(s.retry_share, s.retry_burst),
-      outage(s.probe_every, s.max_probe) {
+      limit(s.min_in_flight, s.max_in_flight),
+      budget(s.retry_budget_ratio, s.max_retry_budget),
+      circuit(s.probe_interval, s.max_probe_interval) {
   name_endpoints();
 }
 
 void ScatterGather::Dependency::name_endpoints() {
   fleet_keys.clear();
-  for (std::uint32_t i = 0; i < endpoints.places(); ++i) {
+  for (std::uint32_t i = 0; i < endpoints.slot_count(); ++i) {
     const auto& a = endpoints.address(i);
     fleet_keys.push_back(membership::name_hash(spec.name + ' ' + a.host + ' ' + std::to_string(a.port)));
   }
@@ -41,12 +41,13 @@
 
 void ScatterGather::Dependency::note_probe(std::uint32_t endpoint, bool out, TimePoint now) {
   const auto key = fleet_keys[endpoint];
-  std::erase_if(probed, [&](const auto& p) { return p.key == key || now - p.at >= 4 * spec.max_probe; });
+  std::erase_if(probed,
+                [&](const auto& p) { return p.key == key || now - p.at >= 4 * spec.max_probe_interval; });
   probed.push_back({key, now, out});
 }
 
 void ScatterGather::Dependency::heard(Duration took, TimePoint now) {
-  latency.add(took, now);
+  latency.record(took, now);
   ++samples_since_summary;
 }
 
@@ -57,10 +58,10 @@
   // The median of a window follows a change by seconds, the mean of the newest answers within a few: guards
   // against slowness read as failure.
   summary.median = latency.quantile(0.5, now, kSamplesForTimeout).value_or(Duration{});
-  if (summary.median.count() > 0) summary.median = std::max(summary.median, limit.recent());
+  if (summary.median.count() > 0) summary.median = std::max(summary.median, limit.recent_latency());
   summary.high = latency.quantile(kTimeoutQuantile, now, kSamplesForTimeout).value_or(Duration{});
-  summary.hedge = spec.hedge_after > 0
-                      ? latency.quantile(spec.hedge_after, now, kSamplesForHedge).value_or(Duration{})
+  summary.hedge = spec.hedge_quantile > 0
+                      ? latency.quantile(spec.hedge_quantile, now, kSamplesForHedge).value_or(Duration{})
                       : Duration{};
   return summary;
 }
@@ -70,7 +71,7 @@
       hash_seed_(mix_bits(seed + 1)),
       random_(seed),
       failures_(kFailures),
-      cache_(spec->cache_bytes) {
+      cache_(spec->max_cache_bytes) {
   loaded_ = load(std::move(spec), TimePoint{});
 }
 
@@ -86,11 +87,11 @@
       continue;
     }
     known->spec = d;
-    known->endpoints.change(d);
+    known->endpoints.update(d);
     known->name_endpoints();
-    known->limit.rebound(d.min_open, d.max_open);
-    known->budget.reset(d.retry_share, d.retry_burst);
-    known->outage.reset(d.probe_every, d.max_probe);
+    known->limit.set_bounds(d.min_in_flight, d.max_in_flight);
+    known->budget.configure(d.retry_budget_ratio, d.max_retry_budget);
+    known->circuit.configure(d.probe_interval, d.max_probe_interval);
   }
   for (std::size_t g = 0; g < spec->gathers.size(); ++g) {
     const auto& gather = spec->gathers[g];
@@ -120,16 +121,16 @@
   fresh->fills = std::move(fills);
   fresh->spec = std::move(spec);
   share_limits();
-  cache_.resize(fresh->spec->cache_bytes);
+  cache_.resize(fresh->spec->max_cache_bytes);
   for (std::uint32_t d = 0; d < deps_.size(); ++d) pump(d, now);
   return fresh;
 }
 
-void ScatterGather::change(std::shared_ptr<const Spec> spec, TimePoint now) {
+void ScatterGather::update_spec(std::shared_ptr<const Spec> spec, TimePoint now) {
   loaded_ = load(std::move(spec), now);
 }
 
-bool ScatterGather::gathers(ClassId cls) const {
+bool ScatterGather::has_gather(ClassId cls) const {
   const auto i = std::size_t(cls);
   return i < loaded_->gather_of.size() && loaded_->gather_of[i] >= 0;
 }
@@ -138,13 +139,13 @@
   return by_request_.find(hash_of(id), [&](Slot s) { return gathers_[s].id == id; });
 }
 
-bool ScatterGather::failed_lately(const Key& key, TimePoint now) const {
+bool ScatterGather::failed_lately(const CacheKey& key, TimePoint now) const {
   const auto& f = failures_[std::size_t(key.low % kFailures)];
   return f.key == key && now < f.until;
 }
 
-void ScatterGather::remember_failure(const Key& key, TimePoint now) {
-  failures_[std::size_t(key.low % kFailures)] = {key, now + loaded_->spec->remember_failures};
+void ScatterGather::remember_failure(const CacheKey& key, TimePoint now) {
+  failures_[std::size_t(key.low % kFailures)] = {key, now + loaded_->spec->negative_cache_ttl};
 }
 
 // ---- Timers ----
@@ -209,21 +210,21 @@
     case TimerKind::call:
       return time_out(t.slot, t.number, now);
     case TimerKind::owner:
-      actions_.emplace_back(AbandonCall{call_id(t.slot, kOwnerAttempt)});
-      owners_.failed(flights_[t.slot].asking.owner.hash, now);
+      actions_.emplace_back(CancelCall{call_id(t.slot, kOwnerAttempt)});
+      owners_.on_failure(flights_[t.slot].asking.owner.member_hash, now);
       return owner_failed(t.slot, now);
     case TimerKind::hedge: {
       auto& d = deps_[flights_[t.slot].dependency];
       // In the same budget as retries, and never past the limit: a hedge is a luxury.
-      if (d.outage.out() || d.waiting > 0 || d.open >= d.limit.limit() || d.spec.max_tries < 2 ||
-          !d.budget.take(now))
+      if (d.circuit.is_open() || d.waiting > 0 || d.open >= d.limit.limit() || d.spec.max_attempts < 2 ||
+          !d.budget.try_withdraw(now))
         return;
-      ++totals_.hedges;
+      ++counters_.hedges;
       return start_attempt(t.slot, now);
     }
     case TimerKind::retry: {
       auto& d = deps_[flights_[t.slot].dependency];
-      if (d.outage.out()) return give_up(t.slot, now);
+      if (d.circuit.is_open()) return give_up(t.slot, now);
       return launch(t.slot, now);
     }
   }
--- a/src/deps/scatter_gather.h
+++ b/src/deps/scatter_gather.h
@@ -47,21 +47,21 @@
 
 enum class CallId : std::uint64_t {};
 
-enum class CallFate : std::uint8_t {
+enum class CallOutcome : std::uint8_t {
   ok,
-  no_data,      // an answer that there is none (4xx): the dependency is well
-  error,        // 5xx, or what is no HTTP
-  busy,         // 429 or 503; `retry_after` tells for how long, where it does
-  unreachable,  // no connection
-  cut_off,      // it ended in the middle
-  too_long,     // over a bound of header, body or time per byte
+  not_found,        // an answer that there is none (4xx): the dependency is well
+  error,            // 5xx, or what is no HTTP
+  overloaded,       // 429 or 503; `retry_after` tells for how long, where it does
+  unreachable,      // no connection
+  connection_lost,  // it ended in the middle
+  limit_exceeded,   // over a bound of header, body or time per byte
 };
-struct CallReport {
+struct CallCompletion {
   CallId id{};
-  CallFate fate{};
+  CallOutcome outcome{};
   Duration took{};
   std::optional<Duration> retry_after;
-  Bytes body;
+  SharedBody body;
 };
 
 struct StartCall {
@@ -70,34 +70,34 @@
   const std::string* path = nullptr;
   const KeyOwner* owner = nullptr;  // it goes to that member, not to an endpoint
 };
-struct AbandonCall {
+struct CancelCall {
   CallId id{};
 };
 struct GatherEnded {
   RequestId id{};
   bool required_parts_present = false;  // every required part is there
 };
-struct DependencyChanged {  // for those on call
+struct CircuitBreakerChanged {  // for those on call
   std::uint32_t dependency = 0;
-  bool out = false;
-  Duration after{};  // the outage lasted
+  bool is_open = false;
+  Duration was_open_for{};  // the outage lasted
 };
-using Action = std::variant<StartCall, AbandonCall, GatherEnded, DependencyChanged>;
+using Action = std::variant<StartCall, CancelCall, GatherEnded, CircuitBreakerChanged>;
 
 enum class PartStatus : std::uint8_t { pending, fresh, stale, fallback, absent };
-struct PartValue {
+struct PartResult {
   std::string_view name;
   PartStatus status = PartStatus::pending;
   Duration age{};  // since the dependency answered
-  Bytes body;
+  SharedBody body;
 };
 
-struct Totals {
-  std::uint64_t asked = 0;  // parts that wanted a call
-  std::uint64_t calls = 0, retries = 0, hedges = 0, probes = 0, shared = 0, shed = 0, late = 0;
-  std::uint64_t fresh = 0, stale = 0, fallback = 0, absent = 0, outages = 0;
-  std::uint64_t owners_asked = 0, owners_answered = 0, filled = 0;  // filled: asked by others
-  std::uint32_t max_open = 0;
+struct Counters {
+  std::uint64_t parts_needing_call = 0;  // parts that wanted a call
+  std::uint64_t calls = 0, retries = 0, hedges = 0, probes = 0, coalesced = 0, shed = 0, late_completions = 0;
+  std::uint64_t fresh = 0, stale = 0, fallback = 0, absent = 0, circuits_opened = 0;
+  std::uint64_t owner_requests = 0, owner_hits = 0, cache_fills = 0;  // filled: asked by others
+  std::uint32_t max_in_flight = 0;
 };
 
 class ScatterGather {
@@ -105,7 +105,7 @@
   // `guarded` false: the plain policy that measurements compare with: one try, no limit, no breaker, no
   // timeout but the budget's end.
   ScatterGather(std::shared_ptr<const Spec> spec, std::uint64_t seed, bool guarded = true);
-  bool gathers(ClassId cls) const;
+  bool has_gather(ClassId cls) const;
 
   struct RequestAttributes {
     std::uint64_t obj = 0;
@@ -116,45 +116,45 @@
              TimePoint now);
   // What another member asks of this one, the owner of that key: GatherEnded follows, and parts() has the one
   // value where it is whole enough. False where nothing of the kind is declared here.
-  bool fill(RequestId id, const CacheFillRequest& question, TimePoint now);
-  void abandon(RequestId id, TimePoint now);  // no GatherEnded follows
-  void ended(const CallReport& report, TimePoint now);
+  bool begin_cache_fill(RequestId id, const CacheFillRequest& question, TimePoint now);
+  void cancel(RequestId id, TimePoint now);  // no GatherEnded follows
+  void on_call_completed(const CallCompletion& report, TimePoint now);
   void tick(TimePoint now);
   std::optional<TimePoint> next_timer();
 
   std::span<const Action> actions() const { return actions_; }
   void clear_actions() { actions_.clear(); }
   // By its id, from begin() to release(); names point into the spec in force at begin().
-  std::vector<PartValue> parts(RequestId id) const;
+  std::vector<PartResult> parts(RequestId id) const;
   void release(RequestId id);
 
   // A new declaration. Calls in flight go on, gathers keep the one they began under, and what is known of
   // dependencies and endpoints that stay is kept.
-  void change(std::shared_ptr<const Spec> spec, TimePoint now);
+  void update_spec(std::shared_ptr<const Spec> spec, TimePoint now);
 
   // Where there is a fleet: one member probes each endpoint of a dependency that is out for all, and says
   // what it finds.
-  void fleet(std::shared_ptr<const membership::View> view, TimePoint now);
+  void on_membership_view(std::shared_ptr<const membership::View> view, TimePoint now);
   std::vector<membership::EndpointHealth> endpoint_health(TimePoint now) const;
 
   // What is known of endpoints and the hottest of what is kept, for another life; and what an earlier one
   // knew: the numbers that were of use. What was heard here since overrules it.
-  void export_to(warm_state::WarmState& to, TimePoint now) const;
-  struct Used {
-    std::size_t endpoints = 0, parts = 0;
+  void export_state(warm_state::WarmState& to, TimePoint now) const;
+  struct Restored {
+    std::size_t endpoints = 0, responses = 0;
   };
-  Used learn(const warm_state::WarmState& from, TimePoint now);
+  Restored restore(const warm_state::WarmState& from, TimePoint now);
 
   const EndpointSpec& address(std::uint32_t dependency, std::uint32_t endpoint) const {
     return deps_[dependency].endpoints.address(endpoint);
   }
   const DependencySpec& dependency(std::uint32_t i) const { return deps_[i].spec; }
-  const Totals& totals() const { return totals_; }
-  std::uint32_t open_calls(std::uint32_t dependency) const { return deps_[dependency].open; }
-  std::uint32_t limit(std::uint32_t dependency) const { return deps_[dependency].limit.limit(); }
-  bool out(std::uint32_t dependency) const { return deps_[dependency].outage.out(); }
-  std::size_t open_gathers() const { return by_request_.size(); }
-  std::size_t open_flights() const { return by_key_.size(); }
+  const Counters& counters() const { return counters_; }
+  std::uint32_t in_flight(std::uint32_t dependency) const { return deps_[dependency].open; }
+  std::uint32_t concurrency_limit(std::uint32_t dependency) const { return deps_[dependency].limit.limit(); }
+  bool is_circuit_open(std::uint32_t dependency) const { return deps_[dependency].circuit.is_open(); }
+  std::size_t active_gathers() const { return by_request_.size(); }
+  std::size_t active_calls() const { return by_key_.size(); }
 
  private:
   using Slot = SlotIndex::Slot;
@@ -174,9 +174,9 @@
     bool begun = false;
     Slot flight = kNone;
     TimePoint deadline{};
-    Key key;
+    CacheKey key;
     Duration age{}, fresh{};  // fresh: the most that may be
-    Bytes body;
+    SharedBody body;
   };
   struct Gather {
     RequestId id{};
@@ -203,7 +203,7 @@
   struct Flight {
     std::uint32_t generation = 0, dependency = 0;
     FlightState state = FlightState::queued;
-    Key key;
+    CacheKey key;
     std::string path;
     std::array<Attempt, kMaxAttempts> attempts;
     std::uint32_t attempts_made = 0;
@@ -228,7 +228,7 @@
     EndpointSet endpoints;
     ConcurrencyLimit limit;
     RetryBudget budget;
-    Outage outage;
+    CircuitBreaker circuit;
     LatencyWindow latency;
     LatencySummary summary;
     TimePoint summary_taken_at{};
@@ -249,7 +249,7 @@
     Slot oldest = kNone, newest = kNone;  // of those that wait
   };
   struct Failure {
-    Key key;
+    CacheKey key;
     TimePoint until{};
   };
   enum class TimerKind : std::uint8_t { part, call, hedge, retry, owner };
@@ -263,7 +263,7 @@
   };
 
   std::shared_ptr<const membership::View> fleet_;
-  KeyOwners owners_;
+  KeyOwnerSelector owners_;
   void share_limits();
   // The longest that any part may still take a kept answer of it.
   Duration cached_for(std::uint32_t dependency) const;
@@ -281,36 +281,37 @@
   void seek(Slot gather, std::uint32_t part, std::uint32_t dependency, Duration fresh, bool own,
             TimePoint now);
   bool ask_owner(Slot flight, Duration fresh, TimePoint now);
-  void owner_ended(Slot flight, const CallReport& report, TimePoint now);
+  void owner_ended(Slot flight, const CallCompletion& report, TimePoint now);
   void owner_failed(Slot flight, TimePoint now);
   void fall_back(Slot gather, std::uint32_t part, TimePoint now);
-  void settle(Slot gather, std::uint32_t part, PartStatus status, Bytes body, Duration age, TimePoint now);
+  void settle(Slot gather, std::uint32_t part, PartStatus status, SharedBody body, Duration age,
+              TimePoint now);
   void finish(Slot gather, bool required_parts_present, TimePoint now);
   void leave(Slot gather, std::uint32_t part, TimePoint now);
 
-  Slot new_flight(std::uint32_t dependency, const Key& key);
+  Slot new_flight(std::uint32_t dependency, const CacheKey& key);
   void launch(Slot flight, TimePoint now);
   void start_attempt(Slot flight, TimePoint now);
   void end_attempt(Slot flight, std::uint32_t number);
-  void attempt_failed(Slot flight, std::uint32_t number, CallFate fate, bool fair,
+  void attempt_failed(Slot flight, std::uint32_t number, CallOutcome outcome, bool fair,
                       std::optional<Duration> retry_after, TimePoint now);
   void time_out(Slot flight, std::uint32_t number, TimePoint now);
   void after_failure(Slot flight, TimePoint now);
-  void answered(Slot flight, const Bytes& body, Duration age, TimePoint now);
+  void answered(Slot flight, const SharedBody& body, Duration age, TimePoint now);
   void give_up(Slot flight, TimePoint now);
   void abandon_attempts(Slot flight);
   void free_flight(Slot flight);
   void unqueue(Slot flight);
   void pump(std::uint32_t dependency, TimePoint now);
-  void probe(std::uint32_t dependency, const Key& key, const std::string& path, TimePoint now);
+  void probe(std::uint32_t dependency, const CacheKey& key, const std::string& path, TimePoint now);
   // Which endpoint is this one's to probe; absent where others probe all of them.
   std::optional<std::uint32_t> to_probe(Dependency& d) const;
   void note_success(Dependency& d, std::uint32_t number, TimePoint now);
   void note_failure(std::uint32_t number, TimePoint now);
   TimePoint latest_deadline(const Flight& f) const;
   bool any_open(const Flight& f) const;
-  bool failed_lately(const Key& key, TimePoint now) const;
-  void remember_failure(const Key& key, TimePoint now);
+  bool failed_lately(const CacheKey& key, TimePoint now) const;
+  void remember_failure(const CacheKey& key, TimePoint now);
   CallId call_id(Slot flight, std::uint32_t number) const;
 
   bool guarded_;
@@ -328,7 +329,7 @@
   std::vector<Action> actions_;
   std::string path_;  // being filled in
   ResponseCache cache_;
-  Totals totals_;
+  Counters counters_;
 };
 
 }  // namespace granitegap::deps
--- a/src/deps/scatter_gather_calls.cpp
+++ b/src/deps/scatter_gather_calls.cpp
@@ -17,7 +17,7 @@
 
 // ---- Calls ----
 
-ScatterGather::Slot ScatterGather::new_flight(std::uint32_t dependency, const Key& key) {
+ScatterGather::Slot ScatterGather::new_flight(std::uint32_t dependency, const CacheKey& key) {
   if (free_flights_.empty()) {
     flights_.emplace_back();
     free_flights_.push_back(Slot(flights_.size() - 1));
@@ -60,8 +60,8 @@
   // each.
   const auto turns = std::int64_t(d.waiting / std::max(d.limit.limit(), 1u)) + 1;
   const bool in_vain = now + d.latency_summary(now).median * (turns + 1) > latest_deadline(f);
-  if (d.waiting >= d.spec.max_waiting || in_vain) {
-    ++totals_.shed;
+  if (d.waiting >= d.spec.max_queued || in_vain) {
+    ++counters_.shed;
     return give_up(slot, now);
   }
   f.state = FlightState::queued;
@@ -84,10 +84,10 @@
 
 void ScatterGather::pump(std::uint32_t number, TimePoint now) {
   auto& d = deps_[number];
-  while (d.oldest != kNone && (d.outage.out() || d.open < d.limit.limit())) {
+  while (d.oldest != kNone && (d.circuit.is_open() || d.open < d.limit.limit())) {
     const auto slot = d.oldest;
     unqueue(slot);
-    if (d.outage.out())
+    if (d.circuit.is_open())
       give_up(slot, now);
     else
       start_attempt(slot, now);
@@ -122,7 +122,7 @@
                         : f.only ? f.only
                                  : d.endpoints.pick(now, roll(), roll(), other);
   if (!endpoint) {
-    if (f.detached) d.outage.probe_lost();
+    if (f.detached) d.circuit.on_probe_cancelled();
     if (!any_open(f)) give_up(slot, now);
     return;
   }
@@ -134,9 +134,9 @@
   f.state = FlightState::calling;
   const auto number = f.attempts_made++;
   f.attempts[number] = {*endpoint, true, now, now + timeout};
-  d.endpoints.started(*endpoint);
-  totals_.max_open = std::max(totals_.max_open, ++d.open);
-  ++totals_.calls;
+  d.endpoints.on_call_started(*endpoint);
+  counters_.max_in_flight = std::max(counters_.max_in_flight, ++d.open);
+  ++counters_.calls;
   set_timer(now + timeout, TimerKind::call, slot, f.generation, number);
   actions_.emplace_back(StartCall{call_id(slot, number), f.dependency, *endpoint, &f.path});
   if (!guarded_ || number > 0 || f.detached || summary.hedge.count() == 0 || summary.hedge >= timeout) return;
@@ -151,35 +151,35 @@
 
 void ScatterGather::abandon_attempts(Slot slot) {
   auto& f = flights_[slot];
-  if (std::exchange(f.asking.open, false)) actions_.emplace_back(AbandonCall{call_id(slot, kOwnerAttempt)});
+  if (std::exchange(f.asking.open, false)) actions_.emplace_back(CancelCall{call_id(slot, kOwnerAttempt)});
   for (std::uint32_t t = 0; t < f.attempts_made; ++t) {
     if (!f.attempts[t].open) continue;
     end_attempt(slot, t);
-    deps_[f.dependency].endpoints.abandoned(f.attempts[t].endpoint);
-    if (f.detached) deps_[f.dependency].outage.probe_lost();
-    actions_.emplace_back(AbandonCall{call_id(slot, t)});
+    deps_[f.dependency].endpoints.on_cancelled(f.attempts[t].endpoint);
+    if (f.detached) deps_[f.dependency].circuit.on_probe_cancelled();
+    actions_.emplace_back(CancelCall{call_id(slot, t)});
   }
 }
 
 void ScatterGather::note_success(Dependency& d, std::uint32_t number, TimePoint now) {
-  d.budget.succeeded(now);
-  const auto since = d.outage.since();
-  if (!d.outage.succeeded(now)) return;
+  d.budget.deposit(now);
+  const auto since = d.circuit.opened_at();
+  if (!d.circuit.on_success(now)) return;
   // Back: from one call at once, doubling; all that waits at the door must not fall on it together.
-  d.limit.restart();
-  d.endpoints.all_back(now);
-  actions_.emplace_back(DependencyChanged{number, false, now - since});
+  d.limit.begin_slow_start();
+  d.endpoints.begin_slow_start(now);
+  actions_.emplace_back(CircuitBreakerChanged{number, false, now - since});
 }
 
 void ScatterGather::note_failure(std::uint32_t number, TimePoint now) {
   auto& d = deps_[number];
-  d.limit.failed();
-  if (!d.outage.failed(now, roll())) return;
-  ++totals_.outages;
-  actions_.emplace_back(DependencyChanged{number, true, {}});
+  d.limit.on_failure();
+  if (!d.circuit.on_failure(now, roll())) return;
+  ++counters_.circuits_opened;
+  actions_.emplace_back(CircuitBreakerChanged{number, true, {}});
 }
 
-void ScatterGather::ended(const CallReport& report, TimePoint now) {
+void ScatterGather::on_call_completed(const CallCompletion& report, TimePoint now) {
   const auto bits = std::uint64_t(report.id);
   const auto number = std::uint32_t(bits & ((1u << kAttemptBits) - 1));
   const auto slot = Slot(bits >> kAttemptBits & ((1u << kSlotBits) - 1));
@@ -189,27 +189,27 @@
   // Guards against ends of calls that were given up: their slot may be another call's by now.
   if (slot >= flights_.size() || !flights_[slot].used || number >= flights_[slot].attempts_made ||
       call_id(slot, number) != report.id || !flights_[slot].attempts[number].open) {
-    ++totals_.late;
+    ++counters_.late_completions;
     return;
   }
   auto& f = flights_[slot];
   auto& d = deps_[f.dependency];
   const auto took = std::max(now - f.attempts[number].started, Duration(1));
-  if (report.fate != CallFate::ok && report.fate != CallFate::no_data) {
-    attempt_failed(slot, number, report.fate, true, report.retry_after, now);
+  if (report.outcome != CallOutcome::ok && report.outcome != CallOutcome::not_found) {
+    attempt_failed(slot, number, report.outcome, true, report.retry_after, now);
     return;
   }
   const auto open_then = d.open;
   end_attempt(slot, number);
   if (f.only) d.note_probe(*f.only, false, now);
-  d.endpoints.succeeded(f.attempts[number].endpoint, took, now);
+  d.endpoints.on_success(f.attempts[number].endpoint, took, now);
   d.heard(took, now);
   if (guarded_) {
-    d.limit.succeeded(took, open_then);
+    d.limit.on_success(took, open_then);
     note_success(d, f.dependency, now);
   }
   const auto dependency = f.dependency;
-  if (report.fate == CallFate::ok) {
+  if (report.outcome == CallOutcome::ok) {
     answered(slot, report.body ? report.body : std::make_shared<const std::string>(), {}, now);
   } else {
     remember_failure(f.key, now);
@@ -219,10 +219,10 @@
   pump(dependency, now);
 }
 
-void ScatterGather::answered(Slot slot, const Bytes& body, Duration age, TimePoint now) {
+void ScatterGather::answered(Slot slot, const SharedBody& body, Duration age, TimePoint now) {
   abandon_attempts(slot);
   auto& f = flights_[slot];
-  cache_.put(f.key, f.dependency, f.path, body, now - age);
+  cache_.insert(f.key, f.dependency, f.path, body, now - age);
   const auto generation = f.generation;
   // Another member's may be too old for some who joined the one that asked: these go on.
   const auto serves = [&](const Waiter& w) {
@@ -261,12 +261,12 @@
   // Guards against blame for a try that was cut short by its caller's budget.
   const bool fair = f.detached || double(waited.count()) >=
                                       kFairAttemptMedians * double(d.latency_summary(now).median.count());
-  actions_.emplace_back(AbandonCall{call_id(slot, number)});
+  actions_.emplace_back(CancelCall{call_id(slot, number)});
   if (fair && guarded_) d.heard(waited, now);  // it takes at least this long
-  attempt_failed(slot, number, CallFate::too_long, fair, std::nullopt, now);
+  attempt_failed(slot, number, CallOutcome::limit_exceeded, fair, std::nullopt, now);
 }
 
-void ScatterGather::attempt_failed(Slot slot, std::uint32_t number, CallFate fate, bool fair,
+void ScatterGather::attempt_failed(Slot slot, std::uint32_t number, CallOutcome outcome, bool fair,
                                    std::optional<Duration> retry_after, TimePoint now) {
   auto& f = flights_[slot];
   const auto dependency = f.dependency;
@@ -274,19 +274,20 @@
   const auto endpoint = f.attempts[number].endpoint;
   end_attempt(slot, number);
   if (!fair) {
-    d.endpoints.abandoned(endpoint);
-    if (f.detached) d.outage.probe_lost();
-  } else if (fate == CallFate::busy && retry_after && guarded_) {
+    d.endpoints.on_cancelled(endpoint);
+    if (f.detached) d.circuit.on_probe_cancelled();
+  } else if (outcome == CallOutcome::overloaded && retry_after && guarded_) {
     // It is well enough to say so: left alone for that long, not counted among the broken.
-    d.endpoints.abandoned(endpoint);
-    d.endpoints.hold(endpoint, now + std::clamp(*retry_after, Duration{}, d.spec.max_eject));
-    if (f.detached) d.outage.probe_lost();
-    d.limit.failed();
+    d.endpoints.on_cancelled(endpoint);
+    d.endpoints.set_retry_after(endpoint,
+                                now + std::clamp(*retry_after, Duration{}, d.spec.max_ejection_time));
+    if (f.detached) d.circuit.on_probe_cancelled();
+    d.limit.on_failure();
   } else if (guarded_) {
-    d.endpoints.failed(endpoint, now);
+    d.endpoints.on_failure(endpoint, now);
     note_failure(dependency, now);
   } else {
-    d.endpoints.abandoned(endpoint);
+    d.endpoints.on_cancelled(endpoint);
   }
   if (!any_open(f)) after_failure(slot, now);
   pump(dependency, now);
@@ -295,13 +296,13 @@
 void ScatterGather::after_failure(Slot slot, TimePoint now) {
   auto& f = flights_[slot];
   auto& d = deps_[f.dependency];
-  const auto most = std::min<std::uint32_t>(d.spec.max_tries, kMaxAttempts);
-  if (guarded_ && !f.detached && !f.waiters.empty() && f.attempts_made < most && !d.outage.out()) {
-    const auto grown = d.spec.retry_pause * (std::int64_t(1) << std::min(f.attempts_made - 1, 10u));
+  const auto most = std::min<std::uint32_t>(d.spec.max_attempts, kMaxAttempts);
+  if (guarded_ && !f.detached && !f.waiters.empty() && f.attempts_made < most && !d.circuit.is_open()) {
+    const auto grown = d.spec.base_retry_backoff * (std::int64_t(1) << std::min(f.attempts_made - 1, 10u));
     const auto pause =
-        Duration(std::llround(roll() * double(std::min(grown, d.spec.max_retry_pause).count())));
-    if (now + pause + d.latency_summary(now).median < latest_deadline(f) && d.budget.take(now)) {
-      ++totals_.retries;
+        Duration(std::llround(roll() * double(std::min(grown, d.spec.max_retry_backoff).count())));
+    if (now + pause + d.latency_summary(now).median < latest_deadline(f) && d.budget.try_withdraw(now)) {
+      ++counters_.retries;
       f.state = FlightState::pausing;
       return set_timer(now + std::max(pause, Duration(1)), TimerKind::retry, slot, f.generation,
                        f.attempts_made);
--- a/src/deps/scatter_gather_fleet.cpp
+++ b/src/deps/scatter_gather_fleet.cpp
@@ -14,7 +14,8 @@
 
 // One call at a time while a dependency is out, for which nobody waits: who asked goes on without at once,
 // and its answer, should one come, is kept for the next.
-void ScatterGather::probe(std::uint32_t dependency, const Key& key, const std::string& path, TimePoint now) {
+void ScatterGather::probe(std::uint32_t dependency, const CacheKey& key, const std::string& path,
+                          TimePoint now) {
   if (by_key_.find(key.low, [&](Slot f) { return flights_[f].key == key; }) != kNone) return;
   auto& d = deps_[dependency];
   const auto only = to_probe(d);
@@ -24,8 +25,8 @@
   f.path = path;
   f.detached = true;
   f.only = only;
-  d.outage.probe_started();
-  ++totals_.probes;
+  d.circuit.on_probe_started();
+  ++counters_.probes;
   start_attempt(slot, now);
   if (only && f.used && f.attempts_made > 0) d.note_probe(*only, true, now);
 }
@@ -33,11 +34,11 @@
 // First what another has found back, then this one's own in turns.
 std::optional<std::uint32_t> ScatterGather::to_probe(Dependency& d) const {
   if (!fleet_) return std::nullopt;
-  const auto n = std::uint32_t(d.endpoints.places());
+  const auto n = std::uint32_t(d.endpoints.slot_count());
   std::optional<std::uint32_t> mine;
   for (std::uint32_t k = 0; k < n; ++k) {
     const auto i = (d.next_probed + k) % n;
-    if (d.endpoints.gone(i)) continue;
+    if (d.endpoints.is_removed(i)) continue;
     const auto key = d.fleet_keys[i];
     if (membership::told_back(*fleet_, key)) {
       mine = i;
@@ -62,22 +63,23 @@
     members = std::uint32_t(sure ? there : std::max<std::size_t>(std::size_t(there), fleet_->agreed));
   }
   for (auto& d : deps_) {
-    if (d.spec.fleet_open == 0)
-      d.limit.cap(~0u);
+    if (d.spec.fleet_max_in_flight == 0)
+      d.limit.set_cap(~0u);
     else
-      d.limit.cap(members > 0 ? d.spec.fleet_open / members : 1);
+      d.limit.set_cap(members > 0 ? d.spec.fleet_max_in_flight / members : 1);
   }
 }
 
 // Other members may be probing it; one of them that has found it back is taken at its word for one try.
-void ScatterGather::fleet(std::shared_ptr<const membership::View> view, TimePoint now) {
+void ScatterGather::on_membership_view(std::shared_ptr<const membership::View> view, TimePoint now) {
   fleet_ = std::move(view);
-  owners_.see(*fleet_);
+  owners_.update_view(*fleet_);
   share_limits();
   for (std::uint32_t d = 0; d < deps_.size(); ++d) pump(d, now);
   for (auto& d : deps_)
-    for (std::uint32_t i = 0; d.outage.out() && i < d.endpoints.places(); ++i)
-      if (!d.endpoints.gone(i) && membership::told_back(*fleet_, d.fleet_keys[i])) d.outage.probe_now(now);
+    for (std::uint32_t i = 0; d.circuit.is_open() && i < d.endpoints.slot_count(); ++i)
+      if (!d.endpoints.is_removed(i) && membership::told_back(*fleet_, d.fleet_keys[i]))
+        d.circuit.probe_now(now);
 }
 
 std::vector<membership::EndpointHealth> ScatterGather::endpoint_health(TimePoint now) const {
@@ -86,19 +88,19 @@
   for (const auto& d : deps_)
     for (const auto& p : d.probed)
       // Guards against others that wait for this one's probes of what it no longer holds for out.
-      if ((!p.out || d.outage.out()) && now - p.at < 4 * d.spec.max_probe &&
+      if ((!p.out || d.circuit.is_open()) && now - p.at < 4 * d.spec.max_probe_interval &&
           found.size() < membership::kMaxEndpointHealth)
         found.push_back({p.key, p.out});
   return found;
 }
 
-void ScatterGather::export_to(warm_state::WarmState& to, TimePoint now) const {
+void ScatterGather::export_state(warm_state::WarmState& to, TimePoint now) const {
   for (const auto& d : deps_)
-    for (std::uint32_t i = 0; i < d.endpoints.places(); ++i)
-      if (const auto k = d.endpoints.known(i, now)) {
+    for (std::uint32_t i = 0; i < d.endpoints.slot_count(); ++i)
+      if (const auto k = d.endpoints.stats(i, now)) {
         const auto& a = d.endpoints.address(i);
         to.endpoints.push_back(
-            {d.spec.name, a.host, a.port, k->out_for, k->times_out, k->latency, k->heard_ago});
+            {d.spec.name, a.host, a.port, k->ejected_for, k->ejections, k->latency, k->sample_age});
       }
   std::size_t bytes = 0;
   for (const auto& hot : cache_.hottest(kHotLooked)) {
@@ -116,28 +118,28 @@
   for (const auto& g : loaded_->spec->gathers)
     for (const auto& p : g.parts)
       if (loaded_->dependency[p.dependency] == dependency)
-        longest = std::max({longest, p.fresh_for, p.stale_for});
+        longest = std::max({longest, p.max_fresh_age, p.max_stale_age});
   return longest;
 }
 
-ScatterGather::Used ScatterGather::learn(const warm_state::WarmState& from, TimePoint now) {
-  Used used;
+ScatterGather::Restored ScatterGather::restore(const warm_state::WarmState& from, TimePoint now) {
+  Restored used;
   // The hottest last, so that it is the newest here too.
   for (auto p = from.parts.rbegin(); p != from.parts.rend(); ++p)
     for (std::uint32_t d = 0; d < deps_.size(); ++d) {
       if (deps_[d].spec.name != p->dependency || p->age < Duration{} || p->age >= cached_for(d)) continue;
-      const auto key = key_of(d, p->path, hash_seed_);
+      const auto key = cache_key(d, p->path, hash_seed_);
       const auto at = now - p->age;
-      if (const auto own = cache_.stored(key); own && *own >= at) continue;
-      cache_.put(key, d, p->path, p->body, at);
-      ++used.parts;
+      if (const auto own = cache_.stored_at(key); own && *own >= at) continue;
+      cache_.insert(key, d, p->path, p->body, at);
+      ++used.responses;
     }
   for (const auto& e : from.endpoints)
     for (auto& d : deps_) {
       if (d.spec.name != e.dependency) continue;
-      for (std::uint32_t i = 0; i < d.endpoints.places(); ++i)
+      for (std::uint32_t i = 0; i < d.endpoints.slot_count(); ++i)
         if (d.endpoints.address(i) == EndpointSpec{e.host, e.port})
-          used.endpoints += d.endpoints.learn(i, {e.out_for, e.latency, e.heard_ago, e.times_out}, now);
+          used.endpoints += d.endpoints.restore(i, {e.out_for, e.latency, e.heard_ago, e.times_out}, now);
     }
   return used;
 }
--- a/src/deps/scatter_gather_parts.cpp
+++ b/src/deps/scatter_gather_parts.cpp
@@ -19,7 +19,7 @@
 
 void ScatterGather::begin(RequestId id, ClassId cls, const RequestAttributes& attributes, Duration budget,
                           bool may_call, TimePoint now) {
-  if (!gathers(cls) || find_gather(id) != kNone) return;
+  if (!has_gather(cls) || find_gather(id) != kNone) return;
   const Slot slot = new_gather(id, loaded_, std::size_t(loaded_->gather_of[std::size_t(cls)]));
   auto& g = gathers_[slot];
   const auto& spec = what(g);
@@ -31,7 +31,7 @@
   g.cls.assign(attributes.cls);
   if (g.pending == 0) return finish(slot, true, now);
   for (std::uint32_t p = 0; p < g.parts.size() && !g.over; ++p)
-    if (!spec.parts[p].needs) start_part(slot, p, now);
+    if (!spec.parts[p].depends_on) start_part(slot, p, now);
 }
 
 ScatterGather::Slot ScatterGather::new_gather(RequestId id, std::shared_ptr<const Loaded> loaded,
@@ -54,21 +54,21 @@
   return slot;
 }
 
-bool ScatterGather::fill(RequestId id, const CacheFillRequest& q, TimePoint now) {
+bool ScatterGather::begin_cache_fill(RequestId id, const CacheFillRequest& q, TimePoint now) {
   const auto& declared = loaded_->spec->dependencies;
   const auto d = std::find_if(declared.begin(), declared.end(),
                               [&](const auto& spec) { return spec.name == q.dependency; });
-  if (d == declared.end() || !d->fleet_fill || !guarded_ || find_gather(id) != kNone) return false;
-  ++totals_.filled;
+  if (d == declared.end() || !d->fleet_cache_fill || !guarded_ || find_gather(id) != kNone) return false;
+  ++counters_.cache_fills;
   const auto which = std::size_t(d - declared.begin());
   const Slot slot = new_gather(id, loaded_->fills, which);
   auto& g = gathers_[slot];
   g.began = now;
-  g.deadline = now + std::clamp(q.within, Duration{}, d->max_timeout);
+  g.deadline = now + std::clamp(q.timeout, Duration{}, d->max_timeout);
   g.may_call = true;
   g.parts[0].begun = true;
   path_ = q.path;
-  seek(slot, 0, g.loaded->dependency[which], q.fresh, true, now);
+  seek(slot, 0, g.loaded->dependency[which], q.max_age, true, now);
   return true;
 }
 
@@ -78,13 +78,13 @@
   const auto& spec = what(g).parts[number];
   part.begun = true;
   PathVariables attributes{g.obj, g.body, g.cls, {}};
-  if (spec.needs)
-    if (const auto& needed = g.parts[*spec.needs].body) attributes.needed = *needed;
+  if (spec.depends_on)
+    if (const auto& needed = g.parts[*spec.depends_on].body) attributes.needed = *needed;
   path_.clear();
   const auto d = g.loaded->dependency[spec.dependency];
-  if (!g.loaded->paths[g.which][number].fill(attributes, path_) || path_.empty())
+  if (!g.loaded->paths[g.which][number].expand(attributes, path_) || path_.empty())
     return settle(slot, number, spec.fallback ? PartStatus::fallback : PartStatus::absent, nullptr, {}, now);
-  seek(slot, number, d, spec.fresh_for, !guarded_ || !deps_[d].spec.fleet_fill, now);
+  seek(slot, number, d, spec.max_fresh_age, !guarded_ || !deps_[d].spec.fleet_cache_fill, now);
 }
 
 void ScatterGather::seek(Slot slot, std::uint32_t number, std::uint32_t d, Duration fresh, bool own,
@@ -92,7 +92,7 @@
   auto& g = gathers_[slot];
   auto& part = g.parts[number];
   const auto& spec = what(g).parts[number];
-  part.key = key_of(d, path_, hash_seed_);
+  part.key = cache_key(d, path_, hash_seed_);
   part.fresh = fresh;
   if (const auto kept = cache_.find(part.key, now); kept && kept->age <= fresh && fresh.count() > 0)
     return settle(slot, number, PartStatus::fresh, kept->body, kept->age, now);
@@ -103,19 +103,19 @@
   const auto& parts = what(g).parts;
   std::int64_t steps = 1;
   for (std::size_t later = number + 1, from = number; later < parts.size(); ++later)
-    if (parts[later].needs == from) {
+    if (parts[later].depends_on == from) {
       ++steps;
       from = later;
     }
   part.deadline = now + (g.deadline - now) / steps;
-  if (guarded_ && spec.within.count() > 0) part.deadline = std::min(part.deadline, now + spec.within);
-  ++totals_.asked;
+  if (guarded_ && spec.timeout.count() > 0) part.deadline = std::min(part.deadline, now + spec.timeout);
+  ++counters_.parts_needing_call;
   if (part.deadline <= now) return fall_back(slot, number, now);
   auto& dep = deps_[d];
   if (guarded_) {
     if (failed_lately(part.key, now)) return fall_back(slot, number, now);
-    if (dep.outage.out()) {
-      if (dep.outage.may_probe(now)) probe(d, part.key, path_, now);
+    if (dep.circuit.is_open()) {
+      if (dep.circuit.may_probe(now)) probe(d, part.key, path_, now);
       return fall_back(slot, number, now);
     }
   }
@@ -124,7 +124,7 @@
   if (flight != kNone && flights_[flight].detached) return fall_back(slot, number, now);
   const bool joins = flight != kNone;
   if (joins) {
-    ++totals_.shared;
+    ++counters_.coalesced;
   } else {
     flight = new_flight(d, part.key);
     flights_[flight].path = path_;
@@ -141,33 +141,34 @@
   auto& f = flights_[slot];
   const auto& d = deps_[f.dependency];
   if (fresh.count() <= 0) return false;
-  const auto owner = owners_.of(cache_fill_key(d.spec.name, f.path), now);
+  const auto owner = owners_.owner_of(cache_fill_key(d.spec.name, f.path), now);
   const auto within = std::min((latest_deadline(f) - now) / 2, d.spec.max_timeout);
   if (!owner || within < kMinAsked) return false;
-  ++totals_.owners_asked;
+  ++counters_.owner_requests;
   // It is told of less time than it has: its answer has a way to go.
-  f.asking = {*owner, target_of({owner->boot_id, d.spec.name, f.path, fresh, within - within / 8}), now,
-              true};
+  f.asking = {*owner, to_request_target({owner->boot_id, d.spec.name, f.path, fresh, within - within / 8}),
+              now, true};
   set_timer(now + within, TimerKind::owner, slot, f.generation, kOwnerAttempt);
   actions_.emplace_back(
       StartCall{call_id(slot, kOwnerAttempt), f.dependency, 0, &f.asking.target, &f.asking.owner});
   return true;
 }
 
-void ScatterGather::owner_ended(Slot slot, const CallReport& report, TimePoint now) {
+void ScatterGather::owner_ended(Slot slot, const CallCompletion& report, TimePoint now) {
   auto& f = flights_[slot];
   f.asking.open = false;
-  const auto filled = report.fate == CallFate::ok && report.body ? read_filled(*report.body) : std::nullopt;
+  const auto filled =
+      report.outcome == CallOutcome::ok && report.body ? parse_fill_body(*report.body) : std::nullopt;
   if (filled) {
-    ++totals_.owners_answered;
-    owners_.answered(f.asking.owner.hash);
+    ++counters_.owner_hits;
+    owners_.on_success(f.asking.owner.member_hash);
     // As of when it was asked, at the worst.
     return answered(slot, std::make_shared<const std::string>(filled->body),
                     filled->age + (now - f.asking.since), now);
   }
   // It is there, and has nothing: only one that does not answer, or not sensibly, is passed over.
-  if (report.fate != CallFate::no_data && report.fate != CallFate::busy)
-    owners_.failed(f.asking.owner.hash, now);
+  if (report.outcome != CallOutcome::not_found && report.outcome != CallOutcome::overloaded)
+    owners_.on_failure(f.asking.owner.member_hash, now);
   owner_failed(slot, now);
 }
 
@@ -175,7 +176,7 @@
 void ScatterGather::owner_failed(Slot slot, TimePoint now) {
   auto& f = flights_[slot];
   f.asking.open = false;
-  if (deps_[f.dependency].outage.out()) return give_up(slot, now);
+  if (deps_[f.dependency].circuit.is_open()) return give_up(slot, now);
   launch(slot, now);
 }
 
@@ -183,13 +184,13 @@
   auto& g = gathers_[slot];
   const auto& spec = what(g).parts[number];
   const auto& key = g.parts[number].key;
-  if (spec.stale_for.count() > 0)
-    if (const auto kept = cache_.find(key, now); kept && kept->age <= spec.stale_for)
+  if (spec.max_stale_age.count() > 0)
+    if (const auto kept = cache_.find(key, now); kept && kept->age <= spec.max_stale_age)
       return settle(slot, number, PartStatus::stale, kept->body, kept->age, now);
   settle(slot, number, spec.fallback ? PartStatus::fallback : PartStatus::absent, nullptr, {}, now);
 }
 
-void ScatterGather::settle(Slot slot, std::uint32_t number, PartStatus status, Bytes body, Duration age,
+void ScatterGather::settle(Slot slot, std::uint32_t number, PartStatus status, SharedBody body, Duration age,
                            TimePoint now) {
   auto& g = gathers_[slot];
   auto& part = g.parts[number];
@@ -199,16 +200,16 @@
   part.body = std::move(body);
   part.age = age;
   --g.pending;
-  auto& count = status == PartStatus::fresh      ? totals_.fresh
-                : status == PartStatus::stale    ? totals_.stale
-                : status == PartStatus::fallback ? totals_.fallback
-                                                 : totals_.absent;
+  auto& count = status == PartStatus::fresh      ? counters_.fresh
+                : status == PartStatus::stale    ? counters_.stale
+                : status == PartStatus::fallback ? counters_.fallback
+                                                 : counters_.absent;
   ++count;
   const auto& specs = what(g).parts;
   // Guards against core time spent on what can't be whole enough any more.
   if (status == PartStatus::absent && specs[number].required) return finish(slot, false, now);
   for (std::uint32_t next = number + 1; next < g.parts.size() && !g.over; ++next) {
-    if (specs[next].needs != number) continue;
+    if (specs[next].depends_on != number) continue;
     if (status == PartStatus::fresh || status == PartStatus::stale)
       start_part(slot, next, now);
     else
@@ -241,7 +242,7 @@
   pump(d, now);
 }
 
-void ScatterGather::abandon(RequestId id, TimePoint now) {
+void ScatterGather::cancel(RequestId id, TimePoint now) {
   const auto slot = find_gather(id);
   if (slot == kNone) return;
   auto& g = gathers_[slot];
@@ -250,14 +251,14 @@
   release(id);
 }
 
-std::vector<PartValue> ScatterGather::parts(RequestId id) const {
-  std::vector<PartValue> values;
+std::vector<PartResult> ScatterGather::parts(RequestId id) const {
+  std::vector<PartResult> values;
   const auto slot = find_gather(id);
   if (slot == kNone) return values;
   const auto& g = gathers_[slot];
   for (std::size_t p = 0; p < g.parts.size(); ++p) {
     const auto& spec = what(g).parts[p];
-    auto& v = values.emplace_back(PartValue{spec.name, g.parts[p].status, g.parts[p].age, g.parts[p].body});
+    auto& v = values.emplace_back(PartResult{spec.name, g.parts[p].status, g.parts[p].age, g.parts[p].body});
     if (v.status == PartStatus::fallback) v.body = std::make_shared<const std::string>(*spec.fallback);
   }
   return values;
--- a/src/deps_http/dependency_client.cpp
+++ b/src/deps_http/dependency_client.cpp
@@ -19,7 +19,7 @@
 namespace http = beast::http;
 using asio::ip::tcp;
 using beast::error_code;
-using deps::CallFate;
+using deps::CallOutcome;
 
 constexpr auto kLook = std::chrono::milliseconds(500);
 constexpr int kMaxInterim = 4;  // 1xx answers before the one that counts
@@ -35,11 +35,11 @@
   return std::chrono::seconds(value);
 }
 
-CallFate fate_of(unsigned status) {
-  if (status == 200) return CallFate::ok;
-  if (status == 429 || status == 503) return CallFate::busy;
-  if (status == 204 || (status >= 400 && status < 500 && status != 408)) return CallFate::no_data;
-  return CallFate::error;  // 5xx, redirects (never followed) and whatever else
+CallOutcome outcome_of(unsigned status) {
+  if (status == 200) return CallOutcome::ok;
+  if (status == 429 || status == 503) return CallOutcome::overloaded;
+  if (status == 204 || (status >= 400 && status < 500 && status != 408)) return CallOutcome::not_found;
+  return CallOutcome::error;  // 5xx, redirects (never followed) and whatever else
 }
 
 // Guards against reuse of a connection that the other side has closed, or on which it says what nobody asked.
@@ -56,7 +56,7 @@
       : below(std::move(b)), stream(std::make_unique<beast::tcp_stream>(executor)) {}
   edge::DependencyCall below;
   std::unique_ptr<beast::tcp_stream> stream;
-  bool connected = false, abandoned = false;
+  bool connected = false, cancelled = false;
 };
 
 struct DependencyClient::Idle {
@@ -73,7 +73,7 @@
 
 void DependencyClient::close_all() {
   closed_ = true;
-  while (!calls_.empty()) abandon(calls_.begin()->first);
+  while (!calls_.empty()) cancel(calls_.begin()->first);
   idle_.clear();
   connections_ = 0;
   look_.cancel();
@@ -85,20 +85,20 @@
   auto call = std::make_shared<Call>(executor_, std::move(below));
   calls_.emplace(id, call);
   asio::co_spawn(executor_, carry_out(call),
-                 [this, call](const std::exception_ptr& failed, deps::CallReport report) {
-                   if (call->abandoned) return;  // this may be gone by now
+                 [this, call](const std::exception_ptr& failed, deps::CallCompletion report) {
+                   if (call->cancelled) return;  // this may be gone by now
                    if (call->connected) --connections_;
                    calls_.erase(call->below.id);
-                   if (failed) report = {call->below.id, CallFate::cut_off, {}, {}, nullptr};
+                   if (failed) report = {call->below.id, CallOutcome::connection_lost, {}, {}, nullptr};
                    report_(std::move(report));
                  });
 }
 
-void DependencyClient::abandon(deps::CallId id) {
+void DependencyClient::cancel(deps::CallId id) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
   auto& call = *it->second;
-  call.abandoned = true;
+  call.cancelled = true;
   if (std::exchange(call.connected, false)) --connections_;
   call.stream->close();
   calls_.erase(it);
@@ -116,14 +116,14 @@
   return true;
 }
 
-asio::awaitable<deps::CallReport> DependencyClient::carry_out(std::shared_ptr<Call> call) {
+asio::awaitable<deps::CallCompletion> DependencyClient::carry_out(std::shared_ptr<Call> call) {
   const auto began = Clock::now();
   const auto& below = call->below;
-  const auto ended = [&](CallFate fate) {
-    return deps::CallReport{
-        below.id, fate, std::chrono::duration_cast<Duration>(Clock::now() - began), {}, nullptr};
+  const auto ended = [&](CallOutcome outcome) {
+    return deps::CallCompletion{
+        below.id, outcome, std::chrono::duration_cast<Duration>(Clock::now() - began), {}, nullptr};
   };
-  if (call->abandoned) co_return ended(CallFate::cut_off);
+  if (call->cancelled) co_return ended(CallOutcome::connection_lost);
   const std::pair place(below.to.host, below.to.port);
   bool reused = false;
   if (const auto idle = idle_.find(place); idle != idle_.end()) {
@@ -143,40 +143,40 @@
   for (;;) {
     error_code error;
     if (!reused) {
-      if (!make_room()) co_return ended(CallFate::unreachable);
+      if (!make_room()) co_return ended(CallOutcome::unreachable);
       const auto address = asio::ip::make_address(below.to.host, error);
-      if (error) co_return ended(CallFate::unreachable);
+      if (error) co_return ended(CallOutcome::unreachable);
       ++connections_;
       call->connected = true;
-      call->stream->expires_after(below.max_quiet);
+      call->stream->expires_after(below.io_timeout);
       co_await call->stream->async_connect(tcp::endpoint(address, below.to.port), into(error));
-      if (call->abandoned) co_return ended(CallFate::cut_off);
-      if (error) co_return ended(CallFate::unreachable);
+      if (call->cancelled) co_return ended(CallOutcome::connection_lost);
+      if (error) co_return ended(CallOutcome::unreachable);
       call->stream->socket().set_option(tcp::no_delay(true), error);
     } else {
       ++connections_;
       call->connected = true;
     }
-    call->stream->expires_after(below.max_quiet);
+    call->stream->expires_after(below.io_timeout);
     co_await http::async_write(*call->stream, request, into(error));
-    if (call->abandoned) co_return ended(CallFate::cut_off);
+    if (call->cancelled) co_return ended(CallOutcome::connection_lost);
 
-    beast::flat_buffer buffer(below.max_header + below.max_answer + 4096);
+    beast::flat_buffer buffer(below.max_header_bytes + below.max_response_bytes + 4096);
     std::optional<http::response_parser<http::string_body>> parser;
     const auto fresh_parser = [&] {
       parser.emplace();
-      parser->header_limit(std::uint32_t(below.max_header));
-      parser->body_limit(below.max_answer);
+      parser->header_limit(std::uint32_t(below.max_header_bytes));
+      parser->body_limit(below.max_response_bytes);
     };
     fresh_parser();
     std::size_t got = 0;
     int interim = 0;
     while (!error && !parser->is_done()) {
-      call->stream->expires_after(below.max_quiet);
+      call->stream->expires_after(below.io_timeout);
       got += co_await http::async_read_some(*call->stream, buffer, *parser, into(error));
-      if (call->abandoned) co_return ended(CallFate::cut_off);
+      if (call->cancelled) co_return ended(CallOutcome::connection_lost);
       if (!error && parser->is_done() && parser->get().result_int() / 100 == 1) {
-        if (++interim > kMaxInterim) co_return ended(CallFate::error);
+        if (++interim > kMaxInterim) co_return ended(CallOutcome::error);
         fresh_parser();
       }
     }
@@ -193,23 +193,23 @@
       }
       if (error == http::error::body_limit || error == http::error::header_limit ||
           error == http::error::buffer_overflow || error == beast::error::timeout)
-        co_return ended(CallFate::too_long);
+        co_return ended(CallOutcome::limit_exceeded);
       const bool torn = error == http::error::end_of_stream || error == http::error::partial_message ||
                         error.category() != make_error_code(http::error::bad_version).category();
-      co_return ended(torn ? CallFate::cut_off : CallFate::error);
+      co_return ended(torn ? CallOutcome::connection_lost : CallOutcome::error);
     }
     auto response = parser->release();
-    auto report = ended(fate_of(response.result_int()));
-    if (report.fate == CallFate::busy) {
+    auto report = ended(outcome_of(response.result_int()));
+    if (report.outcome == CallOutcome::overloaded) {
       const auto value = response[http::field::retry_after];
       report.retry_after = retry_after({value.data(), value.size()});
     }
-    if (report.fate == CallFate::ok)
+    if (report.outcome == CallOutcome::ok)
       report.body = std::make_shared<const std::string>(std::move(response.body()));
     auto& kept = idle_[place];
     if (response.keep_alive() && buffer.size() == 0 && kept.size() < below.max_idle_connections) {
       call->stream->expires_never();
-      kept.push_back({std::move(call->stream), Clock::now(), below.max_idle_time});
+      kept.push_back({std::move(call->stream), Clock::now(), below.idle_connection_timeout});
       call->connected = false;  // it counts on, as an idle one
     } else if (kept.empty()) {
       idle_.erase(place);
@@ -218,7 +218,7 @@
   }
 }
 
-asio::awaitable<void> DependencyClient::mind_idle() {
+asio::awaitable<void> DependencyClient::reap_idle_connections() {
   while (!closed_) {
     look_.expires_after(kLook);
     error_code woken;
--- a/src/deps_http/dependency_client.h
+++ b/src/deps_http/dependency_client.h
@@ -18,25 +18,25 @@
 
 class DependencyClient {
  public:
-  using Report = std::function<void(deps::CallReport)>;
+  using Report = std::function<void(deps::CallCompletion)>;
   // `max_connections`: descriptors, idle ones included; at the bound an idle one makes room, and with none a
   // call ends as unreachable. `report` is never called for a call that was abandoned.
   DependencyClient(const boost::asio::any_io_executor& executor, std::size_t max_connections, Report report);
   ~DependencyClient();
   void start(edge::DependencyCall call);
   // Closes its connection: what is half read can't carry another call.
-  void abandon(deps::CallId id);
+  void cancel(deps::CallId id);
   void close_all();  // calls and idle connections; nothing is reported or started after it
   std::size_t open_calls() const { return calls_.size(); }
   std::size_t connections() const { return connections_; }
   // Closes connections idle for too long; forever, until close_all().
-  boost::asio::awaitable<void> mind_idle();
+  boost::asio::awaitable<void> reap_idle_connections();
 
  private:
   struct Call;
   struct Idle;
   using Clock = std::chrono::steady_clock;
-  boost::asio::awaitable<deps::CallReport> carry_out(std::shared_ptr<Call> call);
+  boost::asio::awaitable<deps::CallCompletion> carry_out(std::shared_ptr<Call> call);
   bool make_room();
   boost::asio::any_io_executor executor_;
   boost::asio::steady_timer look_;
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -128,16 +128,16 @@
   if (!gatherer_) return;
   const auto from = news.from_others == 0 ? std::string("an earlier life")
                                           : std::to_string(news.from_others) + " other members";
-  const auto used = gatherer_->learn(news.what, now_.steady);
+  const auto used = gatherer_->restore(news.what, now_.steady);
   if (used.endpoints > 0)
     remark("learned of " + std::to_string(used.endpoints) + " endpoints from " + from, "learned");
-  if (used.parts > 0)
-    remark("learned " + std::to_string(used.parts) + " kept answers from " + from, "learned_parts");
+  if (used.responses > 0)
+    remark("learned " + std::to_string(used.responses) + " kept answers from " + from, "learned_parts");
 }
 
 warm_state::WarmState Edge::learned(TimePoint now) const {
   warm_state::WarmState what;
-  if (gatherer_) gatherer_->export_to(what, now);
+  if (gatherer_) gatherer_->export_state(what, now);
   return what;
 }
 
@@ -146,7 +146,7 @@
 void Edge::on(const CacheFillQuery& asked) {
   const RequestId id{next_id_++};
   fills_.emplace(id, asked.tag);
-  if (gatherer_ && gatherer_->fill(id, asked.question, now_.steady)) return pass_on_calls();
+  if (gatherer_ && gatherer_->begin_cache_fill(id, asked.question, now_.steady)) return pass_on_calls();
   fills_.erase(id);
   out_.emplace_back(CacheFillReply{asked.tag, nullptr, {}});
 }
@@ -306,7 +306,7 @@
   if (o.work == Work::gathering) {
     if (o.calling && !o.followers.empty()) return;
     if (o.calling) {
-      gatherer_->abandon(id, now_.steady);
+      gatherer_->cancel(id, now_.steady);
       pass_on_calls();
     }
     events_.emplace_back(RunEnded{id, RunResult::moot, {}});
@@ -579,7 +579,7 @@
 
 void Edge::begin_gather(RequestId id, Open& o, Duration limit, bool may_call) {
   if (o.calling) return;
-  if (!gatherer_->gathers(o.request.cls)) {  // a new declaration came in between
+  if (!gatherer_->has_gather(o.request.cls)) {  // a new declaration came in between
     if (may_call) events_.emplace_back(CallEnded{id, CallResult::ok, {}});
     return begin_run(id, o);
   }
@@ -591,15 +591,15 @@
   pass_on_calls();
 }
 
-void Edge::on(const deps::CallReport& report) {
+void Edge::on(const deps::CallCompletion& report) {
   if (!gatherer_) return;
-  gatherer_->ended(report, now_.steady);
+  gatherer_->on_call_completed(report, now_.steady);
   pass_on_calls();
 }
 
 void Edge::on(const DependencySpecUpdate& fresh) {
   if (!gatherer_ || !fresh.spec) return;
-  gatherer_->change(fresh.spec, now_.steady);
+  gatherer_->update_spec(fresh.spec, now_.steady);
   pass_on_calls();
 }
 
@@ -612,7 +612,7 @@
   fleet_->missing = news.view->majority ? membership::missing_share(*news.view) : 0;
   if (course_) course_->fleet(recovery::fleet_status_of(*news.view), now_.steady);
   if (lost_memory_) lost_memory_->another_lives(news.view->duplicate, now_.steady);
-  if (gatherer_) gatherer_->fleet(news.view, now_.steady);
+  if (gatherer_) gatherer_->on_membership_view(news.view, now_.steady);
 }
 
 Edge::Standing Edge::standing(TimePoint now) const {
@@ -645,19 +645,19 @@
       const auto& d = gatherer_->dependency(start->dependency);
       out_.emplace_back(DependencyCall{
           start->id, *start->path,
-          start->owner ? start->owner->at : gatherer_->address(start->dependency, start->endpoint), d.name,
-          d.max_answer + (start->owner ? deps::kMaxFillHead : 0), d.max_header, d.max_quiet, d.max_idle_time,
-          d.max_idle_connections});
-    } else if (const auto* drop = std::get_if<deps::AbandonCall>(&action)) {
+          start->owner ? start->owner->address : gatherer_->address(start->dependency, start->endpoint),
+          d.name, d.max_response_bytes + (start->owner ? deps::kMaxFillHeaderBytes : 0), d.max_header_bytes,
+          d.io_timeout, d.idle_connection_timeout, d.max_idle_connections});
+    } else if (const auto* drop = std::get_if<deps::CancelCall>(&action)) {
       out_.emplace_back(CancelDependencyCall{drop->id});
     } else if (const auto* ended = std::get_if<deps::GatherEnded>(&action)) {
       ended_gathers_.push_back(*ended);
-    } else if (const auto* changed = std::get_if<deps::DependencyChanged>(&action)) {
-      const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(changed->after).count();
+    } else if (const auto* changed = std::get_if<deps::CircuitBreakerChanged>(&action)) {
+      const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(changed->was_open_for).count();
       const auto& name = gatherer_->dependency(changed->dependency).name;
-      remark(name + (changed->out ? " is out: going on without it, and probing"
-                                  : " is back after " + std::to_string(ms) + " ms"),
-             changed->out ? "dependency_out" : "dependency_back", name);
+      remark(name + (changed->is_open ? " is out: going on without it, and probing"
+                                      : " is back after " + std::to_string(ms) + " ms"),
+             changed->is_open ? "dependency_out" : "dependency_back", name);
     }
   }
   gatherer_->clear_actions();
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -113,7 +113,7 @@
   void on(const CommandRejected& rejected);
   void on(const Gauges& gauges);
   void on(const DeepCheckDone& done);
-  void on(const deps::CallReport& report);
+  void on(const deps::CallCompletion& report);
   void on(const DependencySpecUpdate& fresh);
   void on(const MembershipUpdate& news);
   void on(const PreviousIncarnationFound& news);
@@ -143,7 +143,7 @@
   void apply(const SkipCall& a);
 
   bool gathers(const Open& o) const {
-    return gatherer_ && o.parts.empty() && gatherer_->gathers(o.request.cls);
+    return gatherer_ && o.parts.empty() && gatherer_->has_gather(o.request.cls);
   }
   void begin_gather(RequestId id, Open& o, Duration limit, bool may_call);
   void pass_on_calls();  // to whoever carries them out, and notes the gathers that ended
--- a/src/edge/types.h
+++ b/src/edge/types.h
@@ -109,8 +109,8 @@
   std::string path;
   deps::EndpointSpec to;
   std::string name;  // of the dependency
-  std::size_t max_answer = 0, max_header = 0;
-  Duration max_quiet{}, max_idle_time{};
+  std::size_t max_response_bytes = 0, max_header_bytes = 0;
+  Duration io_timeout{}, idle_connection_timeout{};
   std::uint32_t max_idle_connections = 0;
 };
 struct CancelDependencyCall {
@@ -128,7 +128,7 @@
 };
 struct CacheFillReply {  // without a body: there is none in time
   std::uint64_t tag = 0;
-  deps::Bytes body;
+  deps::SharedBody body;
   Duration age{};
 };
 struct PreviousIncarnationFound {  // what is found of the life before this one
@@ -146,7 +146,7 @@
   std::string name;
   deps::PartStatus status = deps::PartStatus::absent;
   Duration age{};
-  deps::Bytes body;
+  deps::SharedBody body;
 };
 
 // ---- From the kernel ----
@@ -195,7 +195,7 @@
 using Input =
     std::variant<Request, UnusableRequest, HealthCheck, PeerDisconnected, RequestCancelled, Drain,
                  LifecycleChanged, KernelStarted, RunReport, DependencyCallRequested, CommandRejected, Gauges,
-                 DeepCheckDone, deps::CallReport, DependencySpecUpdate, MembershipUpdate,
+                 DeepCheckDone, deps::CallCompletion, DependencySpecUpdate, MembershipUpdate,
                  PreviousIncarnationFound, WarmStateReceived, StateTransferFinished, Closing, CacheFillQuery>;
 
 struct StateTransferWanted {};  // what they know: the memory of this process is blank, or old
--- a/src/operators/operator_file.cpp
+++ b/src/operators/operator_file.cpp
@@ -50,17 +50,17 @@
       to.classes.emplace_back(cls.as_text(), cls.at);
       to.spec.gathers.push_back(gather(gathers[i], path, to.spec));
     }
-    to.spec.cache_bytes = top["cache"].as_size();
-    to.spec.remember_failures = top["remember_failures"].as_span();
+    to.spec.max_cache_bytes = top["cache"].as_size();
+    to.spec.negative_cache_ttl = top["remember_failures"].as_span();
     to.connections = std::size_t(top["connections"].as_int());
     if (const auto* m = top.find("membership")) to.membership = membership(*m);
     to.fill_port = std::uint16_t(top["fill_port"].as_int());
     for (std::size_t i = 0; i < dependencies.size(); ++i)
-      if (to.spec.dependencies[i].fleet_fill && !to.membership)
+      if (to.spec.dependencies[i].fleet_cache_fill && !to.membership)
         fail(dependencies[i]["fleet_fill"], "dependencies[" + std::to_string(i) + "].fleet_fill",
              "expected membership beside it: without it there is nobody to fill it for");
     for (std::size_t i = 0; i < dependencies.size(); ++i)
-      if (to.spec.dependencies[i].fleet_open > 0 && !to.membership)
+      if (to.spec.dependencies[i].fleet_max_in_flight > 0 && !to.membership)
         fail(dependencies[i]["fleet_open"], "dependencies[" + std::to_string(i) + "].fleet_open",
              "expected membership beside it: without it nobody knows how many share it");
     if (const auto* r = top.find("recovery")) {
@@ -111,33 +111,33 @@
     d.min_timeout = v["timeout_least"].as_span();
     d.max_timeout = v["timeout_most"].as_span();
     d.timeout_factor = v["timeout_factor"].as_number();
-    d.max_tries = whole("most_tries");
-    d.retry_share = v["retry_share"].as_number();
-    d.retry_burst = v["retry_burst"].as_number();
-    d.retry_pause = v["retry_pause"].as_span();
-    d.max_retry_pause = v["retry_pause_most"].as_span();
-    d.hedge_after = v["hedge_after"].as_number();
-    d.min_open = whole("least_open");
-    d.max_open = whole("most_open");
-    d.fleet_open = whole("fleet_open");
-    d.fleet_fill = v["fleet_fill"].as_bool();
-    d.max_waiting = whole("most_waiting");
-    d.max_ejected = v["most_ejected"].as_number();
-    d.eject_for = v["eject_for"].as_span();
-    d.max_eject = v["eject_most"].as_span();
-    d.slow_start = v["slow_start"].as_span();
-    d.probe_every = v["probe_every"].as_span();
-    d.max_probe = v["probe_most"].as_span();
-    d.max_answer = v["most_answer"].as_size();
-    d.max_header = v["most_header"].as_size();
-    d.max_quiet = v["quiet_most"].as_span();
-    d.max_idle_time = v["idle_most"].as_span();
+    d.max_attempts = whole("most_tries");
+    d.retry_budget_ratio = v["retry_share"].as_number();
+    d.max_retry_budget = v["retry_burst"].as_number();
+    d.base_retry_backoff = v["retry_pause"].as_span();
+    d.max_retry_backoff = v["retry_pause_most"].as_span();
+    d.hedge_quantile = v["hedge_after"].as_number();
+    d.min_in_flight = whole("least_open");
+    d.max_in_flight = whole("most_open");
+    d.fleet_max_in_flight = whole("fleet_open");
+    d.fleet_cache_fill = v["fleet_fill"].as_bool();
+    d.max_queued = whole("most_waiting");
+    d.max_ejection_ratio = v["most_ejected"].as_number();
+    d.base_ejection_time = v["eject_for"].as_span();
+    d.max_ejection_time = v["eject_most"].as_span();
+    d.slow_start_window = v["slow_start"].as_span();
+    d.probe_interval = v["probe_every"].as_span();
+    d.max_probe_interval = v["probe_most"].as_span();
+    d.max_response_bytes = v["most_answer"].as_size();
+    d.max_header_bytes = v["most_header"].as_size();
+    d.io_timeout = v["quiet_most"].as_span();
+    d.idle_connection_timeout = v["idle_most"].as_span();
     d.max_idle_connections = whole("most_idle");
     in_order(v, "timeout_least", "timeout_most", d.min_timeout, d.max_timeout, path);
-    in_order(v, "retry_pause", "retry_pause_most", d.retry_pause, d.max_retry_pause, path);
-    in_order(v, "least_open", "most_open", d.min_open, d.max_open, path);
-    in_order(v, "eject_for", "eject_most", d.eject_for, d.max_eject, path);
-    in_order(v, "probe_every", "probe_most", d.probe_every, d.max_probe, path);
+    in_order(v, "retry_pause", "retry_pause_most", d.base_retry_backoff, d.max_retry_backoff, path);
+    in_order(v, "least_open", "most_open", d.min_in_flight, d.max_in_flight, path);
+    in_order(v, "eject_for", "eject_most", d.base_ejection_time, d.max_ejection_time, path);
+    in_order(v, "probe_every", "probe_most", d.probe_interval, d.max_probe_interval, path);
     return d;
   }
 
@@ -169,8 +169,8 @@
     p.path = v["path"].as_text();
     const auto parsed = deps::PathTemplate::parse(p.path);
     const auto* needs = v.find("needs");
-    if (const auto* bad = std::get_if<deps::PathTemplate::Bad>(&parsed))
-      fail(v["path"], path + ".path", bad->why + ", at character " + std::to_string(bad->at + 1));
+    if (const auto* bad = std::get_if<deps::PathTemplate::ParseError>(&parsed))
+      fail(v["path"], path + ".path", bad->reason + ", at character " + std::to_string(bad->position + 1));
     else if (!needs && std::get<deps::PathTemplate>(parsed).uses_needed())
       fail(v["path"], path + ".path", "{needed} without needs: expected the name of an earlier part there");
     if (needs) {
@@ -179,12 +179,12 @@
       if (e == earlier.end())
         fail(*needs, path + ".needs", "expected the name of an earlier part of this gather");
       else
-        p.needs = std::size_t(e - earlier.begin());
+        p.depends_on = std::size_t(e - earlier.begin());
     }
     p.required = v["required"].as_bool();
-    p.within = v["within"].as_span();
-    p.fresh_for = v["fresh_for"].as_span();
-    p.stale_for = v["stale_for"].as_span();
+    p.timeout = v["within"].as_span();
+    p.max_fresh_age = v["fresh_for"].as_span();
+    p.max_stale_age = v["stale_for"].as_span();
     if (const auto* fallback = v.find("default")) p.fallback = fallback->as_text();
     return p;
   }
--- a/src/operators/operator_file.h
+++ b/src/operators/operator_file.h
@@ -24,7 +24,7 @@
   std::uint16_t fill_port = 0;
   bool fills() const {
     for (const auto& d : spec.dependencies)
-      if (d.fleet_fill) return membership.has_value();
+      if (d.fleet_cache_fill) return membership.has_value();
     return false;
   }
   struct Recovery {
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -106,7 +106,7 @@
   }
   if (extras_.declared->membership) join_fleet();
   if (cache_fill_server_)
-    cache_fill_server_->begin(
+    cache_fill_server_->start(
         fleet_->member().self().boot_id,
         {[this](const asio::ip::address& who) { return fleet_->may_ask(who); },
          [this](edge::CacheFillQuery asked) { return module_.mailbox().post(std::move(asked)); }});
@@ -115,7 +115,7 @@
   // Ends of calls always find room: the limits on open calls bound their number.
   const auto apart = config_.limits.sockets - sockets_for_peers(config_, extras_);
   caller_.emplace(context.get_executor(), apart - std::min(sockets_for_door(extras_), apart / 2),
-                  [this](deps::CallReport report) { module_.mailbox().post_control(std::move(report)); });
+                  [this](deps::CallCompletion report) { module_.mailbox().post_control(std::move(report)); });
 }
 
 void Server::keep_learned(const operators::Declared::Recovery& recovery) {
@@ -287,7 +287,7 @@
   spawn(load_reporter_.run());
   spawn(listener_.run());
   spawn(listener_.mind_peers());
-  if (caller_) spawn(caller_->mind_idle());
+  if (caller_) spawn(caller_->reap_idle_connections());
   if (fleet_) {
     spawn(fleet_->receive());
     if (fleet_->has_second()) spawn(fleet_->receive_second());
@@ -349,7 +349,7 @@
   if (caller_) caller_->start(std::move(call));
 }
 void Server::carry_out(edge::CancelDependencyCall&& drop) {
-  if (caller_) caller_->abandon(drop.id);
+  if (caller_) caller_->cancel(drop.id);
 }
 
 void Server::carry_out(edge::StateTransferWanted&&) {
@@ -360,7 +360,7 @@
 }
 
 void Server::carry_out(edge::CacheFillReply&& answer) {
-  if (cache_fill_server_) cache_fill_server_->answer(std::move(answer));
+  if (cache_fill_server_) cache_fill_server_->reply(std::move(answer));
 }
 
 void Server::drain() {
--- a/tests/cache_fill_test.cpp
+++ b/tests/cache_fill_test.cpp
@@ -41,14 +41,14 @@
 TEST(FillOwners, AllNameTheSameAndEachFillsItsShare) {
   constexpr std::size_t kMembers = 8;
   std::map<std::uint64_t, int> share;
-  std::vector<KeyOwners> all(kMembers);
-  for (std::size_t n = 0; n < kMembers; ++n) all[n].see(view_for(n, kMembers));
+  std::vector<KeyOwnerSelector> all(kMembers);
+  for (std::size_t n = 0; n < kMembers; ++n) all[n].update_view(view_for(n, kMembers));
   for (int k = 0; k < 800; ++k) {
     const auto key = cache_fill_key("e", "/" + std::to_string(k));
     std::set<std::uint64_t> named;
     for (std::size_t n = 0; n < kMembers; ++n) {
-      const auto o = all[n].of(key, {});
-      named.insert(o ? o->hash : member(n).hash);
+      const auto o = all[n].owner_of(key, {});
+      named.insert(o ? o->member_hash : member(n).hash);
     }
     ASSERT_EQ(named.size(), 1u);
     ++share[*named.begin()];
@@ -58,14 +58,14 @@
   // One goes: only its keys move.
   auto less = view_for(0, kMembers);
   less.peers.erase(less.peers.begin() + 2);
-  KeyOwners after;
-  after.see(less);
+  KeyOwnerSelector after;
+  after.update_view(less);
   for (int k = 0; k < 800; ++k) {
     const auto key = cache_fill_key("e", "/" + std::to_string(k));
-    const auto before = all[0].of(key, {});
-    const auto now = after.of(key, {});
-    if (!before || before->hash != member(3).hash) {
-      EXPECT_EQ(before ? before->hash : 0, now ? now->hash : 0);
+    const auto before = all[0].owner_of(key, {});
+    const auto now = after.owner_of(key, {});
+    if (!before || before->member_hash != member(3).hash) {
+      EXPECT_EQ(before ? before->member_hash : 0, now ? now->member_hash : 0);
     }
   }
 }
@@ -74,10 +74,10 @@
   const auto asked = [](const std::function<void(View&)>& change) {
     auto v = view_for(0, 3);
     change(v);
-    KeyOwners o;
-    o.see(v);
+    KeyOwnerSelector o;
+    o.update_view(v);
     int n = 0;
-    for (int k = 0; k < 100; ++k) n += o.of(cache_fill_key("e", std::to_string(k)), {}).has_value();
+    for (int k = 0; k < 100; ++k) n += o.owner_of(cache_fill_key("e", std::to_string(k)), {}).has_value();
     return n;
   };
   EXPECT_GT(asked([](View&) {}), 40);
@@ -99,38 +99,38 @@
 
 TEST(FillOwners, WhoDoesNotAnswerIsPassedOverForLongerEachTimeAndANewLifeIsNot) {
   auto v = view_for(0, 2);
-  KeyOwners o;
-  o.see(v);
+  KeyOwnerSelector o;
+  o.update_view(v);
   std::uint64_t key = 0;
-  while (!o.of(key, {})) ++key;
+  while (!o.owner_of(key, {})) ++key;
   TimePoint now(1h);
-  o.failed(member(1).hash, now);
-  o.failed(member(1).hash, now);  // asked at the same time
-  EXPECT_FALSE(o.of(key, now + 499ms));
-  EXPECT_TRUE(o.of(key, now + 500ms));
-  o.failed(member(1).hash, now + 500ms);
-  EXPECT_FALSE(o.of(key, now + 1400ms));
-  o.see(v);  // a view alone forgives nothing
-  EXPECT_FALSE(o.of(key, now + 1400ms));
-  EXPECT_TRUE(o.of(key, now + 1500ms));
-  o.failed(member(1).hash, now + 1500ms);
+  o.on_failure(member(1).hash, now);
+  o.on_failure(member(1).hash, now);  // asked at the same time
+  EXPECT_FALSE(o.owner_of(key, now + 499ms));
+  EXPECT_TRUE(o.owner_of(key, now + 500ms));
+  o.on_failure(member(1).hash, now + 500ms);
+  EXPECT_FALSE(o.owner_of(key, now + 1400ms));
+  o.update_view(v);  // a view alone forgives nothing
+  EXPECT_FALSE(o.owner_of(key, now + 1400ms));
+  EXPECT_TRUE(o.owner_of(key, now + 1500ms));
+  o.on_failure(member(1).hash, now + 1500ms);
   v.peers[0].boot_id = BootId(7);
-  o.see(v);
-  EXPECT_EQ(o.of(key, now + 1500ms)->boot_id, BootId(7));
+  o.update_view(v);
+  EXPECT_EQ(o.owner_of(key, now + 1500ms)->boot_id, BootId(7));
 }
 
 TEST(CacheFillRequest, IsReadAsItWasWrittenAndNothingElseIs) {
   const CacheFillRequest q{BootId(0xfedcba9876543210), "e.example.org:80", "/e?r=a%20b/c", 10s, 150ms};
-  EXPECT_EQ(read_target(target_of(q)), q);
+  EXPECT_EQ(parse_request_target(to_request_target(q)), q);
   for (const char* bad : {"", "/", "/fill/", "/fill/1/2", "/fill/x/1/1/e/p", "/fill/1/-1/1/e/p",
                           "/fill/1/1/99999999999999999999/e/p", "/fill/1/1/1/e", "/fill/1/1/1//p",
                           "/fill/1/1/1/e/p q", "/fill/1/1/1/e/p\r\nHost: x", "/other/1/1/1/e/p"})
-    EXPECT_FALSE(read_target(bad)) << bad;
-  EXPECT_FALSE(read_target("/fill/1/1/1/e/" + std::string(5000, 'p')));
-  EXPECT_EQ(read_filled(filled(3s, "a\nb"))->body, "a\nb");
-  EXPECT_EQ(read_filled(filled(3s, ""))->age, 3s);
+    EXPECT_FALSE(parse_request_target(bad)) << bad;
+  EXPECT_FALSE(parse_request_target("/fill/1/1/1/e/" + std::string(5000, 'p')));
+  EXPECT_EQ(parse_fill_body(encode_fill_body(3s, "a\nb"))->body, "a\nb");
+  EXPECT_EQ(parse_fill_body(encode_fill_body(3s, ""))->age, 3s);
   for (const char* bad : {"", "5", "-5\nx", "x\nx", "99999999999999999999\nx"})
-    EXPECT_FALSE(read_filled(bad)) << bad;
+    EXPECT_FALSE(parse_fill_body(bad)) << bad;
 }
 
 std::string path_of(std::uint64_t obj) {
@@ -145,14 +145,14 @@
   explicit Members(std::size_t n, Spec spec) : spec_(std::make_shared<Spec>(std::move(spec))) {
     for (std::size_t k = 0; k < n; ++k) {
       all_.push_back(std::make_unique<One>(ScatterGather(spec_, k + 1)));
-      all_[k]->gatherer.fleet(std::make_shared<View>(view_for(k, n)), now);
+      all_[k]->gatherer.on_membership_view(std::make_shared<View>(view_for(k, n)), now);
     }
   }
   static Spec spec() {
     auto s = two_dependencies();
     s.gathers[0].parts.pop_back();
-    s.gathers[0].parts[0].fresh_for = 10s;
-    for (auto& d : s.dependencies) d.fleet_fill = true, d.hedge_after = 0;
+    s.gathers[0].parts[0].max_fresh_age = 10s;
+    for (auto& d : s.dependencies) d.fleet_cache_fill = true, d.hedge_quantile = 0;
     return s;
   }
   TimePoint now{1000s};
@@ -178,11 +178,11 @@
   }
   // The member that fills it.
   std::size_t owner(std::uint64_t obj) {
-    KeyOwners o;
-    o.see(view_for(0, all_.size()));
-    const auto who = o.of(cache_fill_key("elevation.example.org", path_of(obj)), now);
+    KeyOwnerSelector o;
+    o.update_view(view_for(0, all_.size()));
+    const auto who = o.owner_of(cache_fill_key("elevation.example.org", path_of(obj)), now);
     for (std::size_t n = 1; who && n < all_.size(); ++n)
-      if (member(n).hash == who->hash) return n;
+      if (member(n).hash == who->member_hash) return n;
     return 0;
   }
   void run_for(Duration d) {
@@ -209,11 +209,11 @@
   struct One {
     explicit One(ScatterGather g) : gatherer(std::move(g)) {}
     ScatterGather gatherer;
-    std::map<std::uint32_t, std::function<void(Bytes, Duration)>> fills;
+    std::map<std::uint32_t, std::function<void(SharedBody, Duration)>> fills;
   };
   void later(Duration after, std::function<void()> work) { queue_.emplace(now + after, std::move(work)); }
-  void report(std::size_t n, CallId id, CallFate fate, Bytes body) {
-    at(n).ended({id, fate, 1ms, {}, std::move(body)}, now);
+  void report(std::size_t n, CallId id, CallOutcome outcome, SharedBody body) {
+    at(n).on_call_completed({id, outcome, 1ms, {}, std::move(body)}, now);
     settle(n);
   }
   void settle(std::size_t n) {
@@ -227,15 +227,16 @@
     for (const auto& a : actions) {
       if (const auto* s = std::get_if<StartCall>(&a)) {
         const auto& [path, owner] = texts[text++];
-        if (owner.hash) {
+        if (owner.member_hash) {
           ++questions;
-          later(1ms,
-                [this, n, id = s->id, target = path, port = owner.at.port] { asked(n, id, target, port); });
+          later(1ms, [this, n, id = s->id, target = path, port = owner.address.port] {
+            asked(n, id, target, port);
+          });
           continue;
         }
         ++calls;
         later(answer_after, [this, n, id = s->id, path] {
-          report(n, id, below_is_well ? CallFate::ok : CallFate::error,
+          report(n, id, below_is_well ? CallOutcome::ok : CallOutcome::error,
                  std::make_shared<const std::string>("data of " + path));
         });
       } else if (const auto* e = std::get_if<GatherEnded>(&a)) {
@@ -258,18 +259,18 @@
   }
   void asked(std::size_t by, CallId call, const std::string& target, std::uint16_t port) {
     const auto n = std::size_t(port - 8000);
-    const auto question = read_target(target);
+    const auto question = parse_request_target(target);
     ASSERT_TRUE(question);
     if (silent.contains(n)) return;
-    const bool mine = question->to == member(n).boot_id && !other_lives.contains(n);
+    const bool mine = question->target_boot_id == member(n).boot_id && !other_lives.contains(n);
     const auto id = ++next_;
-    all_[n]->fills[id] = [this, by, call](const Bytes& body, Duration age) {
+    all_[n]->fills[id] = [this, by, call](const SharedBody& body, Duration age) {
       later(1ms, [this, by, call, body, age] {
-        report(by, call, body ? CallFate::ok : CallFate::no_data,
-               body ? std::make_shared<const std::string>(filled(age, *body)) : nullptr);
+        report(by, call, body ? CallOutcome::ok : CallOutcome::not_found,
+               body ? std::make_shared<const std::string>(encode_fill_body(age, *body)) : nullptr);
       });
     };
-    if (!mine || !at(n).fill(RequestId{id}, *question, now)) {
+    if (!mine || !at(n).begin_cache_fill(RequestId{id}, *question, now)) {
       const auto tell = std::move(all_[n]->fills[id]);
       all_[n]->fills.erase(id);
       return tell(nullptr, {});
@@ -303,7 +304,7 @@
 // The control: without it each asks below.
 TEST(FleetCacheFill, WithoutItEachAsksBelow) {
   auto spec = Members::spec();
-  for (auto& d : spec.dependencies) d.fleet_fill = false;
+  for (auto& d : spec.dependencies) d.fleet_cache_fill = false;
   Members m(6, spec);
   for (std::size_t n = 0; n < 6; ++n) m.ask(n, 1);
   m.run_for(1s);
@@ -375,8 +376,8 @@
     EXPECT_LE(g.took, 400ms);
   }
   for (std::size_t n = 0; n < 4; ++n) {
-    EXPECT_EQ(m.at(n).open_gathers(), 0u);
-    EXPECT_EQ(m.at(n).open_flights(), 0u);
+    EXPECT_EQ(m.at(n).active_gathers(), 0u);
+    EXPECT_EQ(m.at(n).active_calls(), 0u);
   }
 }
 
@@ -391,11 +392,11 @@
   for (std::uint64_t name = 1;; ++name) {
     third.hash = name;
     odd.peers = {third};
-    KeyOwners o;
-    o.see(odd);
-    if (o.of(cache_fill_key("elevation.example.org", path_of(key)), {})) break;
+    KeyOwnerSelector o;
+    o.update_view(odd);
+    if (o.owner_of(cache_fill_key("elevation.example.org", path_of(key)), {})) break;
   }
-  m.at(owner).fleet(std::make_shared<View>(odd), m.now);
+  m.at(owner).on_membership_view(std::make_shared<View>(odd), m.now);
   m.ask(0, key);
   m.ask(1, key);
   m.run_for(1s);
@@ -447,9 +448,9 @@
       }
     }
     for (std::size_t n = 0; n < 5; ++n) {
-      EXPECT_EQ(m.at(n).open_gathers(), 0u);
-      EXPECT_EQ(m.at(n).open_flights(), 0u);
-      EXPECT_EQ(m.at(n).open_calls(0), 0u);
+      EXPECT_EQ(m.at(n).active_gathers(), 0u);
+      EXPECT_EQ(m.at(n).active_calls(), 0u);
+      EXPECT_EQ(m.at(n).in_flight(0), 0u);
     }
   }
 }
--- a/tests/dependency_client_test.cpp
+++ b/tests/dependency_client_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 namespace asio = boost::asio;
-using deps::CallFate;
+using deps::CallOutcome;
 using standin::FaultKind;
 using std::chrono::milliseconds;
 
@@ -24,7 +24,7 @@
   explicit Bench(FaultKind fault, std::size_t connections = 8)
       : dependency(io, script(fault), 1, {0}, standin::Dependency::Clock::now()),
         caller(io.get_executor(), connections,
-               [this](deps::CallReport r) { reports.push_back(std::move(r)); }) {}
+               [this](deps::CallCompletion r) { reports.push_back(std::move(r)); }) {}
   static standin::Script script(FaultKind fault) {
     standin::Phase phase;
     phase.shape = standin::Shape::fixed;
@@ -43,7 +43,7 @@
             std::chrono::seconds(5),
             4};
   }
-  deps::CallReport one(std::uint64_t id = 1) {
+  deps::CallCompletion one(std::uint64_t id = 1) {
     const auto before = reports.size();
     caller.start(call(id));
     wait([&] { return reports.size() > before; });
@@ -58,7 +58,7 @@
   asio::io_context io;
   Duration quiet = milliseconds(300);
   standin::Dependency dependency;
-  std::vector<deps::CallReport> reports;
+  std::vector<deps::CallCompletion> reports;
   DependencyClient caller;
 };
 
@@ -66,7 +66,7 @@
   Bench b(FaultKind::none);
   for (std::uint64_t id = 1; id <= 3; ++id) {
     const auto report = b.one(id);
-    CHECK(report.fate == CallFate::ok);
+    CHECK(report.outcome == CallOutcome::ok);
     REQUIRE(report.body);
     CHECK(*report.body == std::string(100, 'e'));
     CHECK(b.caller.connections() == 1);
@@ -75,37 +75,38 @@
 }
 
 TEST_CASE("each fault is told as what it is, and its connection is not kept") {
-  const std::pair<FaultKind, CallFate> expected[] = {{FaultKind::reset, CallFate::cut_off},
-                                                     {FaultKind::hang, CallFate::too_long},
-                                                     {FaultKind::hang_body, CallFate::too_long},
-                                                     {FaultKind::too_long, CallFate::too_long},
-                                                     {FaultKind::garbage, CallFate::error}};
-  for (const auto& [fault, fate] : expected) {
+  const std::pair<FaultKind, CallOutcome> expected[] = {{FaultKind::reset, CallOutcome::connection_lost},
+                                                        {FaultKind::hang, CallOutcome::limit_exceeded},
+                                                        {FaultKind::hang_body, CallOutcome::limit_exceeded},
+                                                        {FaultKind::too_long, CallOutcome::limit_exceeded},
+                                                        {FaultKind::garbage, CallOutcome::error}};
+  for (const auto& [fault, outcome] : expected) {
     CAPTURE(int(fault));
     Bench b(fault);
-    CHECK(b.one().fate == fate);
+    CHECK(b.one().outcome == outcome);
     CHECK(b.caller.connections() == 0);
   }
 }
 
 TEST_CASE("an answer that is no success leaves its connection usable") {
-  const std::pair<FaultKind, CallFate> expected[] = {{FaultKind::error, CallFate::error},
-                                                     {FaultKind::no_data, CallFate::no_data},
-                                                     {FaultKind::busy, CallFate::busy}};
-  for (const auto& [fault, fate] : expected) {
+  const std::pair<FaultKind, CallOutcome> expected[] = {{FaultKind::error, CallOutcome::error},
+                                                        {FaultKind::no_data, CallOutcome::not_found},
+                                                        {FaultKind::busy, CallOutcome::overloaded}};
+  for (const auto& [fault, outcome] : expected) {
     CAPTURE(int(fault));
     Bench b(fault);
     const auto report = b.one();
-    CHECK(report.fate == fate);
-    CHECK(report.retry_after ==
-          (fate == CallFate::busy ? std::optional<Duration>(std::chrono::seconds(7)) : std::nullopt));
+    CHECK(report.outcome == outcome);
+    CHECK(report.retry_after == (outcome == CallOutcome::overloaded
+                                     ? std::optional<Duration>(std::chrono::seconds(7))
+                                     : std::nullopt));
     CHECK(b.caller.connections() == 1);
   }
 }
 
 TEST_CASE("a connection closed while it was kept is replaced, and the call not lost") {
   Bench b(FaultKind::close);
-  for (std::uint64_t id = 1; id <= 5; ++id) CHECK(b.one(id).fate == CallFate::ok);
+  for (std::uint64_t id = 1; id <= 5; ++id) CHECK(b.one(id).outcome == CallOutcome::ok);
   CHECK(b.dependency.seen().requests.size() == 5);
 }
 
@@ -114,8 +115,8 @@
   b.quiet = std::chrono::seconds(10);
   b.caller.start(b.call(1));
   b.wait([&] { return b.dependency.seen().open == 1; });
-  CHECK(b.one(2).fate == CallFate::unreachable);  // the one connection there may be is in use
-  b.caller.abandon(deps::CallId{1});
+  CHECK(b.one(2).outcome == CallOutcome::unreachable);  // the one connection there may be is in use
+  b.caller.cancel(deps::CallId{1});
   std::uint16_t nobody = 0;
   {
     asio::ip::tcp::acceptor free(b.io, {asio::ip::address_v4::loopback(), 0});
@@ -125,7 +126,7 @@
   call.to.port = nobody;
   b.caller.start(call);
   b.wait([&] { return b.reports.size() == 2; });
-  CHECK(b.reports.back().fate == CallFate::unreachable);
+  CHECK(b.reports.back().outcome == CallOutcome::unreachable);
   CHECK(b.caller.connections() == 0);
 }
 
@@ -134,13 +135,13 @@
   b.quiet = std::chrono::seconds(10);
   b.caller.start(b.call(1));
   b.wait([&] { return b.dependency.seen().open == 1; });
-  b.caller.abandon(deps::CallId{1});
+  b.caller.cancel(deps::CallId{1});
   CHECK(b.caller.open_calls() == 0);
   CHECK(b.caller.connections() == 0);
   b.wait([&] { return b.dependency.seen().open == 0; });  // the other side sees it closed
   CHECK(b.dependency.seen().open == 0);
   b.caller.start(b.call(2));
-  b.caller.abandon(deps::CallId{2});  // before it began
+  b.caller.cancel(deps::CallId{2});  // before it began
   b.caller.start(b.call(3));
   b.caller.close_all();
   b.wait([&] { return b.dependency.seen().open == 0; });
--- a/tests/restart_quarantine_test.cpp
+++ b/tests/restart_quarantine_test.cpp
@@ -290,45 +290,45 @@
   const TimePoint now(1000s);
   deps::EndpointSet before(two_endpoints());
   for (int k = 0; k < 5; ++k) {
-    before.started(0);
-    before.failed(0, now);
+    before.on_call_started(0);
+    before.on_failure(0, now);
   }
-  const auto known = before.known(0, now);
+  const auto known = before.stats(0, now);
   ASSERT_TRUE(known);
-  EXPECT_GT(known->out_for, 0s);
+  EXPECT_GT(known->ejected_for, 0s);
   deps::EndpointSet blind(two_endpoints()), told(two_endpoints()), late(two_endpoints());
-  EXPECT_TRUE(told.learn(0, *known, now));
+  EXPECT_TRUE(told.restore(0, *known, now));
   EXPECT_GT(chosen(blind, now), 20);
   EXPECT_EQ(chosen(told, now), 0);
-  EXPECT_EQ(told.pick(now + known->out_for, 0.5, 0.5), 0u);  // its time is over: one call through
+  EXPECT_EQ(told.pick(now + known->ejected_for, 0.5, 0.5), 0u);  // its time is over: one call through
   auto old = *known;
-  old.out_for = {};
-  EXPECT_TRUE(late.learn(0, old, now));
+  old.ejected_for = {};
+  EXPECT_TRUE(late.restore(0, old, now));
   EXPECT_GT(chosen(late, now), 0);
 }
 
 TEST(LearnedEndpoints, OwnEvidenceOverrulesWhatWasLearned) {
   const TimePoint now(1000s);
   deps::EndpointSet set(two_endpoints());
-  set.started(0);
-  set.succeeded(0, 1ms, now);
-  EXPECT_FALSE(set.learn(0, {10s, 1s, 0s, 3}, now));
-  EXPECT_FALSE(set.ejected(0));
+  set.on_call_started(0);
+  set.on_success(0, 1ms, now);
+  EXPECT_FALSE(set.restore(0, {10s, 1s, 0s, 3}, now));
+  EXPECT_FALSE(set.is_ejected(0));
 }
 
 TEST(LearnedEndpoints, NeverMoreAreLeftAloneThanMayBeEjected) {
   const TimePoint now(1000s);
   deps::EndpointSet set(two_endpoints());
-  EXPECT_TRUE(set.learn(0, {10s, 1s, 0s, 3}, now));
-  EXPECT_TRUE(set.learn(1, {10s, 1s, 0s, 3}, now));
-  EXPECT_EQ(set.count_out(), 1u);
+  EXPECT_TRUE(set.restore(0, {10s, 1s, 0s, 3}, now));
+  EXPECT_TRUE(set.restore(1, {10s, 1s, 0s, 3}, now));
+  EXPECT_EQ(set.ejected_count(), 1u);
 }
 
 TEST(LearnedEndpoints, ASlowOneIsAvoidedAtOnce) {
   const TimePoint now(1000s);
   deps::EndpointSet blind(two_endpoints()), told(two_endpoints());
-  EXPECT_TRUE(told.learn(0, {0s, 800ms, 100ms, 0}, now));
-  EXPECT_TRUE(told.learn(1, {0s, 5ms, 100ms, 0}, now));
+  EXPECT_TRUE(told.restore(0, {0s, 800ms, 100ms, 0}, now));
+  EXPECT_TRUE(told.restore(1, {0s, 5ms, 100ms, 0}, now));
   EXPECT_GT(chosen(blind, now), 20);
   EXPECT_EQ(chosen(told, now), 0);
 }
--- a/tests/typed_config_test.cpp
+++ b/tests/typed_config_test.cpp
@@ -139,7 +139,7 @@
   ASSERT_TRUE(std::holds_alternative<operators::Declared>(declared));
   const auto& d = std::get<operators::Declared>(declared);
   EXPECT_EQ(d.spec.dependencies.size(), 2u);
-  EXPECT_EQ(d.spec.dependencies[0].max_open, 32u);
+  EXPECT_EQ(d.spec.dependencies[0].max_in_flight, 32u);
   EXPECT_EQ(d.spec.gathers[0].parts[1].fallback, "");
   const auto again = operators::read(parsed(print(d.filled)));
   ASSERT_TRUE(std::holds_alternative<operators::Declared>(again));
--- a/tools/fleet/health_check_simulation.h
+++ b/tools/fleet/health_check_simulation.h
@@ -35,7 +35,7 @@
   struct Server {
     std::string name;
     std::unique_ptr<deps::ScatterGather> gatherer;
-    std::vector<std::pair<TimePoint, deps::CallReport>> ends;
+    std::vector<std::pair<TimePoint, deps::CallCompletion>> ends;
     std::vector<membership::EndpointHealth> found;
     bool lives = true;
   };
@@ -68,7 +68,7 @@
           view->peers.push_back(std::move(peer));
         }
         view->agreed = servers;
-        all[n].gatherer->fleet(view, now);
+        all[n].gatherer->on_membership_view(view, now);
       }
       if (gone && now > out_from + 30s) {
         const auto chosen = [&] {
@@ -93,7 +93,7 @@
           ++k;
           continue;
         }
-        s.gatherer->ended(s.ends[k].second, now);
+        s.gatherer->on_call_completed(s.ends[k].second, now);
         s.ends.erase(s.ends.begin() + std::ptrdiff_t(k));
       }
       s.gatherer->tick(now);
@@ -107,11 +107,12 @@
           // Counted once all have noticed: what is left are probes.
           if (out && now >= out_from + 10s) ++calls;
           const bool fails = out || (now >= out_from && call->endpoint != 0);
-          s.ends.push_back({now + 10ms, deps::CallReport{call->id,
-                                                         fails ? deps::CallFate::error : deps::CallFate::ok,
-                                                         10ms,
-                                                         {},
-                                                         std::make_shared<const std::string>("x")}});
+          s.ends.push_back(
+              {now + 10ms, deps::CallCompletion{call->id,
+                                                fails ? deps::CallOutcome::error : deps::CallOutcome::ok,
+                                                10ms,
+                                                {},
+                                                std::make_shared<const std::string>("x")}});
         } else if (const auto* end = std::get_if<deps::GatherEnded>(&a)) {
           s.gatherer->release(end->id);
         }
@@ -119,7 +120,7 @@
     }
     if (now >= out_to && known == TimePoint{}) {
       bool all_back = true;
-      for (auto& s : all) all_back = all_back && (!s.lives || !s.gatherer->out(0));
+      for (auto& s : all) all_back = all_back && (!s.lives || !s.gatherer->is_circuit_open(0));
       if (all_back) known = now;
     }
   }
--- a/tools/standin/dependency_simulation.h
+++ b/tools/standin/dependency_simulation.h
@@ -13,17 +13,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class World {
+class DependencySimulation {
  public:
   struct Reply {
-    CallFate fate = CallFate::ok;
+    CallOutcome outcome = CallOutcome::ok;
     Duration after = milliseconds(10);
     std::optional<Duration> retry_after = std::nullopt;
     bool never = false;
   };
   using Behaviour = std::function<Reply(std::uint32_t dependency, std::uint32_t endpoint, TimePoint now)>;
 
-  World(Spec spec, std::uint64_t seed, bool guarded = true)
+  DependencySimulation(Spec spec, std::uint64_t seed, bool guarded = true)
       : spec_(std::make_shared<Spec>(std::move(spec))), random_(seed), gatherer(spec_, seed, guarded) {}
 
   Behaviour behaviour = [](auto, auto, auto) { return Reply{}; };
@@ -38,7 +38,7 @@
     return id;
   }
   void drop(RequestId id) {
-    gatherer.abandon(id, now);
+    gatherer.cancel(id, now);
     due_.erase(id);
     settle();
   }
@@ -54,7 +54,7 @@
         ends_.pop();
         // MemberMetadata even where it was abandoned: what crosses on the way must do no harm.
         open_.erase(end.report.id);
-        gatherer.ended(end.report, now);
+        gatherer.on_call_completed(end.report, now);
         settle();
       }
       gatherer.tick(now);
@@ -84,7 +84,7 @@
   struct End {
     TimePoint at;
     std::uint64_t order;
-    CallReport report;
+    CallCompletion report;
     bool operator>(const End& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
   void settle() {
@@ -102,9 +102,9 @@
         const auto reply = behaviour(start->dependency, start->endpoint, now);
         if (reply.never) continue;
         ends_.push({now + reply.after, order_++,
-                    CallReport{start->id, reply.fate, reply.after, reply.retry_after,
-                               std::make_shared<const std::string>("data of " + paths.back())}});
-      } else if (const auto* abandon = std::get_if<AbandonCall>(&a)) {
+                    CallCompletion{start->id, reply.outcome, reply.after, reply.retry_after,
+                                   std::make_shared<const std::string>("data of " + paths.back())}});
+      } else if (const auto* abandon = std::get_if<CancelCall>(&a)) {
         if (!open_.erase(abandon->id)) broken.insert("abandoned a call that is not open");
       } else if (const auto* end = std::get_if<GatherEnded>(&a)) {
         const auto due = due_.find(end->id);
@@ -121,12 +121,12 @@
         }
         due_.erase(due);
         gatherer.release(end->id);
-      } else if (const auto* change = std::get_if<DependencyChanged>(&a)) {
-        changes.emplace_back(change->dependency, change->out);
+      } else if (const auto* change = std::get_if<CircuitBreakerChanged>(&a)) {
+        changes.emplace_back(change->dependency, change->is_open);
       }
     }
     for (std::uint32_t d = 0; d < spec_->dependencies.size(); ++d)
-      if (gatherer.open_calls(d) > spec_->dependencies[d].max_open)
+      if (gatherer.in_flight(d) > spec_->dependencies[d].max_in_flight)
         broken.insert("open calls over the limit");
   }
 
