--- a/bench/recovery_sim.cpp
+++ b/bench/recovery_sim.cpp
@@ -28,11 +28,11 @@
   w.behaviour = [&](std::uint32_t, std::uint32_t endpoint, TimePoint now) {
     if (endpoint == 0 && now - start < 10s) ++slow[std::size_t((now - start) / 1s)];
     deps::DependencySimulation::Reply r;
-    r.after = Duration(std::int64_t((endpoint == 0 ? 100'000 : 10'000) * (0.7 + 0.6 * w.roll())));
+    r.after = Duration(std::int64_t((endpoint == 0 ? 100'000 : 10'000) * (0.7 + 0.6 * w.random_fraction())));
     return r;
   };
   for (std::uint64_t n = 0; n < 1000; ++n) {
-    w.ask(n);
+    w.start_request(n);
     w.run_for(10ms);
   }
   return slow;
@@ -48,12 +48,12 @@
   for (std::size_t n = 1; n < members; ++n) {
     deps::DependencySimulation w(spec, seed * 1000 + n);
     play_member(w);
-    if (told.size() < 3) w.gatherer.export_state(told.emplace_back(), w.now);
+    if (told.size() < 3) w.scatter_gather.export_state(told.emplace_back(), w.now);
   }
   nlohmann::ordered_json out{{"members", members}};
   for (const bool blind : {false, true}) {
     deps::DependencySimulation w(spec, seed * 1000);
-    if (!blind) w.gatherer.restore(warm_state::merged(told), w.now);
+    if (!blind) w.scatter_gather.restore(warm_state::merged(told), w.now);
     const auto slow = play_member(w);
     std::size_t after = slow.size();
     while (after > 0 && slow[after - 1] <= 2) --after;
--- a/src/cache_fill_http/server.h
+++ b/src/cache_fill_http/server.h
@@ -1,9 +1,13 @@
-// Where other members ask for what this one fills for the fleet: HTTP/1.1, GET, one question at a time on a
-// connection, only for whoever may ask. A question goes to the module's mailbox, its answer comes back under
-// its tag. docs/recovery.md tells why it is a call like any other to the one who asks.
+// The listener where other members ask this one for the responses whose keys it owns (deps/cache_fill.h):
+// HTTP/1.1, GET, one request at a time per connection, from members only. docs/recovery.md tells why the
+// asking member treats it as a call like any other.
 //
-// Bounds: connections (kMaxConnections), bytes of a question (4 KiB), silence (kIdle), and the time that a
-// question names, of which a fifth more passes before it is answered with 503.
+// A request is handed to the edge under a tag; the edge's reply comes back by reply(). Statuses: 200 with the
+// response, 404 when there is none, 410 for an earlier process, 503 without a reply in time, 400 for what is
+// no cache fill request.
+//
+// Limits: kMaxConnections, 4 KiB of request, 30 s of idleness, 2 s to write, and the timeout that a request
+// names plus a fifth. All members run on the executor's thread.
 #pragma once
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/awaitable.hpp>
@@ -20,33 +24,42 @@
 class CacheFillServer {
  public:
   static constexpr std::size_t kMaxConnections = 32;
-  struct Hooks {  // called on the io thread
-    std::function<bool(const boost::asio::ip::address&)> may_ask;
-    std::function<bool(edge::CacheFillQuery)> ask;  // false: there is no room for it
+
+  // Called on the executor's thread.
+  struct Hooks {
+    std::function<bool(const boost::asio::ip::address&)> is_member;  // whether the address may connect
+    std::function<bool(edge::CacheFillQuery)> submit;                // false: the edge has no capacity for it
   };
-  // Throws boost::system::system_error where it can't be opened.
-  CacheFillServer(const boost::asio::any_io_executor& executor, const boost::asio::ip::tcp::endpoint& at,
+
+  // Throws boost::system::system_error when the address cannot be listened on.
+  CacheFillServer(const boost::asio::any_io_executor& executor, const boost::asio::ip::tcp::endpoint& address,
                   Logger& log);
+  // To be called before serve(). `boot_id`: of this process; requests for another are rejected.
   void start(membership::BootId boot_id, Hooks hooks);
-  std::uint16_t port() const { return door_.local_endpoint().port(); }
+  std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
+  // Accepts connections until close().
   boost::asio::awaitable<void> serve();
-  void reply(edge::CacheFillReply answer);
+  // The edge's reply to a submitted query. No effect after its timeout.
+  void reply(edge::CacheFillReply reply);
   void close();
 
  private:
   using Tcp = boost::asio::ip::tcp;
-  struct Waiting;
-  boost::asio::awaitable<void> converse(Tcp::socket socket);
+  struct PendingQuery;
+  struct Result;
+
+  boost::asio::awaitable<void> serve_connection(Tcp::socket socket);
+  boost::asio::awaitable<Result> handle(const deps::CacheFillRequest& request);
 
   boost::asio::any_io_executor executor_;
   Logger& log_;
-  Tcp::acceptor door_;
+  Tcp::acceptor acceptor_;
   membership::BootId boot_id_{};
   Hooks hooks_;
-  std::map<std::uint64_t, std::shared_ptr<Waiting>> waiting_;  // by tag
-  std::uint64_t next_ = 1;
+  std::map<std::uint64_t, std::shared_ptr<PendingQuery>> pending_;  // by tag
+  std::uint64_t next_tag_ = 1;
   std::size_t connections_ = 0;
-  bool closed_ = false;
+  bool is_closed_ = false;
 };
 
 }  // namespace granitegap::cache_fill_http
--- a/src/deps/cache_fill.cpp
+++ b/src/deps/cache_fill.cpp
@@ -9,111 +9,143 @@
 namespace granitegap::deps {
 namespace {
 
-constexpr std::string_view kFill = "/fill/";
-constexpr std::size_t kMaxPath = 4096, kMaxName = 253;
-constexpr Duration kMaxSpan = std::chrono::hours(24 * 7);
-
-// Up to the next '/', which is taken away too.
-std::string_view cut(std::string_view& text) {
-  const auto at = std::min(text.find('/'), text.size());
-  const auto word = text.substr(0, at);
-  text.remove_prefix(std::min(at + 1, text.size()));
-  return word;
+constexpr std::string_view kTargetPrefix = "/fill/";
+constexpr std::size_t kMaxTargetBytes = 4096, kMaxHostBytes = 253;
+constexpr Duration kMaxDuration = std::chrono::hours(24 * 7);
+constexpr std::uint32_t kMaxBackoffDoublings = 10;
+constexpr int kHexadecimal = 16;
+
+// Removes and returns the text up to the next '/', which is removed too.
+std::string_view take_segment(std::string_view& text) {
+  const auto end = std::min(text.find('/'), text.size());
+  const auto segment = text.substr(0, end);
+  text.remove_prefix(std::min(end + 1, text.size()));
+  return segment;
 }
 
-template <class T>
-bool number(std::string_view text, T& to, int base = 10) {
+template <class Number>
+bool parse_number(std::string_view text, Number& to, int base = 10) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), to, base);
   return error == std::errc{} && end == text.data() + text.size();
 }
 
-bool span(std::string_view text, Duration& to) {
+bool parse_duration(std::string_view text, Duration& to) {
   std::int64_t us = 0;
-  if (!number(text, us) || us < 0 || us > kMaxSpan.count()) return false;
+  if (!parse_number(text, us) || us < 0 || us > kMaxDuration.count()) return false;
   to = Duration(us);
   return true;
 }
 
+// Where a member accepts cache fills; absent when it does not.
+std::optional<EndpointSpec> fill_address_of(const membership::View::Peer& peer) {
+  if (!membership::is_available(peer) || peer.metadata.cache_fill_port == 0) return std::nullopt;
+  char host[INET6_ADDRSTRLEN];
+  const int family = peer.address.v6 ? AF_INET6 : AF_INET;
+  if (!::inet_ntop(family, peer.address.ip.data(), host, sizeof host)) return std::nullopt;
+  return EndpointSpec{host, peer.metadata.cache_fill_port};
+}
+
+bool is_printable(std::string_view text) {
+  return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 127; });
+}
+
 }  // namespace
 
+// ---- KeyOwnerSelector ----
+
 void KeyOwnerSelector::update_view(const membership::View& view) {
-  own_ = view.own_hash;
-  sure_ = membership::can_rely(view) && !view.duplicate;
-  std::vector<Other> fresh;
-  for (const auto& p : view.peers) {
-    if (!membership::serves(p) || p.metadata.fill_port == 0) continue;
-    char host[INET6_ADDRSTRLEN];
-    if (!::inet_ntop(p.address.v6 ? AF_INET6 : AF_INET, p.address.ip.data(), host, sizeof host)) continue;
-    Other o{{p.hash, p.boot_id, {host, p.metadata.fill_port}}, {}, 0};
-    // Of another life nothing is held against it.
-    if (const auto* known = find(p.hash); known && known->owner.boot_id == p.boot_id)
-      o.until = known->until, o.in_a_row = known->in_a_row;
-    fresh.push_back(std::move(o));
+  own_hash_ = view.own_hash;
+  view_is_reliable_ = membership::is_reliable(view) && !view.name_conflict;
+  std::vector<Candidate> candidates;
+  for (const auto& peer : view.peers) {
+    auto address = fill_address_of(peer);
+    if (!address) continue;
+    Candidate candidate{{peer.hash, peer.boot_id, *std::move(address)}, {}, 0};
+    const auto* known = find(peer.hash);
+    if (known && known->owner.boot_id == peer.boot_id) {
+      candidate.skipped_until = known->skipped_until;
+      candidate.consecutive_failures = known->consecutive_failures;
+    }
+    candidates.push_back(std::move(candidate));
   }
-  std::sort(fresh.begin(), fresh.end(),
-            [](const Other& a, const Other& b) { return a.owner.member_hash < b.owner.member_hash; });
-  others_ = std::move(fresh);
+  std::sort(candidates.begin(), candidates.end(),
+            [](const Candidate& a, const Candidate& b) { return a.owner.member_hash < b.owner.member_hash; });
+  candidates_ = std::move(candidates);
 }
 
-KeyOwnerSelector::Other* KeyOwnerSelector::find(std::uint64_t member) {
-  const auto at =
-      std::lower_bound(others_.begin(), others_.end(), member,
-                       [](const Other& o, std::uint64_t hash) { return o.owner.member_hash < hash; });
-  return at != others_.end() && at->owner.member_hash == member ? &*at : nullptr;
+KeyOwnerSelector::Candidate* KeyOwnerSelector::find(std::uint64_t member) {
+  const auto found = std::lower_bound(
+      candidates_.begin(), candidates_.end(), member,
+      [](const Candidate& candidate, std::uint64_t hash) { return candidate.owner.member_hash < hash; });
+  return found != candidates_.end() && found->owner.member_hash == member ? &*found : nullptr;
 }
 
 std::optional<KeyOwner> KeyOwnerSelector::owner_of(std::uint64_t key, TimePoint now) const {
-  if (!sure_) return std::nullopt;
-  const Other* best = nullptr;
-  std::uint64_t most = membership::score(own_, key), whose = own_;
-  for (const auto& o : others_) {
-    if (now < o.until) continue;
-    const auto s = membership::score(o.owner.member_hash, key);
-    if (s < most || (s == most && o.owner.member_hash < whose)) continue;
-    best = &o, most = s, whose = o.owner.member_hash;
+  if (!view_is_reliable_) return std::nullopt;
+  const Candidate* best = nullptr;
+  std::uint64_t best_score = membership::rendezvous_score(own_hash_, key);
+  std::uint64_t best_hash = own_hash_;
+  for (const auto& candidate : candidates_) {
+    if (now < candidate.skipped_until) continue;
+    const auto hash = candidate.owner.member_hash;
+    const auto score = membership::rendezvous_score(hash, key);
+    if (score < best_score || (score == best_score && hash < best_hash)) continue;
+    best = &candidate;
+    best_score = score;
+    best_hash = hash;
   }
   if (!best) return std::nullopt;
   return best->owner;
 }
 
 void KeyOwnerSelector::on_failure(std::uint64_t member, TimePoint now) {
-  auto* o = find(member);
-  if (!o || now < o->until) return;  // of those asked together the first failure counts
-  o->until = now + std::min(kBaseBackoff * (std::int64_t(1) << std::min(o->in_a_row, 10u)), kMaxBackoff);
-  ++o->in_a_row;
+  auto* candidate = find(member);
+  // Of several requests that were in flight together the first failure counts.
+  if (!candidate || now < candidate->skipped_until) return;
+  const auto doublings = std::min(candidate->consecutive_failures, kMaxBackoffDoublings);
+  candidate->skipped_until = now + std::min(kBaseBackoff * (std::int64_t(1) << doublings), kMaxBackoff);
+  ++candidate->consecutive_failures;
 }
 
 void KeyOwnerSelector::on_success(std::uint64_t member) {
-  if (auto* o = find(member)) o->until = {}, o->in_a_row = 0;
+  auto* candidate = find(member);
+  if (!candidate) return;
+  candidate->skipped_until = {};
+  candidate->consecutive_failures = 0;
 }
 
 std::uint64_t cache_fill_key(std::string_view dependency, std::string_view path) {
-  return XXH3_64bits_withSeed(path.data(), path.size(), XXH3_64bits(dependency.data(), dependency.size()));
+  const auto seed = XXH3_64bits(dependency.data(), dependency.size());
+  return XXH3_64bits_withSeed(path.data(), path.size(), seed);
 }
 
-std::string to_request_target(const CacheFillRequest& q) {
+// ---- Requests and responses ----
+
+std::string to_request_target(const CacheFillRequest& request) {
   char boot_id[17];
-  const auto end = std::to_chars(boot_id, boot_id + sizeof boot_id, std::uint64_t(q.target_boot_id), 16).ptr;
-  return std::string(kFill) + std::string(boot_id, end) + "/" + std::to_string(q.max_age.count()) + "/" +
-         std::to_string(q.timeout.count()) + "/" + q.dependency + q.path;
+  const auto id = std::uint64_t(request.target_boot_id);
+  const auto end = std::to_chars(boot_id, boot_id + sizeof boot_id, id, kHexadecimal).ptr;
+  return std::string(kTargetPrefix) + std::string(boot_id, end) + "/" +
+         std::to_string(request.max_age.count()) + "/" + std::to_string(request.timeout.count()) + "/" +
+         request.dependency + request.path;
 }
 
-std::optional<CacheFillRequest> parse_request_target(std::string_view text) {
-  if (!text.starts_with(kFill) || text.size() > kMaxPath) return std::nullopt;
-  text.remove_prefix(kFill.size());
-  CacheFillRequest q;
+std::optional<CacheFillRequest> parse_request_target(std::string_view target) {
+  if (!target.starts_with(kTargetPrefix) || target.size() > kMaxTargetBytes) return std::nullopt;
+  target.remove_prefix(kTargetPrefix.size());
+  CacheFillRequest request;
   std::uint64_t boot_id = 0;
-  if (!number(cut(text), boot_id, 16) || !span(cut(text), q.max_age) || !span(cut(text), q.timeout))
-    return std::nullopt;
-  q.target_boot_id = membership::BootId(boot_id);
-  const auto path = text.find('/');
-  if (path == std::string_view::npos || path == 0 || path > kMaxName) return std::nullopt;
-  q.dependency = text.substr(0, path);
-  q.path = text.substr(path);
-  // Guards against a target that would become more than one line of the call below.
-  for (const char c : q.path)
-    if (c <= ' ' || c >= 127) return std::nullopt;
-  return q;
+  if (!parse_number(take_segment(target), boot_id, kHexadecimal)) return std::nullopt;
+  if (!parse_duration(take_segment(target), request.max_age)) return std::nullopt;
+  if (!parse_duration(take_segment(target), request.timeout)) return std::nullopt;
+  request.target_boot_id = membership::BootId(boot_id);
+  const auto path = target.find('/');
+  if (path == std::string_view::npos || path == 0 || path > kMaxHostBytes) return std::nullopt;
+  request.dependency = target.substr(0, path);
+  request.path = target.substr(path);
+  // The path becomes part of the request line to the dependency: it must not be able to end that line.
+  if (!is_printable(request.path)) return std::nullopt;
+  return request;
 }
 
 std::string encode_fill_body(Duration age, std::string_view body) {
@@ -121,11 +153,12 @@
 }
 
 std::optional<CacheFillResponse> parse_fill_body(const std::string& bytes) {
-  const auto line = bytes.find('\n');
-  CacheFillResponse f;
-  if (line == std::string::npos || !span(std::string_view(bytes).substr(0, line), f.age)) return std::nullopt;
-  f.body = bytes.substr(line + 1);
-  return f;
+  const auto newline = bytes.find('\n');
+  if (newline == std::string::npos) return std::nullopt;
+  CacheFillResponse response;
+  if (!parse_duration(std::string_view(bytes).substr(0, newline), response.age)) return std::nullopt;
+  response.body = bytes.substr(newline + 1);
+  return response;
 }
 
 }  // namespace granitegap::deps
--- a/src/deps/latency_window.cpp
+++ b/src/deps/latency_window.cpp
@@ -2,72 +2,78 @@
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
 
 namespace granitegap::deps {
 namespace {
 
-constexpr double kMinUs = 50, kMaxUs = 60e6;
+constexpr double kMinUs = 50, kMaxUs = 60e6;  // bounds of the axis
 
 }  // namespace
 
-LatencyWindow::LatencyWindow(Duration slice) : axis_(kBins, kMinUs, kMaxUs), slice_(slice) {}
+LatencyWindow::LatencyWindow(Duration slice) : axis_(kBins, kMinUs, kMaxUs), slice_duration_(slice) {}
 
 void LatencyWindow::clear() {
-  for (auto& s : slices_) s.fill(0);
-  totals_.fill(0);
+  for (auto& slice : slices_) slice.fill(0);
+  slice_samples_.fill(0);
   sum_.fill(0);
-  total_ = 0;
+  samples_ = 0;
 }
 
-void LatencyWindow::advance(TimePoint now) {
-  const auto number = now.time_since_epoch() / slice_;
-  if (!started_) {
-    started_ = true;
-    at_ = number;
+// Drops the slices that have left the window.
+void LatencyWindow::expire(TimePoint now) {
+  const auto slice_now = now.time_since_epoch() / slice_duration_;
+  if (!has_started_) {
+    has_started_ = true;
+    current_slice_ = slice_now;
   }
-  if (number <= at_) return;  // a clock that stands still, or back, ages nothing
-  if (number - at_ >= std::int64_t(kSlices)) {
+  if (slice_now <= current_slice_) return;
+  if (slice_now - current_slice_ >= std::int64_t(kSlices)) {
     clear();
-    at_ = number;
+    current_slice_ = slice_now;
     return;
   }
-  while (at_ < number) {
-    const auto i = std::size_t(++at_) % kSlices;
-    for (std::size_t b = 0; b < sum_.size(); ++b) sum_[b] -= slices_[i][b];
-    total_ -= std::exchange(totals_[i], 0);
-    slices_[i].fill(0);
+  while (current_slice_ < slice_now) {
+    ++current_slice_;
+    const auto reused = std::size_t(current_slice_) % kSlices;
+    for (std::size_t bin = 0; bin < sum_.size(); ++bin) sum_[bin] -= slices_[reused][bin];
+    samples_ -= std::exchange(slice_samples_[reused], 0);
+    slices_[reused].fill(0);
   }
 }
 
 void LatencyWindow::record(Duration latency, TimePoint now) {
-  advance(now);
+  expire(now);
   const auto bin = std::size_t(axis_.index(std::max(double(latency.count()), 1.0)) + 1);
-  const auto i = std::size_t(at_) % kSlices;
-  ++slices_[i][bin];
-  ++totals_[i];
+  const auto slice = std::size_t(current_slice_) % kSlices;
+  ++slices_[slice][bin];
+  ++slice_samples_[slice];
   ++sum_[bin];
-  ++total_;
+  ++samples_;
 }
 
 std::uint32_t LatencyWindow::samples(TimePoint now) {
-  advance(now);
-  return total_;
+  expire(now);
+  return samples_;
 }
 
 std::optional<Duration> LatencyWindow::quantile(double q, TimePoint now, std::uint32_t min_samples) {
-  advance(now);
-  if (total_ == 0 || total_ < min_samples) return std::nullopt;
-  const auto rank = std::uint32_t(std::ceil(std::clamp(q, 0.0, 1.0) * total_));
+  expire(now);
+  if (samples_ == 0 || samples_ < min_samples) return std::nullopt;
+  const auto rank = std::max(std::uint32_t(std::ceil(std::clamp(q, 0.0, 1.0) * samples_)), 1u);
   std::uint32_t seen = 0;
-  for (std::size_t b = 0; b < sum_.size(); ++b) {
-    seen += sum_[b];
-    if (seen < std::max(rank, 1u)) continue;
-    // The middle of the bin on its log axis; its bound where it has only one.
-    if (b == 0) return Duration(std::int64_t(kMinUs));
-    if (b > kBins) return Duration(std::int64_t(kMaxUs));
-    return Duration(std::llround(axis_.value(double(b) - 0.5)));
+  for (std::size_t bin = 0; bin < sum_.size(); ++bin) {
+    seen += sum_[bin];
+    if (seen >= rank) return value_of_bin(bin);
   }
   return Duration(std::int64_t(kMaxUs));
 }
 
+// The middle of a bin on the logarithmic axis; the axis's bound for the two bins outside of it.
+Duration LatencyWindow::value_of_bin(std::size_t bin) const {
+  if (bin == 0) return Duration(std::int64_t(kMinUs));
+  if (bin > kBins) return Duration(std::int64_t(kMaxUs));
+  return Duration(std::llround(axis_.value(double(bin) - 0.5)));
+}
+
 }  // namespace granitegap::deps
--- a/src/deps/latency_window.h
+++ b/src/deps/latency_window.h
@@ -1,12 +1,15 @@
 // Quantiles of recent latencies over a sliding window, in fixed memory.
 //
-// A ring of slices, each a histogram on a logarithmic axis (Boost.Histogram); the window is their sum, kept
-// up to date as slices leave. Relative error of a quantile: half a bin, about 5 %. See docs/dependencies.md
-// for what it was measured against.
+// A ring of ten slices, each a histogram on a logarithmic axis (Boost.Histogram) from 50 us to 60 s; their
+// sum is kept up to date as slices expire. A quantile's relative error is half a bin, about 5 %; a latency
+// outside of the axis counts as its bound. docs/dependencies.md has the comparison with other estimators.
+//
+// A value type without clock, used by one thread. A `now` before the newest one seen expires nothing.
 #pragma once
 #include <array>
 #include <boost/histogram/axis/regular.hpp>
 #include <cstdint>
+#include <optional>
 
 #include "granitegap/policy.h"
 
@@ -14,25 +17,29 @@
 
 class LatencyWindow {
  public:
+  // `slice`: how long one of the window's ten slices lasts.
   explicit LatencyWindow(Duration slice = std::chrono::seconds(1));
   void record(Duration latency, TimePoint now);
-  // Absent where the window holds fewer than `min_samples` samples.
+  // `q`: in [0, 1]. Absent when the window holds fewer than `min_samples` samples, or none.
   std::optional<Duration> quantile(double q, TimePoint now, std::uint32_t min_samples = 1);
+  // In the window.
   std::uint32_t samples(TimePoint now);
   void clear();
 
  private:
   static constexpr std::size_t kSlices = 10, kBins = 128;
-  using Counts = std::array<std::uint32_t, kBins + 2>;  // with those under and over the axis
-  void advance(TimePoint now);
+  using Histogram = std::array<std::uint32_t, kBins + 2>;  // with one bin below and one above the axis
+  void expire(TimePoint now);
+  Duration value_of_bin(std::size_t bin) const;
+
   boost::histogram::axis::regular<double, boost::histogram::axis::transform::log> axis_;
-  std::array<Counts, kSlices> slices_{};
-  std::array<std::uint32_t, kSlices> totals_{};
-  Counts sum_{};
-  std::uint32_t total_ = 0;
-  Duration slice_;
-  std::int64_t at_ = 0;  // the present slice's number
-  bool started_ = false;
+  std::array<Histogram, kSlices> slices_{};
+  std::array<std::uint32_t, kSlices> slice_samples_{};
+  Histogram sum_{};
+  std::uint32_t samples_ = 0;
+  Duration slice_duration_;
+  std::int64_t current_slice_ = 0;  // slices since the clock's epoch
+  bool has_started_ = false;
 };
 
 }  // namespace granitegap::deps
--- a/src/deps/path_template.cpp
+++ b/src/deps/path_template.cpp
@@ -5,81 +5,98 @@
 namespace granitegap::deps {
 namespace {
 
-constexpr char kHex[] = "0123456789ABCDEF";
+constexpr char kUpperHex[] = "0123456789ABCDEF";
+constexpr char kLowerHex[] = "0123456789abcdef";
 
-bool unreserved(char c) {  // RFC 3986, 2.3
+bool is_unreserved(char c) {  // RFC 3986, 2.3
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '.' ||
          c == '_' || c == '~';
 }
 
-void encode(std::string_view value, std::string& to) {
+bool is_allowed_in_literal(char c) { return c > ' ' && c < 127 && c != '}' && c != '#'; }
+
+void append_encoded(std::string_view value, std::string& to) {
   for (const char c : value) {
-    if (unreserved(c)) {
+    if (is_unreserved(c)) {
       to += c;
       continue;
     }
     to += '%';
-    to += kHex[std::uint8_t(c) >> 4];
-    to += kHex[std::uint8_t(c) & 15];
+    to += kUpperHex[std::uint8_t(c) >> 4];
+    to += kUpperHex[std::uint8_t(c) & 15];
   }
 }
 
-void encode_hex(std::uint64_t value, std::string& to) {
-  for (int shift = 60; shift >= 0; shift -= 4) to += "0123456789abcdef"[value >> shift & 15];
+void append_hex(std::uint64_t value, std::string& to) {
+  for (int shift = 60; shift >= 0; shift -= 4) to += kLowerHex[value >> shift & 15];
 }
 
 }  // namespace
 
+PathTemplate::Placeholder PathTemplate::placeholder_named(std::string_view name) {
+  if (name == "obj") return Placeholder::obj;
+  if (name == "body") return Placeholder::body;
+  if (name == "class") return Placeholder::cls;
+  if (name == "needed") return Placeholder::needed;
+  return Placeholder::none;
+}
+
 std::variant<PathTemplate, PathTemplate::ParseError> PathTemplate::parse(std::string_view text) {
-  PathTemplate t;
   if (text.empty() || text.front() != '/') return ParseError{"a path begins with /", 0};
+  PathTemplate path;
   std::string literal;
   for (std::size_t i = 0; i < text.size(); ++i) {
     const char c = text[i];
     if (c != '{') {
-      if (c <= ' ' || c >= 127 || c == '}' || c == '#') return ParseError{"a character no path may hold", i};
+      if (!is_allowed_in_literal(c)) return ParseError{"a character no path may hold", i};
       literal += c;
       continue;
     }
     const auto end = text.find('}', i);
-    const auto name = text.substr(i + 1, end == std::string_view::npos ? end : end - i - 1);
-    Placeholder placeholder = Placeholder::none;
-    if (end != std::string_view::npos)
-      placeholder = name == "obj"      ? Placeholder::obj
-                    : name == "body"   ? Placeholder::body
-                    : name == "class"  ? Placeholder::cls
-                    : name == "needed" ? Placeholder::needed
-                                       : Placeholder::none;
+    auto placeholder = Placeholder::none;
+    if (end != std::string_view::npos) placeholder = placeholder_named(text.substr(i + 1, end - i - 1));
     if (placeholder == Placeholder::none) return ParseError{"expected {obj}, {body}, {class} or {needed}", i};
-    t.pieces_.push_back({std::move(literal), placeholder});
+    path.segments_.push_back({std::move(literal), placeholder});
     literal.clear();
     i = end;
   }
-  t.pieces_.push_back({std::move(literal), Placeholder::none});
-  return t;
+  path.segments_.push_back({std::move(literal), Placeholder::none});
+  return path;
 }
 
 bool PathTemplate::expand(const PathVariables& variables, std::string& to, std::size_t max_bytes) const {
   const auto start = to.size();
-  for (const auto& piece : pieces_) {
-    to += piece.literal;
-    if (piece.placeholder == Placeholder::obj) encode_hex(variables.obj, to);
-    if (piece.placeholder == Placeholder::body) encode(variables.body.substr(0, max_bytes), to);
-    if (piece.placeholder == Placeholder::cls) encode(variables.cls, to);
-    if (piece.placeholder == Placeholder::needed) encode(variables.needed.substr(0, max_bytes), to);
+  for (const auto& segment : segments_) {
+    to += segment.literal;
+    switch (segment.placeholder) {
+      case Placeholder::obj:
+        append_hex(variables.obj, to);
+        break;
+      case Placeholder::body:
+        append_encoded(variables.body.substr(0, max_bytes), to);
+        break;
+      case Placeholder::cls:
+        append_encoded(variables.cls, to);
+        break;
+      case Placeholder::needed:
+        append_encoded(variables.needed.substr(0, max_bytes), to);
+        break;
+      case Placeholder::none:
+        break;
+    }
     if (to.size() - start > max_bytes) return false;
   }
-  // What was cut would be another path than the one meant.
-  const bool cut = variables.body.size() > max_bytes || variables.needed.size() > max_bytes;
-  return !cut || std::none_of(pieces_.begin(), pieces_.end(), [&](const auto& p) {
-    return (p.placeholder == Placeholder::body && variables.body.size() > max_bytes) ||
-           (p.placeholder == Placeholder::needed && variables.needed.size() > max_bytes);
-  });
+  // A value that was cut short above makes another path than the one meant.
+  const bool body_was_cut = variables.body.size() > max_bytes && uses(Placeholder::body);
+  const bool needed_was_cut = variables.needed.size() > max_bytes && uses(Placeholder::needed);
+  return !body_was_cut && !needed_was_cut;
 }
 
-bool PathTemplate::uses_needed() const {
-  return std::any_of(pieces_.begin(), pieces_.end(),
-                     [](const auto& p) { return p.placeholder == Placeholder::needed; });
+bool PathTemplate::uses(Placeholder placeholder) const {
+  return std::any_of(segments_.begin(), segments_.end(),
+                     [&](const Segment& segment) { return segment.placeholder == placeholder; });
 }
 
+bool PathTemplate::uses_needed() const { return uses(Placeholder::needed); }
+
 }  // namespace granitegap::deps
--- a/src/deps_http/dependency_client.h
+++ b/src/deps_http/dependency_client.h
@@ -1,9 +1,14 @@
-// Carries calls out over HTTP/1.1 (Boost.Beast): keep-alive connections within bounds, one coroutine a call.
-// What to call and when to give up is decided elsewhere; the bounds here are those of bytes and of silence.
+// Carries out calls to dependencies over HTTP/1.1 (Boost.Beast), one coroutine per call, on keep-alive
+// connections.
+//
+// What to call and when to give up is decided by deps::ScatterGather; here are the limits of bytes, of time
+// without progress and of connections. Redirects are never followed, nothing is retried but a call on a
+// reused connection that the other side had closed.
+//
+// All members run on the executor's thread. Errors are outcomes of the calls (deps::CallOutcome).
 #pragma once
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/awaitable.hpp>
-#include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
 #include <functional>
@@ -11,6 +16,7 @@
 #include <map>
 #include <memory>
 #include <string>
+#include <utility>
 
 #include "edge/types.h"
 
@@ -18,34 +24,53 @@
 
 class DependencyClient {
  public:
-  using Report = std::function<void(deps::CallCompletion)>;
-  // `max_connections`: descriptors, idle ones included; at the bound an idle one makes room, and with none a
-  // call ends as unreachable. `report` is never called for a call that was abandoned.
-  DependencyClient(const boost::asio::any_io_executor& executor, std::size_t max_connections, Report report);
+  using CompletionCallback = std::function<void(deps::CallCompletion)>;
+  // `max_connections`: most descriptors, idle connections included. At the limit an idle connection is closed
+  // for a new one; if there is none, the call ends as unreachable. `on_completed` is called once for every
+  // call that is started and not cancelled.
+  DependencyClient(const boost::asio::any_io_executor& executor, std::size_t max_connections,
+                   CompletionCallback on_completed);
+  DependencyClient(const DependencyClient&) = delete;
+  DependencyClient& operator=(const DependencyClient&) = delete;
   ~DependencyClient();
-  void start(edge::DependencyCall call);
-  // Closes its connection: what is half read can't carry another call.
+
+  void start(edge::DependencyCall request);
+  // Closes the call's connection, as a half-read one cannot carry another call. No effect on unknown ids.
   void cancel(deps::CallId id);
-  void close_all();  // calls and idle connections; nothing is reported or started after it
+  // Closes all calls and connections; nothing is started or reported any more.
+  void close_all();
+
   std::size_t open_calls() const { return calls_.size(); }
+  // Open connections, idle ones included.
   std::size_t connections() const { return connections_; }
-  // Closes connections idle for too long; forever, until close_all().
+
+  // Closes connections that have been idle for too long; runs until close_all().
   boost::asio::awaitable<void> reap_idle_connections();
 
  private:
-  struct Call;
-  struct Idle;
   using Clock = std::chrono::steady_clock;
-  boost::asio::awaitable<deps::CallCompletion> carry_out(std::shared_ptr<Call> call);
-  bool make_room();
+  using Address = std::pair<std::string, std::uint16_t>;
+  struct Call;
+  struct Exchange;
+  struct IdleConnection;
+
+  boost::asio::awaitable<deps::CallCompletion> execute(std::shared_ptr<Call> call);
+  boost::asio::awaitable<void> perform(Call& call, deps::CallCompletion& completion);
+  boost::asio::awaitable<bool> connect(Call& call);
+  static boost::asio::awaitable<Exchange> exchange(Call& call);
+  void complete(Call& call, Exchange& exchange, deps::CallCompletion& completion);
+  bool take_idle_connection(Call& call);
+  void drop_connection(Call& call);
+  bool make_room_for_connection();
+
   boost::asio::any_io_executor executor_;
-  boost::asio::steady_timer look_;
-  std::size_t most_;
-  Report report_;
+  boost::asio::steady_timer reap_timer_;
+  std::size_t max_connections_;
+  CompletionCallback on_completed_;
   std::map<deps::CallId, std::shared_ptr<Call>> calls_;
-  std::map<std::pair<std::string, std::uint16_t>, std::list<Idle>> idle_;
+  std::map<Address, std::list<IdleConnection>> idle_;  // the one used last at the back
   std::size_t connections_ = 0;
-  bool closed_ = false;
+  bool is_closed_ = false;
 };
 
 }  // namespace granitegap::deps_http
--- a/tools/fleet/process_fleet.cpp
+++ b/tools/fleet/process_fleet.cpp
@@ -348,17 +348,17 @@
   return on_io([&] { return network_->fault_injector().seen(); });
 }
 
-std::optional<membership_udp::Reply> Fleet::view(const std::string& name,
-                                                 std::chrono::milliseconds within) const {
+std::optional<membership_udp::StatusReply> Fleet::view(const std::string& name,
+                                                       std::chrono::milliseconds within) const {
   const auto& p = at(name);
   if (!p.pid || p.status || p.paused) return std::nullopt;
-  return membership_udp::ask(membership_udp::address_of(p.bound), within);
+  return membership_udp::query_status(membership_udp::address_of(p.bound), within);
 }
 
 std::optional<Status> Fleet::holds(const std::string& who, const std::string& of) const {
   const auto v = view(who);
   if (!v) return std::nullopt;
-  for (const auto& l : v->lines)
+  for (const auto& l : v->members)
     if (l.name == of) return l.status;
   return std::nullopt;
 }
@@ -374,7 +374,7 @@
                       ended.si_pid == p.pid;
     all += name + (p.status || gone ? " (ended)" : p.paused ? " (paused)" : "") + ":";
     if (const auto v = gone ? std::nullopt : view(name))
-      for (const auto& l : v->lines)
+      for (const auto& l : v->members)
         all += " " + l.name + "/" + std::to_string(l.incarnation) + " " + membership::text_of(l.status) + ",";
     all += "\n" + text + "\n";
   }
@@ -401,7 +401,7 @@
     const auto v = view(name);
     if (!v) return false;
     Names alive;
-    for (const auto& l : v->lines)
+    for (const auto& l : v->members)
       if (l.status == Status::alive) alive.insert(l.name);
     if (alive != living) return false;
   }
