--- a/src/cache_fill_http/server.cpp
+++ b/src/cache_fill_http/server.cpp
@@ -9,7 +9,7 @@
 #include <boost/beast/core/tcp_stream.hpp>
 #include <boost/beast/http.hpp>
 
-#include "net/accept.h"
+#include "net/accept_loop.h"
 
 namespace granitegap::cache_fill_http {
 namespace {
@@ -68,16 +68,16 @@
 
 asio::awaitable<void> CacheFillServer::serve() {
   // A named variable: GCC 12 destroys a temporary in a co_await expression twice.
-  const net::Take accept = [this](Tcp::socket socket, const asio::ip::address& from) {
+  const net::ConnectionHandler accept = [this](Tcp::socket socket, const asio::ip::address& from) {
     // Over the limit a member is refused and calls the dependency itself.
     if (connections_ < kMaxConnections && hooks_.is_member(from))
       asio::co_spawn(executor_, serve_connection(std::move(socket)), asio::detached);
   };
-  co_await net::accept_each(acceptor_, is_closed_, accept);
+  co_await net::accept_connections(acceptor_, is_closed_, accept);
 }
 
 asio::awaitable<void> CacheFillServer::serve_connection(Tcp::socket socket) {
-  const net::Counted counted(connections_);
+  const net::ScopedCount counted(connections_);
   error_code error;
   socket.set_option(Tcp::no_delay(true), error);
   beast::tcp_stream stream(std::move(socket));
