--- a/bench/recovery_sim.cpp
+++ b/bench/recovery_sim.cpp
@@ -53,7 +53,7 @@
   nlohmann::ordered_json out{{"members", members}};
   for (const bool blind : {false, true}) {
     deps::DependencySimulation w(spec, seed * 1000);
-    if (!blind) w.scatter_gather.restore(warm_state::merged(told), w.now);
+    if (!blind) w.scatter_gather.restore(warm_state::merge(told), w.now);
     const auto slow = play_member(w);
     std::size_t after = slow.size();
     while (after > 0 && slow[after - 1] <= 2) --after;
--- a/src/deps/scatter_gather_fleet.cpp
+++ b/src/deps/scatter_gather_fleet.cpp
@@ -183,17 +183,17 @@
     warm_state::CachedResponse response{dependencies_[entry.dependency].spec.name, *entry.path, entry.body,
                                         std::max(now - entry.stored_at, Duration{})};
     const bool is_useful = response.age < loaded_->max_useful_age(entry.dependency);
-    if (!warm_state::fits(response) || !is_useful) continue;
-    bytes += warm_state::bytes_of(response);
-    if (bytes > warm_state::kMaxPartBytes || to.parts.size() >= warm_state::kMaxParts) break;
-    to.parts.push_back(std::move(response));
+    if (!warm_state::is_within_limits(response) || !is_useful) continue;
+    bytes += warm_state::size_of(response);
+    if (bytes > warm_state::kMaxCachedResponseBytes || to.cached_responses.size() >= warm_state::kMaxCachedResponses) break;
+    to.cached_responses.push_back(std::move(response));
   }
 }
 
 ScatterGather::Restored ScatterGather::restore(const warm_state::WarmState& from, TimePoint now) {
   Restored restored;
   // From the coldest to the hottest, so that the hottest is the newest in the cache.
-  for (auto response = from.parts.rbegin(); response != from.parts.rend(); ++response)
+  for (auto response = from.cached_responses.rbegin(); response != from.cached_responses.rend(); ++response)
     restored.responses += restore_response(*response, now);
   for (const auto& endpoint : from.endpoints) restored.endpoints += restore_endpoint(endpoint, now);
   return restored;
@@ -218,7 +218,7 @@
 // The number of endpoints taken over: 0 or 1.
 std::size_t ScatterGather::restore_endpoint(const warm_state::Endpoint& endpoint, TimePoint now) {
   const EndpointSpec address{endpoint.host, endpoint.port};
-  const EndpointStats stats{endpoint.out_for, endpoint.latency, endpoint.heard_ago, endpoint.times_out};
+  const EndpointStats stats{endpoint.ejected_for, endpoint.latency, endpoint.latency_age, endpoint.consecutive_ejections};
   std::size_t restored = 0;
   for (auto& dependency : dependencies_) {
     if (dependency.spec.name != endpoint.dependency) continue;
--- a/tests/scatter_gather_test.cpp
+++ b/tests/scatter_gather_test.cpp
@@ -200,10 +200,10 @@
   before.run_for(seconds(1));
   warm_state::WarmState what;
   before.scatter_gather.export_state(what, before.now);
-  ASSERT_EQ(what.parts.size(), 4u);
+  ASSERT_EQ(what.cached_responses.size(), 4u);
 
   DependencySimulation after(spec, 2);  // another seed: other cache keys
-  EXPECT_EQ(after.scatter_gather.restore(warm_state::aged(what, seconds(2)), after.now).responses, 4u);
+  EXPECT_EQ(after.scatter_gather.restore(warm_state::age_by(what, seconds(2)), after.now).responses, 4u);
   const auto fresh = after.start_request(7);
   EXPECT_EQ(statuses_of(after, fresh), (std::vector{S::fresh, S::fresh}));
   EXPECT_EQ(after.outcomes[fresh].bodies[0], "data of /e/0000000000000007");
@@ -219,8 +219,8 @@
   EXPECT_EQ(after.scatter_gather.restore(what, after.now - seconds(30)).responses, 0u);
   // Beyond every declared age, or with an unknown age, nothing is restored.
   DependencySimulation late(spec, 3);
-  EXPECT_EQ(late.scatter_gather.restore(warm_state::aged(what, seconds(61)), late.now).responses, 0u);
-  EXPECT_EQ(late.scatter_gather.restore(warm_state::aged(what, std::nullopt), late.now).responses, 0u);
+  EXPECT_EQ(late.scatter_gather.restore(warm_state::age_by(what, seconds(61)), late.now).responses, 0u);
+  EXPECT_EQ(late.scatter_gather.restore(warm_state::age_by(what, std::nullopt), late.now).responses, 0u);
   expect_no_violations(after);
 }
 
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -54,7 +54,7 @@
 // The state in snapshot.bin and in transfer_response.bin.
 warm_state::WarmState stored_state() {
   warm_state::WarmState state;
-  state.by = kName;
+  state.process_name = kName;
   state.boot_id = kBootId;
   state.endpoints = {
       {"elevation.example.org", "192.0.2.10", 9001, 5s + 250us, 2, 80ms, 1500ms},
@@ -62,7 +62,7 @@
       {"labels.example.org", "198.51.100.3", 1, 0s, 4294967295u, 0s, 0s},
   };
   state.members = {ipv4_member(), ipv6_member()};
-  state.parts = {
+  state.cached_responses = {
       {"elevation.example.org", "/e?r=1", body("up and down"), 3s + 1us},
       {"labels.example.org", "/l/\xc3\xa9", body(std::string("\0\x01\xff binary", 10)), 0s},
   };
@@ -154,12 +154,12 @@
 recovery::TransferResponse stored_response() {
   recovery::TransferResponse response;
   response.nonce = kNonce;
-  response.by = kName;
+  response.donor = kName;
   response.boot_id = membership::BootId(kBootId);
   response.in_service = true;
-  response.sure = true;
+  response.view_certain = true;
   response.view_age = 1234ms;
-  response.what = stored_state();
+  response.state = stored_state();
   return response;
 }
 
@@ -169,12 +169,12 @@
   const auto& response = std::get<recovery::TransferResponse>(decoded);
   const auto expected = stored_response();
   EXPECT_EQ(response.nonce, expected.nonce);
-  EXPECT_EQ(response.by, expected.by);
+  EXPECT_EQ(response.donor, expected.donor);
   EXPECT_EQ(response.boot_id, expected.boot_id);
   EXPECT_EQ(response.in_service, expected.in_service);
-  EXPECT_EQ(response.sure, expected.sure);
+  EXPECT_EQ(response.view_certain, expected.view_certain);
   EXPECT_EQ(response.view_age, expected.view_age);
-  EXPECT_EQ(response.what, expected.what);
+  EXPECT_EQ(response.state, expected.state);
 }
 
 TEST(StoredTransferResponse, IsWrittenWithTheSameBytes) {
