--- a/bench/recovery_sim.cpp
+++ b/bench/recovery_sim.cpp
@@ -76,18 +76,21 @@
   app.add_option("--seeds", seeds, "So many plays, one seed after the other")->check(CLI::Range(1, 1000));
   app.add_option("--size", o.servers, "Servers")->check(CLI::Range(2, 5000));
   app.add_option("--load", o.load, "First tries, of what all warm cores can do")->check(CLI::Range(0.1, 2.0));
-  app.add_option("--struck", o.struck, "Share that restarts")->check(CLI::Range(0.0, 1.0));
+  app.add_option("--struck", o.restarted_share, "Share that restarts")->check(CLI::Range(0.0, 1.0));
   app.add_option("--members", members, "Of the fleet that the newcomer comes to")->check(CLI::Range(2, 64));
   app.add_flag("--only-newcomer", only_newcomer, "Leave the return out");
   CLI11_PARSE(app, argc, argv);
-  nlohmann::ordered_json out{
-      {"seed", o.seed}, {"seeds", seeds}, {"size", o.servers}, {"load", o.load}, {"struck", o.struck}};
+  nlohmann::ordered_json out{{"seed", o.seed},
+                             {"seeds", seeds},
+                             {"size", o.servers},
+                             {"load", o.load},
+                             {"struck", o.restarted_share}};
   const auto first = o.seed;
   for (auto seed = first; seed < first + seeds; ++seed)
     out["newcomer"].push_back(granitegap::play_newcomer(seed, members));
   for (const bool guided : {true, false}) {
     if (only_newcomer) break;
-    o.guided = guided;
+    o.with_recovery = guided;
     std::uint64_t stayed = 0, on_the_way = 0;
     double lost = 0, slowest = 0, runs = 0, answered = 0, over = 0;
     nlohmann::ordered_json full = nlohmann::ordered_json::array(), series;
@@ -95,14 +98,14 @@
       const auto f = granitegap::fleet::simulate_recovery(o);
       stayed += f.full_service_s < 0;
       slowest = std::max(slowest, f.full_service_s);
-      lost += f.lost / double(seeds);
+      lost += f.lost_s / double(seeds);
       runs += double(f.runs);
       answered += double(f.answered);
-      over = std::max(over, f.max_over_proven);
-      on_the_way += f.still_on_the_way;
+      over = std::max(over, f.max_advertised_over_verified);
+      on_the_way += f.not_in_service_at_end;
       full.push_back(f.full_service_s);
       if (o.seed == first)
-        for (const double s : f.served) series.push_back(int(1000 * s / f.before) / 1000.0);
+        for (const double s : f.served) series.push_back(int(1000 * s / f.served_per_second_before) / 1000.0);
     }
     out[guided ? "guided" : "plain"] = {{"full_service_s", full},
                                         {"slowest_s", slowest},
