--- a/src/deps_http/dependency_client.cpp
+++ b/src/deps_http/dependency_client.cpp
@@ -69,7 +69,7 @@
 
 Request http_request_for(const edge::DependencyCall& call) {
   Request request(http::verb::get, call.path, kHttpVersion);
-  request.set(http::field::host, call.name);
+  request.set(http::field::host, call.dependency);
   request.set(http::field::accept_encoding, "identity");
   return request;
 }
@@ -91,7 +91,7 @@
       : request(std::move(call)),
         http_request(http_request_for(request)),
         stream(std::make_unique<beast::tcp_stream>(executor)) {}
-  Address address() const { return {request.to.host, request.to.port}; }
+  Address address() const { return {request.endpoint.host, request.endpoint.port}; }
 
   edge::DependencyCall request;
   Request http_request;
@@ -201,9 +201,9 @@
 asio::awaitable<bool> DependencyClient::connect(Call& call) {
   if (!make_room_for_connection()) co_return false;
   error_code error;
-  const auto address = asio::ip::make_address(call.request.to.host, error);
+  const auto address = asio::ip::make_address(call.request.endpoint.host, error);
   if (error) co_return false;
-  const tcp::endpoint endpoint(address, call.request.to.port);
+  const tcp::endpoint endpoint(address, call.request.endpoint.port);
   ++connections_;
   call.is_connected = true;
   call.stream->expires_after(call.request.io_timeout);
--- a/src/kernel/line_codec.h
+++ b/src/kernel/line_codec.h
@@ -41,7 +41,7 @@
 struct Notice {
   std::uint64_t sequence = 0;  // from 1; 0: not numbered
   std::variant<edge::KernelStarted, edge::RunReport, edge::DependencyCallRequested, edge::CommandRejected,
-               SystemInfo, edge::DeepCheckDone, IgnoredNotice, DecodeError>
+               SystemInfo, edge::DeepHealthCheckResult, IgnoredNotice, DecodeError>
       content;
 };
 
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -211,7 +211,7 @@
 }
 
 bool ClientConnection::handle(edge::Request& request) {
-  const auto stream = request.from.stream;
+  const auto stream = request.reply_to.stream;
   if (!claim_stream(stream)) return false;
   malformed_in_a_row_ = 0;
   const bool under_limit = open_streams_.size() < frames::kMaxOpenRequests;
@@ -222,7 +222,7 @@
 
 bool ClientConnection::handle(edge::HealthCheck& check) {
   ++pending_health_checks_;
-  if (!inputs_.post(check)) deliver(edge::HealthAnswer{check.from, false, load_hint_});
+  if (!inputs_.post(check)) deliver(edge::HealthResponse{check.reply_to, false, load_hint_});
   return true;
 }
 
@@ -245,8 +245,8 @@
 
 // Through the edge's mailbox where it has capacity, so that this answer too carries the current load hint.
 void ClientConnection::reject_request(std::uint32_t stream) {
-  if (inputs_.post(edge::UnusableRequest{{id_, stream}})) return;
-  deliver(edge::Answer{{id_, stream}, edge::Outcome::refused, nullptr, load_hint_, {}, false});
+  if (inputs_.post(edge::MalformedRequest{{id_, stream}})) return;
+  deliver(edge::Response{{id_, stream}, edge::Outcome::rejected, nullptr, load_hint_, {}, false});
 }
 
 asio::awaitable<void> ClientConnection::write() {
@@ -272,11 +272,11 @@
 std::string ClientConnection::encode(const std::vector<OutgoingMessage>& messages) {
   std::string bytes;
   const Overloaded append{
-      [&](const edge::Answer& answer) {
+      [&](const edge::Response& answer) {
         // A stream has one answer: for a second one it is no longer open.
         if (open_streams_.erase(answer.to.stream)) frames::encode(answer, bytes);
       },
-      [&](const edge::HealthAnswer& answer) {
+      [&](const edge::HealthResponse& answer) {
         if (pending_health_checks_ > 0) --pending_health_checks_;
         frames::encode(answer, bytes);
       },
--- a/src/partial_response/compose.cpp
+++ b/src/partial_response/compose.cpp
@@ -65,23 +65,23 @@
 
 }  // namespace
 
-edge::Product compose(std::string result, const std::vector<edge::GatheredPart>& parts,
+edge::Payload compose(std::string result, const std::vector<edge::GatheredPart>& parts,
                       std::size_t max_bytes) {
   const auto included = choose_parts(result.size(), parts, max_bytes);
-  edge::Product product;
+  edge::Payload payload;
   PartialAnswer answer;
   answer.set_result(std::move(result));
   for (std::size_t i = 0; i < parts.size(); ++i) {
     auto& part = *answer.add_parts();
     part.set_name(parts[i].name);
-    append_name(included[i] ? product.parts : product.missing, parts[i].name);
+    append_name(included[i] ? payload.present_parts : payload.missing_parts, parts[i].name);
     if (!included[i]) continue;
     part.set_status(status_of(parts[i].status));
     part.set_age_ms(age_ms(parts[i].age));
     part.set_data(*parts[i].body);
   }
-  answer.SerializeToString(&product.bytes);
-  return product;
+  answer.SerializeToString(&payload.bytes);
+  return payload;
 }
 
 }  // namespace granitegap::partial_response
--- a/src/partial_response/compose.h
+++ b/src/partial_response/compose.h
@@ -12,7 +12,7 @@
 // A serialized granitegap.PartialAnswer (partial_answer.proto), and the names of the parts that it contains
 // and lacks. Parts are dropped, the largest first, until the message fits into `max_bytes`; the result never
 // is.
-edge::Product compose(std::string result, const std::vector<edge::GatheredPart>& parts,
+edge::Payload compose(std::string result, const std::vector<edge::GatheredPart>& parts,
                       std::size_t max_bytes);
 
 }  // namespace granitegap::partial_response
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -32,7 +32,7 @@
   ListenerFixture() {
     catalog.classes = {"tile"};
     catalog.tenants = {"turistaterkep"};
-    catalog.keyed = {false};
+    catalog.key_required = {false};
     asio::co_spawn(io, listener.run(), asio::detached);
     asio::co_spawn(
         io,
@@ -82,8 +82,8 @@
     const auto had = client.available();
     write(client, kHealthCheckFrame);
     run_until([&] { return messages.size() > before; });
-    const auto to = std::get<edge::HealthCheck>(messages.back()).from;
-    listener.deliver(to, edge::HealthAnswer{to, true, {}});
+    const auto to = std::get<edge::HealthCheck>(messages.back()).reply_to;
+    listener.deliver(to, edge::HealthResponse{to, true, {}});
     run_until([&] { return client.available() > had; });
   }
   // Clients whose connections the door has ended: their check's answer, perhaps a word to go, then the end.
@@ -190,8 +190,8 @@
   auto& client = fixture.connect();
   fixture.write(client, request(1));
   fixture.run_until([&] { return fixture.count_requests() == 1; });
-  const auto from = std::get<edge::Request>(fixture.messages.back()).from;
-  fixture.listener.deliver(from, edge::Answer{from, edge::Outcome::refused, nullptr, 1.0, {}, false});
+  const auto from = std::get<edge::Request>(fixture.messages.back()).reply_to;
+  fixture.listener.deliver(from, edge::Response{from, edge::Outcome::rejected, nullptr, 1.0, {}, false});
   fixture.run_until([&] { return client.available() > 0; });
   const auto answer = client.available();
   fixture.write(client, request(2));  // crosses the end: nobody will read it
