--- a/src/deps/endpoints.h
+++ b/src/deps/endpoints.h
@@ -1,74 +1,103 @@
-// The addresses of one dependency: which one a call goes to, and which are out for a while.
+// Load balancing and outlier detection over the endpoints of one dependency.
 //
-//            failures in a row                 its time is over
-//   in  ----------------------->  ejected  ----------------------> half open (one call through)
-//    ^                                ^                               |            |
-//    |  slow start: its share grows   |            it fails           |            | it succeeds
-//    +--------------------------------|-------------------------------|------------+
-//                                     +-------------------------------+
+// Balancing: power of two choices (Mitzenmacher 2001) by peak-EWMA load score, as in Finagle: the decayed
+// peak latency times the attempts in flight. Outlier detection: consecutive failures eject an endpoint, after
+// which one trial attempt (half-open) decides, and a slow start limits its share, as in Envoy.
+//
+//             consecutive failures              ejection time over
+//   healthy ------------------------> ejected ----------------------> half_open (one attempt)
+//      ^                                 ^                              |           |
+//      |  slow start                     |           failure            |           | success
+//      +---------------------------------|------------------------------|-----------+
+//                                        +------------------------------+
+//
+// A value type without clock or I/O, used by one thread. Indices stay valid until update() replaces a removed
+// endpoint.
 #pragma once
 #include <cstdint>
 #include <optional>
-#include <string>
 #include <vector>
 
 #include "deps/spec.h"
 
 namespace granitegap::deps {
 
+// What is known of one endpoint, as passed on to another process.
+struct EndpointStats {
+  Duration ejected_for{};       // what is left of its ejection; zero: not ejected
+  Duration latency{};           // recent peak; zero: unknown
+  Duration sample_age{};        // since the newest latency sample
+  std::uint32_t ejections = 0;  // in a row; each doubles the next ejection's duration
+};
+
 class EndpointSet {
  public:
   using Index = std::uint32_t;
   explicit EndpointSet(const DependencySpec& spec);
 
-  // Two candidates by chance, the one with the less decayed peak latency times open calls. An ejected
-  // endpoint whose time is over goes first, with one call. `not_this`: where another try of the same call is;
-  // heeded while there is any other. `random`: two numbers in [0, 1). Absent where no endpoint is left.
-  std::optional<Index> pick(TimePoint now, double random1, double random2,
-                            std::optional<Index> not_this = std::nullopt);
-  void started(Index i);
-  void succeeded(Index i, Duration took, TimePoint now);
-  void failed(Index i, TimePoint now);
-  void abandoned(Index i);              // its end is nobody's fault and tells nothing
-  void hold(Index i, TimePoint until);  // it asked to be left alone
-  // The dependency is back from an outage: all get their chance, none at full share.
-  void all_back(TimePoint now);
-  // Keeps what is known of those that stay. One that goes is picked no more, and its place is freed once its
-  // calls have ended.
-  void change(const DependencySpec& spec);
+  // The endpoint for the next attempt; absent when none is available. An ejected endpoint whose time is over
+  // is returned first, as half-open. `avoid`: where another attempt of the same call is; returned only when
+  // there is no alternative. `random1`, `random2`: independent draws from [0, 1).
+  [[nodiscard]] std::optional<Index> pick(TimePoint now, double random1, double random2,
+                                          std::optional<Index> avoid = std::nullopt);
 
-  const EndpointSpec& address(Index i) const { return all_[i].address; }
-  bool ejected(Index i) const { return all_[i].state != State::in; }
-  std::size_t count_out() const;
-  // What is known of one, for another life or process; absent where nothing is.
-  struct Known {
-    Duration out_for{}, latency{}, heard_ago{};
-    std::uint32_t times_out = 0;
-  };
-  std::optional<Known> known(Index i, TimePoint now) const;
-  // Only where nothing of one's own is known yet: own evidence overrules what was learned, whichever came
-  // first.
-  bool learn(Index i, const Known& known, TimePoint now);
-  std::size_t places() const { return all_.size(); }  // those that went among them
-  bool gone(Index i) const { return all_[i].state == State::gone; }
+  // Every on_call_started() is followed by exactly one of the other three.
+  void on_call_started(Index i);
+  void on_success(Index i, Duration took, TimePoint now);
+  void on_failure(Index i, TimePoint now);
+  // An attempt ended without evidence for or against the endpoint.
+  void on_cancelled(Index i);
+
+  // The endpoint sent Retry-After: it is not picked before `until`.
+  void set_retry_after(Index i, TimePoint until);
+  // The dependency is back after an outage: ejections end now and every endpoint begins a slow start.
+  void begin_slow_start(TimePoint now);
+
+  // Takes a new list of endpoints. State of those that stay is kept; one that is gone is no longer picked,
+  // and its slot is reused once its attempts have ended.
+  void update(const DependencySpec& spec);
+
+  const EndpointSpec& address(Index i) const { return endpoints_[i].address; }
+  // True for every endpoint that is not healthy: ejected, half-open or removed.
+  bool is_ejected(Index i) const { return endpoints_[i].state != State::healthy; }
+  bool is_removed(Index i) const { return endpoints_[i].state == State::removed; }
+  // Ejected and half-open endpoints.
+  std::size_t ejected_count() const;
+  // Indices run from 0 to here, removed endpoints included.
+  std::size_t slot_count() const { return endpoints_.size(); }
+
+  // What is known of one endpoint; absent when nothing is.
+  std::optional<EndpointStats> stats(Index i, TimePoint now) const;
+  // Takes over what another process knew; false, and without effect, when there is evidence of this one's
+  // own.
+  bool restore(Index i, const EndpointStats& stats, TimePoint now);
 
  private:
-  enum class State : std::uint8_t { in, ejected, half_open, gone };
+  enum class State : std::uint8_t { healthy, ejected, half_open, removed };
   struct Endpoint {
     EndpointSpec address;
-    State state = State::in;
-    std::uint32_t open = 0, in_a_row = 0, times_out = 0;
-    double peak_us = 0;  // decays towards the newest answers, jumps up at once
-    TimePoint heard{}, until{}, back_at{}, held_until{};
-    bool slow_start = false;
+    State state = State::healthy;
+    std::uint32_t in_flight = 0, consecutive_failures = 0, ejections = 0;
+    double peak_us = 0;  // decays towards new samples, rises to a higher one at once; 0: no sample
+    TimePoint last_sample{}, ejected_until{}, slow_start_began{}, retry_after{};
+    bool in_slow_start = false;
   };
-  double cost(const Endpoint& e, TimePoint now) const;
-  void eject(Endpoint& e, TimePoint now);
-  bool may_eject() const;  // one more
-  std::vector<Endpoint> all_;
-  bool all_in_ = true;  // none out, held or gone: a candidate is found without a search
-  double max_ejected_ = 0.5;
-  Duration eject_for_{}, max_eject_{}, slow_start_{};
+  static void end_call(Endpoint& endpoint);
+  bool is_available(const Endpoint& endpoint, TimePoint now) const;
+  double load_score(const Endpoint& endpoint, TimePoint now) const;
+  Index less_loaded(Index a, Index b, TimePoint now) const;
+  Index pick_among_all(TimePoint now, double random1, double random2, std::optional<Index> avoid) const;
+  std::optional<Index> pick_by_scan(TimePoint now, double random1, double random2,
+                                    std::optional<Index> avoid) const;
+  std::optional<Index> begin_trial(TimePoint now, std::optional<Index> avoid);
+  void eject(Endpoint& endpoint, TimePoint now);
+  bool may_eject_another() const;
+  Endpoint& free_slot();
+
+  std::vector<Endpoint> endpoints_;
+  bool all_available_ = true;  // none ejected, removed or under Retry-After: pick() needs no scan
+  double max_ejection_ratio_ = 0.5;
+  Duration base_ejection_time_{}, max_ejection_time_{}, slow_start_window_{};
 };
 
 }  // namespace granitegap::deps
--- a/src/deps/response_cache.cpp
+++ b/src/deps/response_cache.cpp
@@ -8,189 +8,226 @@
 namespace granitegap::deps {
 namespace {
 
-constexpr std::size_t kEntryBytes = 200;  // an entry's own: its slot, index and the string's head
+constexpr std::size_t kEntryOverheadBytes =
+    200;  // of an entry: its slot, its index cell and the string headers
+constexpr std::size_t kTypicalBodyBytes = 1024;  // determines the sketch's size and the smallest window
 constexpr double kWindowShare = 0.01, kProtectedShare = 0.8;
-constexpr std::size_t kUsualEntry = 1024;  // by which the sketch is sized
+constexpr std::size_t kCountersPerEntry = 4, kMinCounters = 64;
 constexpr unsigned kRows = 4;
 constexpr std::uint8_t kMaxCount = 15;
+constexpr std::size_t kSamplesPerCounter = 10;  // after so many the counters are halved
 
 }  // namespace
 
-Key key_of(std::size_t dependency, std::string_view path, std::uint64_t seed) {
+CacheKey cache_key(std::size_t dependency, std::string_view path, std::uint64_t seed) {
   const auto hash = XXH3_128bits_withSeed(path.data(), path.size(), seed ^ mix_bits(dependency + 1));
   return {hash.high64, hash.low64};
 }
 
+// ---- FrequencySketch ----
+
 FrequencySketch::FrequencySketch(std::size_t counters)
-    : nibbles_(std::bit_ceil(std::max<std::size_t>(counters, 64)) * kRows),
-      mask_(nibbles_.size() / kRows - 1) {}
+    : counters_(std::bit_ceil(std::max(counters, kMinCounters)) * kRows),
+      mask_(counters_.size() / kRows - 1) {}
 
-std::size_t FrequencySketch::slot(const Key& key, unsigned row) const {
+std::size_t FrequencySketch::index_of(const CacheKey& key, unsigned row) const {
   return std::size_t(mix_bits(key.low + row * key.high) & mask_) * kRows + row;
 }
 
-void FrequencySketch::note(const Key& key) {
-  const auto least = estimate(key);
-  if (least < kMaxCount)
-    for (unsigned row = 0; row < kRows; ++row)
-      if (auto& n = nibbles_[slot(key, row)]; n == least) ++n;  // conservative update: fewer overcounts
-  if (++samples_ < 10 * (mask_ + 1)) return;
-  for (auto& n : nibbles_) n /= 2;  // what was popular long ago must not rule for good
+void FrequencySketch::record(const CacheKey& key) {
+  const auto count = estimate(key);
+  if (count < kMaxCount) {
+    // Conservative update: only the smallest counters grow, which overestimates less.
+    for (unsigned row = 0; row < kRows; ++row) {
+      auto& counter = counters_[index_of(key, row)];
+      if (counter == count) ++counter;
+    }
+  }
+  ++samples_;
+  if (samples_ >= kSamplesPerCounter * (mask_ + 1)) halve();
+}
+
+// Aging: what was popular long ago must not stay for good.
+void FrequencySketch::halve() {
+  for (auto& counter : counters_) counter /= 2;
   samples_ /= 2;
 }
 
-std::uint32_t FrequencySketch::estimate(const Key& key) const {
-  std::uint8_t least = kMaxCount;
-  for (unsigned row = 0; row < kRows; ++row) least = std::min(least, nibbles_[slot(key, row)]);
-  return least;
+std::uint32_t FrequencySketch::estimate(const CacheKey& key) const {
+  std::uint8_t smallest = kMaxCount;
+  for (unsigned row = 0; row < kRows; ++row) smallest = std::min(smallest, counters_[index_of(key, row)]);
+  return smallest;
 }
 
+// ---- ResponseCache: the lists ----
+
 ResponseCache::ResponseCache(std::size_t max_bytes)
-    : most_(max_bytes), sketch_(max_bytes / kUsualEntry * 4) {}
+    : max_bytes_(max_bytes), sketch_(max_bytes / kTypicalBodyBytes * kCountersPerEntry) {}
 
 void ResponseCache::resize(std::size_t max_bytes) {
-  most_ = max_bytes;
-  settle();
+  max_bytes_ = max_bytes;
+  evict_to_capacity();
 }
 
-std::size_t ResponseCache::cost(const Entry& e) {
-  return kEntryBytes + (e.body ? e.body->capacity() : 0) + e.path.capacity();
+std::size_t ResponseCache::charge(const Entry& entry) {
+  return kEntryOverheadBytes + (entry.body ? entry.body->capacity() : 0) + entry.path.capacity();
 }
 
 void ResponseCache::unlink(Index i) {
-  auto& e = entries_[i];
-  auto& list = lists_[e.where];
-  (e.before == kNone ? list.newest : entries_[e.before].after) = e.after;
-  (e.after == kNone ? list.oldest : entries_[e.after].before) = e.before;
-  list.bytes -= cost(e);
-}
-
-void ResponseCache::push(Index i, Where where) {
-  auto& e = entries_[i];
-  auto& list = lists_[where];
-  e.where = where;
-  e.before = kNone;
-  e.after = list.newest;
-  (list.newest == kNone ? list.oldest : entries_[list.newest].before) = i;
+  auto& entry = entries_[i];
+  auto& list = lists_[entry.segment];
+  (entry.newer == kNone ? list.newest : entries_[entry.newer].older) = entry.older;
+  (entry.older == kNone ? list.oldest : entries_[entry.older].newer) = entry.newer;
+  list.bytes -= charge(entry);
+}
+
+void ResponseCache::push_newest(Index i, Segment segment) {
+  auto& entry = entries_[i];
+  auto& list = lists_[segment];
+  entry.segment = segment;
+  entry.newer = kNone;
+  entry.older = list.newest;
+  (list.newest == kNone ? list.oldest : entries_[list.newest].newer) = i;
   list.newest = i;
-  list.bytes += cost(e);
+  list.bytes += charge(entry);
+}
+
+void ResponseCache::move_to(Index i, Segment segment) {
+  unlink(i);
+  push_newest(i, segment);
 }
 
-void ResponseCache::drop(Index i) {
+void ResponseCache::erase(Index i) {
   unlink(i);
-  auto& e = entries_[i];
-  bytes_ -= cost(e);
+  auto& entry = entries_[i];
+  bytes_ -= charge(entry);
   --size_;
-  index_.erase(e.key.low, i);
-  e.body.reset();
-  e.path = {};
-  e.where = kFree;
+  index_.erase(entry.key.low, i);
+  entry.body.reset();
+  entry.path = {};
+  entry.segment = free_slot;
   free_.push_back(i);
 }
 
-std::optional<ResponseCache::Found> ResponseCache::find(const Key& key, TimePoint now) {
-  sketch_.note(key);
+ResponseCache::Index ResponseCache::allocate() {
+  if (free_.empty()) {
+    entries_.emplace_back();
+    free_.reserve(entries_.capacity());
+    free_.push_back(Index(entries_.size() - 1));
+  }
+  const auto i = free_.back();
+  free_.pop_back();
+  return i;
+}
+
+ResponseCache::Index ResponseCache::lookup(const CacheKey& key) const {
+  return index_.find(key.low, [&](Index i) { return entries_[i].key == key; });
+}
+
+// ---- ResponseCache: lookups and insertion ----
+
+std::optional<ResponseCache::Hit> ResponseCache::find(const CacheKey& key, TimePoint now) {
+  sketch_.record(key);
   const auto i = lookup(key);
   if (i == kNone) return std::nullopt;
-  const auto where = entries_[i].where;
-  unlink(i);
-  push(i, where == kWindow ? kWindow : kProtected);
-  // Used ones beyond the protected share go back on probation, oldest first.
-  const auto share = std::size_t(double(most_) * kProtectedShare);
-  while (lists_[kProtected].bytes > share && lists_[kProtected].oldest != i) {
-    const auto back = lists_[kProtected].oldest;
-    unlink(back);
-    push(back, kProbation);
-  }
-  const auto& e = entries_[i];
-  return Found{e.body, std::max(now - e.stored, Duration{})};
+  move_to(i, entries_[i].segment == window_segment ? window_segment : protected_segment);
+  // What exceeds the protected segment's share goes back on probation, oldest first.
+  const auto max_protected_bytes = std::size_t(double(max_bytes_) * kProtectedShare);
+  while (lists_[protected_segment].bytes > max_protected_bytes && lists_[protected_segment].oldest != i)
+    move_to(lists_[protected_segment].oldest, probation_segment);
+  const auto& entry = entries_[i];
+  return Hit{entry.body, std::max(now - entry.stored_at, Duration{})};
 }
 
-std::optional<TimePoint> ResponseCache::stored(const Key& key) const {
+std::optional<TimePoint> ResponseCache::stored_at(const CacheKey& key) const {
   const auto i = lookup(key);
   if (i == kNone) return std::nullopt;
-  return entries_[i].stored;
-}
-
-std::vector<ResponseCache::Hot> ResponseCache::hottest(std::size_t most) const {
-  std::vector<std::pair<std::uint32_t, Index>> seen;
-  for (const auto where : {kProtected, kProbation, kWindow})
-    for (auto i = lists_[where].newest; i != kNone && seen.size() < most; i = entries_[i].after)
-      seen.push_back({sketch_.estimate(entries_[i].key), i});
-  std::stable_sort(seen.begin(), seen.end(), [](auto& a, auto& b) { return a.first > b.first; });
-  std::vector<Hot> hot;
-  hot.reserve(seen.size());
-  for (const auto& [times, i] : seen)
-    hot.push_back({entries_[i].dependency, &entries_[i].path, entries_[i].body, entries_[i].stored});
+  return entries_[i].stored_at;
+}
+
+std::vector<ResponseCache::HotEntry> ResponseCache::hottest(std::size_t max_entries) const {
+  std::vector<std::pair<std::uint32_t, Index>> by_frequency;
+  for (const auto segment : {protected_segment, probation_segment, window_segment})
+    for (auto i = lists_[segment].newest; i != kNone && by_frequency.size() < max_entries;
+         i = entries_[i].older)
+      by_frequency.push_back({sketch_.estimate(entries_[i].key), i});
+  std::stable_sort(by_frequency.begin(), by_frequency.end(),
+                   [](const auto& a, const auto& b) { return a.first > b.first; });
+  std::vector<HotEntry> hot;
+  hot.reserve(by_frequency.size());
+  for (const auto& [frequency, i] : by_frequency)
+    hot.push_back({entries_[i].dependency, &entries_[i].path, entries_[i].body, entries_[i].stored_at});
   return hot;
 }
 
-void ResponseCache::put(const Key& key, std::uint32_t dependency, std::string_view path, Bytes body,
-                        TimePoint now) {
+void ResponseCache::insert(const CacheKey& key, std::uint32_t dependency, std::string_view path,
+                           SharedBody body, TimePoint stored_at) {
   if (!body) return;
-  auto i = lookup(key);
-  if (i != kNone) {
-    const auto where = entries_[i].where;
-    unlink(i);
-    bytes_ -= cost(entries_[i]);
-    entries_[i].body = std::move(body);
-    entries_[i].stored = now;
-    bytes_ += cost(entries_[i]);
-    push(i, where);
-    return settle();
+  const auto known = lookup(key);
+  if (known != kNone) {
+    replace(known, std::move(body), stored_at);
+  } else {
+    const auto i = allocate();
+    auto& entry = entries_[i];
+    entry.key = key;
+    entry.dependency = dependency;
+    entry.path = path;
+    entry.body = std::move(body);
+    entry.stored_at = stored_at;
+    bytes_ += charge(entry);
+    ++size_;
+    index_.put(key.low, i);
+    push_newest(i, window_segment);
   }
-  if (free_.empty()) {
-    entries_.emplace_back();
-    free_.reserve(entries_.capacity());
-    free_.push_back(Index(entries_.size() - 1));
-  }
-  i = free_.back();
-  free_.pop_back();
-  auto& e = entries_[i];
-  e.key = key;
-  e.dependency = dependency;
-  e.path = path;
-  e.body = std::move(body);
-  e.stored = now;
-  bytes_ += cost(e);
-  ++size_;
-  index_.put(key.low, i);
-  push(i, kWindow);
-  settle();
-}
-
-// The window overflows into the main part as long as that has room; after that a newcomer must have been
-// asked for more often than the oldest on probation, or it goes itself.
-void ResponseCache::settle() {
-  const auto window =
-      std::max(std::size_t(double(most_) * kWindowShare), std::min(most_, kEntryBytes + kUsualEntry));
-  while (lists_[kWindow].bytes > window && lists_[kWindow].oldest != kNone) {
-    const auto candidate = lists_[kWindow].oldest;
-    unlink(candidate);
-    push(candidate, kProbation);
-    while (bytes_ > most_) {
-      auto victim = lists_[kProbation].oldest;
-      if (victim == candidate) victim = lists_[kProtected].oldest;
-      if (victim == kNone) {
-        drop(candidate);
-        break;
-      }
-      const bool wins = sketch_.estimate(entries_[candidate].key) > sketch_.estimate(entries_[victim].key);
-      drop(wins ? victim : candidate);
-      if (!wins) break;
-    }
+  evict_to_capacity();
+}
+
+void ResponseCache::replace(Index i, SharedBody body, TimePoint stored_at) {
+  auto& entry = entries_[i];
+  const auto segment = entry.segment;
+  unlink(i);
+  bytes_ -= charge(entry);
+  entry.body = std::move(body);
+  entry.stored_at = stored_at;
+  bytes_ += charge(entry);
+  push_newest(i, segment);
+}
+
+// ---- ResponseCache: eviction ----
+
+void ResponseCache::evict_to_capacity() {
+  const auto max_window_bytes = std::max(std::size_t(double(max_bytes_) * kWindowShare),
+                                         std::min(max_bytes_, kEntryOverheadBytes + kTypicalBodyBytes));
+  while (lists_[window_segment].bytes > max_window_bytes && lists_[window_segment].oldest != kNone) {
+    const auto candidate = lists_[window_segment].oldest;
+    move_to(candidate, probation_segment);
+    admit_or_evict(candidate);
   }
-  while (bytes_ > most_) {
-    const auto victim = lists_[kProbation].oldest != kNone   ? lists_[kProbation].oldest
-                        : lists_[kProtected].oldest != kNone ? lists_[kProtected].oldest
-                                                             : lists_[kWindow].oldest;
+  while (bytes_ > max_bytes_) {
+    const auto victim = oldest_entry();
     if (victim == kNone) return;
-    drop(victim);
+    erase(victim);
   }
 }
 
-ResponseCache::Index ResponseCache::lookup(const Key& key) const {
-  return index_.find(key.low, [&](Index i) { return entries_[i].key == key; });
+// TinyLFU admission: while the cache is full, the newcomer replaces the oldest entry on probation only if its
+// key has been asked for more often.
+void ResponseCache::admit_or_evict(Index candidate) {
+  while (bytes_ > max_bytes_) {
+    auto victim = lists_[probation_segment].oldest;
+    if (victim == candidate) victim = lists_[protected_segment].oldest;
+    if (victim == kNone) return erase(candidate);
+    const bool is_admitted =
+        sketch_.estimate(entries_[candidate].key) > sketch_.estimate(entries_[victim].key);
+    erase(is_admitted ? victim : candidate);
+    if (!is_admitted) return;
+  }
+}
+
+ResponseCache::Index ResponseCache::oldest_entry() const {
+  for (const auto segment : {probation_segment, protected_segment, window_segment})
+    if (lists_[segment].oldest != kNone) return lists_[segment].oldest;
+  return kNone;
 }
 
 }  // namespace granitegap::deps
--- a/src/deps/scatter_gather.cpp
+++ b/src/deps/scatter_gather.cpp
@@ -1,182 +1,166 @@
-// ScatterGather, core: construction, loading a declaration (Spec), per-dependency latency summaries, the
-// memory of recent failures, and the timer heap that drives deadlines, timeouts, hedges and retries.
-// Gathers live in scatter_gather_parts.cpp, calls in scatter_gather_calls.cpp, fleet and learned state in
-// scatter_gather_fleet.cpp.
+// ScatterGather, the public interface: construction and declarations, gathers and their results, completions
+// and timers.
 #include "deps/scatter_gather.h"
 
 #include <algorithm>
-#include <cmath>
-
-#include "deps/scatter_gather_detail.h"
 
 namespace granitegap::deps {
-namespace {
-
-constexpr std::uint32_t kSamplesForTimeout = 10, kSamplesForHedge = 20;
-constexpr double kTimeoutQuantile = 0.99;
-constexpr std::uint32_t kSamplesPerSummary = 16;  // new samples after which the summary is computed anew
-constexpr Duration kSummaryLifetime = std::chrono::milliseconds(50);
-constexpr std::size_t kFailures = 1024;
-
-using detail::hash_of;
-
-}  // namespace
 
-ScatterGather::Dependency::Dependency(const DependencySpec& s)
-    : spec(s),
-      endpoints(s),
-      limit(s.min_open, s.max_open),
-      budget(s.retry_share, s.retry_burst),
-      outage(s.probe_every, s.max_probe) {
-  name_endpoints();
-}
-
-void ScatterGather::Dependency::name_endpoints() {
-  fleet_keys.clear();
-  for (std::uint32_t i = 0; i < endpoints.places(); ++i) {
-    const auto& a = endpoints.address(i);
-    fleet_keys.push_back(membership::name_hash(spec.name + ' ' + a.host + ' ' + std::to_string(a.port)));
-  }
-}
-
-void ScatterGather::Dependency::note_probe(std::uint32_t endpoint, bool out, TimePoint now) {
-  const auto key = fleet_keys[endpoint];
-  std::erase_if(probed, [&](const auto& p) { return p.key == key || now - p.at >= 4 * spec.max_probe; });
-  probed.push_back({key, now, out});
-}
-
-void ScatterGather::Dependency::heard(Duration took, TimePoint now) {
-  latency.add(took, now);
-  ++samples_since_summary;
-}
-
-const ScatterGather::LatencySummary& ScatterGather::Dependency::latency_summary(TimePoint now) {
-  if (samples_since_summary < kSamplesPerSummary && now - summary_taken_at < kSummaryLifetime) return summary;
-  samples_since_summary = 0;
-  summary_taken_at = now;
-  // The median of a window follows a change by seconds, the mean of the newest answers within a few: guards
-  // against slowness read as failure.
-  summary.median = latency.quantile(0.5, now, kSamplesForTimeout).value_or(Duration{});
-  if (summary.median.count() > 0) summary.median = std::max(summary.median, limit.recent());
-  summary.high = latency.quantile(kTimeoutQuantile, now, kSamplesForTimeout).value_or(Duration{});
-  summary.hedge = spec.hedge_after > 0
-                      ? latency.quantile(spec.hedge_after, now, kSamplesForHedge).value_or(Duration{})
-                      : Duration{};
-  return summary;
-}
+// ---- Declarations ----
 
 ScatterGather::ScatterGather(std::shared_ptr<const Spec> spec, std::uint64_t seed, bool guarded)
-    : guarded_(guarded),
-      hash_seed_(mix_bits(seed + 1)),
-      random_(seed),
-      failures_(kFailures),
-      cache_(spec->cache_bytes) {
-  loaded_ = load(std::move(spec), TimePoint{});
-}
-
-std::shared_ptr<const ScatterGather::Loaded> ScatterGather::load(std::shared_ptr<const Spec> spec,
-                                                                 TimePoint now) {
-  auto fresh = std::make_shared<Loaded>();
-  for (const auto& d : spec->dependencies) {
-    const auto known =
-        std::find_if(deps_.begin(), deps_.end(), [&](auto& k) { return k.spec.name == d.name; });
-    fresh->dependency.push_back(std::uint32_t(known - deps_.begin()));
-    if (known == deps_.end()) {
-      deps_.emplace_back(d);
-      continue;
-    }
-    known->spec = d;
-    known->endpoints.change(d);
-    known->name_endpoints();
-    known->limit.rebound(d.min_open, d.max_open);
-    known->budget.reset(d.retry_share, d.retry_burst);
-    known->outage.reset(d.probe_every, d.max_probe);
-  }
-  for (std::size_t g = 0; g < spec->gathers.size(); ++g) {
-    const auto& gather = spec->gathers[g];
-    const auto cls = std::size_t(gather.cls);
-    if (cls >= fresh->gather_of.size()) fresh->gather_of.resize(cls + 1, -1);
-    fresh->gather_of[cls] = std::int32_t(g);
-    auto& paths = fresh->paths.emplace_back();
-    for (const auto& part : gather.parts) {
-      auto parsed = PathTemplate::parse(part.path);
-      // Whoever reads a declaration checks its paths; one that slips through yields a part that is never
-      // there.
-      paths.push_back(std::holds_alternative<PathTemplate>(parsed) ? std::get<PathTemplate>(std::move(parsed))
-                                                                   : PathTemplate{});
-    }
+    : guarded_(guarded), hash_seed_(mix_bits(seed + 1)), random_(seed), cache_(spec->max_cache_bytes) {
+  apply_spec(std::move(spec), TimePoint{});
+}
+
+void ScatterGather::update_spec(std::shared_ptr<const Spec> spec, TimePoint now) {
+  apply_spec(std::move(spec), now);
+}
+
+void ScatterGather::apply_spec(std::shared_ptr<const Spec> spec, TimePoint now) {
+  const auto max_cache_bytes = spec->max_cache_bytes;
+  auto numbers = update_dependencies(*spec);
+  auto loaded = load_spec(std::move(spec), std::move(numbers));
+  divide_fleet_limits();
+  cache_.resize(max_cache_bytes);
+  for (std::uint32_t d = 0; d < dependencies_.size(); ++d) start_queued_calls(d, now);
+  loaded_ = std::move(loaded);
+}
+
+// The number of each declared dependency. One that was declared before, by name, keeps its number and state.
+std::vector<std::uint32_t> ScatterGather::update_dependencies(const Spec& spec) {
+  std::vector<std::uint32_t> numbers;
+  for (const auto& declared : spec.dependencies) {
+    const auto known = std::find_if(
+        dependencies_.begin(), dependencies_.end(),
+        [&](const DependencyState& dependency) { return dependency.spec.name == declared.name; });
+    numbers.push_back(std::uint32_t(known - dependencies_.begin()));
+    if (known == dependencies_.end())
+      dependencies_.emplace_back(declared);
+    else
+      known->update(declared);
   }
-  auto fills = std::make_shared<Loaded>();
-  auto each = std::make_shared<Spec>();
-  fills->dependency = fresh->dependency;
-  for (std::size_t d = 0; d < spec->dependencies.size(); ++d) {
-    PartSpec part;
-    part.name = "filled";
-    part.dependency = d;
-    part.required = true;
-    each->gathers.push_back({ClassId{}, {}, {std::move(part)}});
+  return numbers;
+}
+
+// ---- Gathers ----
+
+bool ScatterGather::has_gather(ClassId cls) const { return loaded_->gather_of(cls).has_value(); }
+
+void ScatterGather::begin(RequestId id, ClassId cls, const RequestAttributes& attributes, Duration budget,
+                          bool may_call, TimePoint now) {
+  const auto spec_index = loaded_->gather_of(cls);
+  if (!spec_index || gathers_.find(id) != kNoSlot) return;
+  const GatherSlot slot = gathers_.create(id, loaded_, *spec_index);
+  auto& gather = gathers_[slot];
+  const auto& spec = gather.spec();
+  const auto bounded = guarded_ ? std::clamp(budget, Duration{}, spec.budget) : std::max(budget, Duration{});
+  gather.deadline = now + bounded;
+  gather.may_call = may_call;
+  gather.obj = attributes.obj;
+  gather.body.assign(attributes.body);
+  gather.cls.assign(attributes.cls);
+  if (gather.pending == 0) return end_gather(slot, true, now);
+  for (std::uint32_t part = 0; part < gather.parts.size() && !gather.has_ended; ++part)
+    if (!spec.parts[part].depends_on) start_part(slot, part, now);
+}
+
+bool ScatterGather::begin_cache_fill(RequestId id, const CacheFillRequest& request, TimePoint now) {
+  const auto& declared = loaded_->spec->dependencies;
+  const auto dependency = std::find_if(declared.begin(), declared.end(), [&](const DependencySpec& spec) {
+    return spec.name == request.dependency;
+  });
+  if (dependency == declared.end() || !dependency->fleet_cache_fill) return false;
+  if (!guarded_ || gathers_.find(id) != kNoSlot) return false;
+  ++counters_.cache_fills;
+  const auto spec_index = std::size_t(dependency - declared.begin());
+  const GatherSlot slot = gathers_.create(id, loaded_->cache_fills, spec_index);
+  auto& gather = gathers_[slot];
+  gather.deadline = now + std::clamp(request.timeout, Duration{}, dependency->max_timeout);
+  gather.may_call = true;
+  path_ = request.path;
+  // Never by way of another member: two whose views differ must not ask each other in turn.
+  resolve_part(slot, 0, gather.loaded->dependency_numbers[spec_index], request.max_age, Route::direct, now);
+  return true;
+}
+
+void ScatterGather::cancel(RequestId id, TimePoint now) {
+  const auto slot = gathers_.find(id);
+  if (slot == kNoSlot) return;
+  auto& gather = gathers_[slot];
+  gather.has_ended = true;
+  for (std::uint32_t part = 0; part < gather.parts.size(); ++part) detach_part(slot, part, now);
+  release(id);
+}
+
+std::vector<PartResult> ScatterGather::parts(RequestId id) const {
+  std::vector<PartResult> results;
+  const auto slot = gathers_.find(id);
+  if (slot == kNoSlot) return results;
+  const auto& gather = gathers_[slot];
+  const auto& specs = gather.spec().parts;
+  for (std::size_t i = 0; i < gather.parts.size(); ++i) {
+    const auto& part = gather.parts[i];
+    PartResult result{specs[i].name, part.status, part.age, part.body};
+    if (part.status == PartStatus::fallback)
+      result.body = std::make_shared<const std::string>(*specs[i].fallback);
+    results.push_back(std::move(result));
   }
-  fills->spec = std::move(each);
-  fresh->fills = std::move(fills);
-  fresh->spec = std::move(spec);
-  share_limits();
-  cache_.resize(fresh->spec->cache_bytes);
-  for (std::uint32_t d = 0; d < deps_.size(); ++d) pump(d, now);
-  return fresh;
+  return results;
 }
 
-void ScatterGather::change(std::shared_ptr<const Spec> spec, TimePoint now) {
-  loaded_ = load(std::move(spec), now);
+void ScatterGather::release(RequestId id) {
+  const auto slot = gathers_.find(id);
+  if (slot != kNoSlot) gathers_.release(slot);
 }
 
-bool ScatterGather::gathers(ClassId cls) const {
-  const auto i = std::size_t(cls);
-  return i < loaded_->gather_of.size() && loaded_->gather_of[i] >= 0;
-}
-
-ScatterGather::Slot ScatterGather::find_gather(RequestId id) const {
-  return by_request_.find(hash_of(id), [&](Slot s) { return gathers_[s].id == id; });
-}
-
-bool ScatterGather::failed_lately(const Key& key, TimePoint now) const {
-  const auto& f = failures_[std::size_t(key.low % kFailures)];
-  return f.key == key && now < f.until;
-}
+// ---- Completions ----
 
-void ScatterGather::remember_failure(const Key& key, TimePoint now) {
-  failures_[std::size_t(key.low % kFailures)] = {key, now + loaded_->spec->remember_failures};
+void ScatterGather::on_call_completed(const CallCompletion& completion, TimePoint now) {
+  const auto reference = calls_.resolve(completion.id);
+  if (!reference) {
+    ++counters_.late_completions;
+    return;
+  }
+  const auto [slot, attempt] = *reference;
+  const auto& call = calls_[slot];
+  if (attempt == CallTable::kOwnerAttempt && call.owner_request.in_flight)
+    return on_owner_completed(slot, completion, now);
+  if (attempt >= call.attempt_count || !call.attempts[attempt].in_flight) {
+    ++counters_.late_completions;
+    return;
+  }
+  if (completion.outcome == CallOutcome::ok || completion.outcome == CallOutcome::not_found)
+    return on_attempt_succeeded(slot, attempt, completion, now);
+  on_attempt_failed(slot, attempt, completion.outcome, true, completion.retry_after, now);
 }
 
 // ---- Timers ----
 
-void ScatterGather::set_timer(TimePoint at, TimerKind kind, Slot slot, std::uint32_t generation,
-                              std::uint32_t number) {
-  timers_.push_back({at, timer_order_++, kind, slot, generation, number});
-  std::push_heap(timers_.begin(), timers_.end(), std::greater<>());
-}
-
-bool ScatterGather::stands(const Timer& t) const {
-  switch (t.kind) {
-    case TimerKind::part:
-      return gathers_[t.slot].generation == t.generation && gathers_[t.slot].parts[t.number].flight != kNone;
-    case TimerKind::call:
-      return flights_[t.slot].generation == t.generation && flights_[t.slot].attempts[t.number].open;
+bool ScatterGather::is_current(const Timer& timer) const {
+  if (timer.kind == TimerKind::part_deadline) {
+    const auto& gather = gathers_[timer.slot];
+    return gather.generation == timer.generation && gather.parts[timer.number].call != kNoSlot;
+  }
+  const auto& call = calls_[timer.slot];
+  if (call.generation != timer.generation) return false;
+  switch (timer.kind) {
+    case TimerKind::attempt_timeout:
+      return call.attempts[timer.number].in_flight;
     case TimerKind::hedge:
-      return flights_[t.slot].generation == t.generation && flights_[t.slot].attempts[t.number].open &&
-             flights_[t.slot].attempts_made == t.number + 1;
+      return call.attempts[timer.number].in_flight && call.attempt_count == timer.number + 1;
     case TimerKind::retry:
-      return flights_[t.slot].generation == t.generation && flights_[t.slot].state == FlightState::pausing;
-    case TimerKind::owner:
-      return flights_[t.slot].generation == t.generation && flights_[t.slot].asking.open;
+      return call.state == SharedCall::State::backing_off;
+    case TimerKind::owner_timeout:
+      return call.owner_request.in_flight;
+    case TimerKind::part_deadline:
+      break;
   }
   return false;
 }
 
 std::optional<TimePoint> ScatterGather::next_timer() {
-  while (!timers_.empty() && !stands(timers_.front())) {
-    std::pop_heap(timers_.begin(), timers_.end(), std::greater<>());
-    timers_.pop_back();
-  }
+  while (!timers_.empty() && !is_current(timers_.front())) timers_.pop();
   if (timers_.empty()) return std::nullopt;
   return timers_.front().at;
 }
@@ -184,49 +168,56 @@
 void ScatterGather::tick(TimePoint now) {
   while (!timers_.empty() && timers_.front().at <= now) {
     const auto timer = timers_.front();
-    std::pop_heap(timers_.begin(), timers_.end(), std::greater<>());
-    timers_.pop_back();
-    if (stands(timer)) fire(timer, now);
+    timers_.pop();
+    if (is_current(timer)) fire(timer, now);
   }
 }
 
-void ScatterGather::fire(const Timer& t, TimePoint now) {
-  switch (t.kind) {
-    case TimerKind::part: {
-      // A try whose time is over at the same moment is told of first, or the budget's end would hide that the
-      // dependency hangs.
-      const auto flight = gathers_[t.slot].parts[t.number].flight;
-      const auto generation = flights_[flight].generation;
-      for (std::uint32_t i = 0;
-           flights_[flight].generation == generation && i < flights_[flight].attempts_made; ++i)
-        if (flights_[flight].attempts[i].open && flights_[flight].attempts[i].until <= now)
-          time_out(flight, i, now);
-      if (gathers_[t.slot].generation != t.generation || gathers_[t.slot].parts[t.number].flight == kNone)
-        return;
-      leave(t.slot, t.number, now);
-      return fall_back(t.slot, t.number, now);
-    }
-    case TimerKind::call:
-      return time_out(t.slot, t.number, now);
-    case TimerKind::owner:
-      actions_.emplace_back(AbandonCall{call_id(t.slot, kOwnerAttempt)});
-      owners_.failed(flights_[t.slot].asking.owner.hash, now);
-      return owner_failed(t.slot, now);
-    case TimerKind::hedge: {
-      auto& d = deps_[flights_[t.slot].dependency];
-      // In the same budget as retries, and never past the limit: a hedge is a luxury.
-      if (d.outage.out() || d.waiting > 0 || d.open >= d.limit.limit() || d.spec.max_tries < 2 ||
-          !d.budget.take(now))
-        return;
-      ++totals_.hedges;
-      return start_attempt(t.slot, now);
-    }
-    case TimerKind::retry: {
-      auto& d = deps_[flights_[t.slot].dependency];
-      if (d.outage.out()) return give_up(t.slot, now);
-      return launch(t.slot, now);
-    }
+void ScatterGather::fire(const Timer& timer, TimePoint now) {
+  switch (timer.kind) {
+    case TimerKind::part_deadline:
+      return on_part_deadline(timer.slot, timer.number, now);
+    case TimerKind::attempt_timeout:
+      return on_attempt_timeout(timer.slot, timer.number, now);
+    case TimerKind::hedge:
+      return on_hedge_due(timer.slot, now);
+    case TimerKind::retry:
+      return on_retry_due(timer.slot, now);
+    case TimerKind::owner_timeout:
+      return on_owner_timeout(timer.slot, now);
   }
 }
 
+void ScatterGather::on_part_deadline(GatherSlot slot, std::uint32_t part, TimePoint now) {
+  const auto& gather = gathers_[slot];
+  const auto generation = gather.generation;
+  const auto call_slot = gather.parts[part].call;
+  const auto& call = calls_[call_slot];
+  const auto call_generation = call.generation;
+  // Attempts that time out at the same moment come first: ended by the part's deadline they would count as
+  // cancelled, and a dependency that hangs would go unnoticed.
+  for (std::uint32_t i = 0; call.generation == call_generation && i < call.attempt_count; ++i)
+    if (call.attempts[i].in_flight && call.attempts[i].times_out <= now)
+      on_attempt_timeout(call_slot, i, now);
+  if (gather.generation != generation || gather.parts[part].call == kNoSlot) return;
+  detach_part(slot, part, now);
+  fall_back(slot, part, now);
+}
+
+void ScatterGather::on_hedge_due(CallSlot slot, TimePoint now) {
+  auto& dependency = dependencies_[calls_[slot].dependency];
+  // A hedge only improves latency: it never displaces a queued call and never exceeds the limit.
+  const bool has_capacity =
+      !dependency.circuit.is_open() && dependency.queue.size == 0 && dependency.has_free_slot();
+  if (!has_capacity || dependency.spec.max_attempts < 2) return;
+  if (!dependency.budget.try_withdraw(now)) return;
+  ++counters_.hedges;
+  start_attempt(slot, now);
+}
+
+void ScatterGather::on_retry_due(CallSlot slot, TimePoint now) {
+  if (dependencies_[calls_[slot].dependency].circuit.is_open()) return give_up(slot, now);
+  admit_call(slot, now);
+}
+
 }  // namespace granitegap::deps
--- a/src/deps/scatter_gather.h
+++ b/src/deps/scatter_gather.h
@@ -1,26 +1,31 @@
-// Gathers the parts that requests need from the services below: what to call, when to try again, when to go
-// on without. No socket, no clock; deterministic under its seed.
+// Gathers the parts that requests need from the dependencies: what to call, when to retry, hedge or shed, and
+// when to go on without a part.
 //
-//   begin -> for each part that needs no other:
-//     kept and fresh ............................................. settled: fresh
-//     the same call is in flight ................................. waits with it
-//     may be kept, and another member fills it for the fleet ..... that one is asked; in vain: as below
-//     failed a moment ago, dependency out or asked for quiet ..... fall_back
-//     under the concurrency limit ................................ called
-//     room among those that wait ................................. waits for a slot
-//     else ....................................................... fall_back
-//   fall_back: kept and stale within its bound -> stale; declared default -> fallback; else absent.
-//   A part settles once; when all have, or a required one is absent, GatherEnded follows once, never later
-//   than the gather's budget.
+//   begin() -> for each part that depends on no other:
+//     cached within its fresh age ................................ settled: fresh
+//     the same call is in flight ................................. joins it
+//     another member of the fleet owns its key ................... that member is asked first
+//     failed a moment ago, or the circuit breaker is open ........ falls back
+//     within the concurrency limit ............................... called
+//     room in the queue .......................................... queued for the limit
+//     else ....................................................... falls back: shed
+//   Falling back: cached within its stale age -> stale; a declared default -> fallback; else absent.
 //
-// A call is shared by all parts that ask the same of the same dependency. Its attempts: the first, a hedge,
-// and retries, all but the first paid for by RetryBudget. It ends with its first good answer, when its
-// attempts are spent, or when nobody waits for it any more; what is open of it then is abandoned.
+// A part settles once. When all have settled, or a required one is absent, GatherEnded follows exactly once
+// and no later than the gather's budget.
 //
-// Ownership: the actions since the last take_actions() are kept here; a StartCall's path is valid until the
-// next call of any member. A gather's parts stay until release().
+// A call is shared by all parts that need the same path of the same dependency. Its attempts are the first
+// one, a hedged one (Dean and Barroso, "The Tail at Scale", 2013) and retries with backoff; all but the first
+// are paid for by the RetryBudget. It ends with its first good response, when its attempts are used up, or
+// when no part waits for it any more; the attempts still in flight then are cancelled.
+//
+// Pure decisions: no socket, no clock, deterministic under its seed. Used by one thread. Errors: none is
+// thrown; they are statuses of parts. Ownership: actions() accumulates until clear_actions(), a gather's
+// results stay until release().
+//
+// Sources: scatter_gather.cpp has the public interface and the timers, scatter_gather_parts.cpp resolves
+// parts, scatter_gather_calls.cpp makes calls, scatter_gather_fleet.cpp works with the other members.
 #pragma once
-#include <array>
 #include <cstdint>
 #include <deque>
 #include <memory>
@@ -29,306 +34,191 @@
 #include <span>
 #include <string>
 #include <string_view>
-#include <variant>
 #include <vector>
 
+#include "deps/actions.h"
 #include "deps/cache_fill.h"
-#include "deps/endpoints.h"
-#include "deps/latency_window.h"
-#include "deps/limits.h"
-#include "deps/path_template.h"
+#include "deps/call_table.h"
+#include "deps/dependency_state.h"
+#include "deps/gather_table.h"
+#include "deps/loaded_spec.h"
+#include "deps/negative_cache.h"
 #include "deps/response_cache.h"
-#include "deps/slot_index.h"
 #include "deps/spec.h"
+#include "deps/timer_queue.h"
 #include "membership/views.h"
 #include "warm_state/warm_state.h"
 
 namespace granitegap::deps {
 
-enum class CallId : std::uint64_t {};
-
-enum class CallFate : std::uint8_t {
-  ok,
-  no_data,      // an answer that there is none (4xx): the dependency is well
-  error,        // 5xx, or what is no HTTP
-  busy,         // 429 or 503; `retry_after` tells for how long, where it does
-  unreachable,  // no connection
-  cut_off,      // it ended in the middle
-  too_long,     // over a bound of header, body or time per byte
-};
-struct CallReport {
-  CallId id{};
-  CallFate fate{};
-  Duration took{};
-  std::optional<Duration> retry_after;
-  Bytes body;
-};
-
-struct StartCall {
-  CallId id{};
-  std::uint32_t dependency = 0, endpoint = 0;
-  const std::string* path = nullptr;
-  const KeyOwner* owner = nullptr;  // it goes to that member, not to an endpoint
-};
-struct AbandonCall {
-  CallId id{};
-};
-struct GatherEnded {
-  RequestId id{};
-  bool required_parts_present = false;  // every required part is there
-};
-struct DependencyChanged {  // for those on call
-  std::uint32_t dependency = 0;
-  bool out = false;
-  Duration after{};  // the outage lasted
-};
-using Action = std::variant<StartCall, AbandonCall, GatherEnded, DependencyChanged>;
-
-enum class PartStatus : std::uint8_t { pending, fresh, stale, fallback, absent };
-struct PartValue {
-  std::string_view name;
-  PartStatus status = PartStatus::pending;
-  Duration age{};  // since the dependency answered
-  Bytes body;
-};
-
-struct Totals {
-  std::uint64_t asked = 0;  // parts that wanted a call
-  std::uint64_t calls = 0, retries = 0, hedges = 0, probes = 0, shared = 0, shed = 0, late = 0;
-  std::uint64_t fresh = 0, stale = 0, fallback = 0, absent = 0, outages = 0;
-  std::uint64_t owners_asked = 0, owners_answered = 0, filled = 0;  // filled: asked by others
-  std::uint32_t max_open = 0;
-};
-
 class ScatterGather {
  public:
-  // `guarded` false: the plain policy that measurements compare with: one try, no limit, no breaker, no
-  // timeout but the budget's end.
+  // `seed`: of every random decision, and of the cache's keys. `guarded` false: the plain policy that
+  // benchmarks compare with: one attempt, no limit, no circuit breaker, no timeout but the budget's end.
   ScatterGather(std::shared_ptr<const Spec> spec, std::uint64_t seed, bool guarded = true);
-  bool gathers(ClassId cls) const;
 
+  // ---- Gathers ----
+
+  // Whether requests of that class gather anything.
+  bool has_gather(ClassId cls) const;
+
+  // What the path templates are filled in with.
   struct RequestAttributes {
     std::uint64_t obj = 0;
     std::string_view body, cls;
   };
-  // `may_call` false: only what is kept or declared.
+  // Begins a request's gather; GatherEnded follows. No effect when its class gathers nothing or `id` is in
+  // use. `budget`: bounded by the declared one. `may_call` false: only cached responses and defaults.
   void begin(RequestId id, ClassId cls, const RequestAttributes& attributes, Duration budget, bool may_call,
              TimePoint now);
-  // What another member asks of this one, the owner of that key: GatherEnded follows, and parts() has the one
-  // value where it is whole enough. False where nothing of the kind is declared here.
-  bool fill(RequestId id, const CacheFillRequest& question, TimePoint now);
-  void abandon(RequestId id, TimePoint now);  // no GatherEnded follows
-  void ended(const CallReport& report, TimePoint now);
+  // Begins what another member asks of this one as the owner of a key. GatherEnded follows, and parts() has
+  // the single value if it is present. False when the dependency is not declared for it, or `id` is in use.
+  [[nodiscard]] bool begin_cache_fill(RequestId id, const CacheFillRequest& request, TimePoint now);
+  // Ends a gather without GatherEnded and releases it.
+  void cancel(RequestId id, TimePoint now);
+  // The gather's results, in the order of declaration; empty when there is no gather of that id.
+  std::vector<PartResult> parts(RequestId id) const;
+  // Forgets a gather that has ended.
+  void release(RequestId id);
+
+  // ---- Events ----
+
+  // A started call has ended. Ignored when it had been cancelled.
+  void on_call_completed(const CallCompletion& completion, TimePoint now);
+  // Fires the timers that are due; to be called at next_timer() at the latest.
   void tick(TimePoint now);
   std::optional<TimePoint> next_timer();
 
+  // What to carry out, in order, since the last clear_actions().
   std::span<const Action> actions() const { return actions_; }
   void clear_actions() { actions_.clear(); }
-  // By its id, from begin() to release(); names point into the spec in force at begin().
-  std::vector<PartValue> parts(RequestId id) const;
-  void release(RequestId id);
 
-  // A new declaration. Calls in flight go on, gathers keep the one they began under, and what is known of
-  // dependencies and endpoints that stay is kept.
-  void change(std::shared_ptr<const Spec> spec, TimePoint now);
+  // A new declaration. Calls in flight go on, gathers keep the one that they began under, and what has been
+  // learned of the dependencies and endpoints that stay is kept.
+  void update_spec(std::shared_ptr<const Spec> spec, TimePoint now);
+
+  // ---- The fleet ----
 
-  // Where there is a fleet: one member probes each endpoint of a dependency that is out for all, and says
-  // what it finds.
-  void fleet(std::shared_ptr<const membership::View> view, TimePoint now);
+  // A new view of the members: it determines the owners of keys, the shares of fleet-wide limits, and which
+  // member probes an endpoint for all.
+  void on_membership_view(std::shared_ptr<const membership::View> view, TimePoint now);
+  // The results of this process's probes, to be gossiped.
   std::vector<membership::EndpointHealth> endpoint_health(TimePoint now) const;
 
-  // What is known of endpoints and the hottest of what is kept, for another life; and what an earlier one
-  // knew: the numbers that were of use. What was heard here since overrules it.
-  void export_to(warm_state::WarmState& to, TimePoint now) const;
-  struct Used {
-    std::size_t endpoints = 0, parts = 0;
+  // ---- Warm state ----
+
+  // Adds what is known of the endpoints, and the hottest cached responses, for another process.
+  void export_state(warm_state::WarmState& to, TimePoint now) const;
+  struct Restored {
+    std::size_t endpoints = 0, responses = 0;
   };
-  Used learn(const warm_state::WarmState& from, TimePoint now);
+  // Takes over what another process knew, unless this one knows better; the numbers that were of use.
+  Restored restore(const warm_state::WarmState& from, TimePoint now);
 
+  // ---- Observation ----
+
+  // Dependencies have the numbers in StartCall and CircuitBreakerChanged.
   const EndpointSpec& address(std::uint32_t dependency, std::uint32_t endpoint) const {
-    return deps_[dependency].endpoints.address(endpoint);
+    return dependencies_[dependency].endpoints.address(endpoint);
+  }
+  const DependencySpec& dependency(std::uint32_t number) const { return dependencies_[number].spec; }
+  const Counters& counters() const { return counters_; }
+  // Attempts in flight to a dependency.
+  std::uint32_t in_flight(std::uint32_t dependency) const { return dependencies_[dependency].in_flight; }
+  std::uint32_t concurrency_limit(std::uint32_t dependency) const {
+    return dependencies_[dependency].limit.limit();
   }
-  const DependencySpec& dependency(std::uint32_t i) const { return deps_[i].spec; }
-  const Totals& totals() const { return totals_; }
-  std::uint32_t open_calls(std::uint32_t dependency) const { return deps_[dependency].open; }
-  std::uint32_t limit(std::uint32_t dependency) const { return deps_[dependency].limit.limit(); }
-  bool out(std::uint32_t dependency) const { return deps_[dependency].outage.out(); }
-  std::size_t open_gathers() const { return by_request_.size(); }
-  std::size_t open_flights() const { return by_key_.size(); }
+  bool is_circuit_open(std::uint32_t dependency) const { return dependencies_[dependency].circuit.is_open(); }
+  std::size_t active_gathers() const { return gathers_.size(); }
+  std::size_t active_calls() const { return calls_.size(); }
 
  private:
-  using Slot = SlotIndex::Slot;
-  static constexpr Slot kNone = SlotIndex::kNone;
-  static constexpr std::size_t kMaxAttempts = 4;
-  static constexpr std::uint32_t kOwnerAttempt = 15;  // the number of the one that goes to a member
-
-  struct Loaded {  // a spec, made ready
-    std::shared_ptr<const Spec> spec;
-    std::vector<std::uint32_t> dependency;         // the spec's number -> ours
-    std::vector<std::vector<PathTemplate>> paths;  // by gather and part
-    std::vector<std::int32_t> gather_of;           // by class; -1: none
-    std::shared_ptr<const Loaded> fills;           // a gather of one part for each of the dependencies
-  };
-  struct Part {
-    PartStatus status = PartStatus::pending;
-    bool begun = false;
-    Slot flight = kNone;
-    TimePoint deadline{};
-    Key key;
-    Duration age{}, fresh{};  // fresh: the most that may be
-    Bytes body;
-  };
-  struct Gather {
-    RequestId id{};
-    std::uint32_t generation = 0;
-    std::shared_ptr<const Loaded> loaded;
-    std::size_t which = 0;  // of the spec's gathers
-    std::size_t pending = 0;
-    TimePoint began{}, deadline{};
-    bool may_call = true, over = false;
-    std::uint64_t obj = 0;
-    std::string body, cls;
-    std::vector<Part> parts;
-  };
-  struct Waiter {
-    Slot gather = kNone;
-    std::uint32_t part = 0;
+  // Where a part gets its value from when it is not cached.
+  enum class Route : std::uint8_t {
+    owner_first,  // the key's owner, then the dependency
+    direct,       // the dependency
   };
-  struct Attempt {
-    std::uint32_t endpoint = 0;
-    bool open = false;
-    TimePoint started{}, until{};
-  };
-  enum class FlightState : std::uint8_t { queued, calling, pausing };
-  struct Flight {
-    std::uint32_t generation = 0, dependency = 0;
-    FlightState state = FlightState::queued;
-    Key key;
-    std::string path;
-    std::array<Attempt, kMaxAttempts> attempts;
-    std::uint32_t attempts_made = 0;
-    bool detached = false;                // a probe, for which nobody waits
-    std::optional<std::uint32_t> only{};  // the endpoint that it is for
-    bool used = false;
-    struct Asking {  // the owner
-      KeyOwner owner;
-      std::string target;
-      TimePoint since{};
-      bool open = false;
-    } asking{};
-    Slot before = kNone, after = kNone;  // among those that wait for a slot
-    std::vector<Waiter> waiters;
-  };
-  struct LatencySummary {  // of the recent latencies; zero where too few are known
-    Duration median{}, high{}, hedge{};
-  };
-  struct Dependency {
-    explicit Dependency(const DependencySpec& s);
-    DependencySpec spec;
-    EndpointSet endpoints;
-    ConcurrencyLimit limit;
-    RetryBudget budget;
-    Outage outage;
-    LatencyWindow latency;
-    LatencySummary summary;
-    TimePoint summary_taken_at{};
-    std::uint32_t samples_since_summary = 0;
-    void heard(Duration took, TimePoint now);
-    const LatencySummary& latency_summary(TimePoint now);
-    struct HealthCheckTraffic {  // as other members are told
-      std::uint64_t key = 0;
-      TimePoint at{};
-      bool out = true;
-    };
-    std::vector<HealthCheckTraffic> probed;  // by endpoint
-    std::uint32_t next_probed = 0;
-    std::vector<std::uint64_t> fleet_keys;  // by endpoint: its name to other members
-    void name_endpoints();                  // after every change of them
-    void note_probe(std::uint32_t endpoint, bool out, TimePoint now);
-    std::uint32_t open = 0, waiting = 0;
-    Slot oldest = kNone, newest = kNone;  // of those that wait
-  };
-  struct Failure {
-    Key key;
-    TimePoint until{};
-  };
-  enum class TimerKind : std::uint8_t { part, call, hedge, retry, owner };
-  struct Timer {
-    TimePoint at;
-    std::uint64_t order;
-    TimerKind kind;
-    Slot slot;
-    std::uint32_t generation, number;
-    bool operator>(const Timer& o) const { return at != o.at ? at > o.at : order > o.order; }
-  };
-
-  std::shared_ptr<const membership::View> fleet_;
-  KeyOwners owners_;
-  void share_limits();
-  // The longest that any part may still take a kept answer of it.
-  Duration cached_for(std::uint32_t dependency) const;
-  std::shared_ptr<const Loaded> load(std::shared_ptr<const Spec> spec, TimePoint now);
-  const GatherSpec& what(const Gather& g) const { return g.loaded->spec->gathers[g.which]; }
-  Slot find_gather(RequestId id) const;
-  double roll() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  void set_timer(TimePoint at, TimerKind kind, Slot slot, std::uint32_t generation, std::uint32_t number);
-  bool stands(const Timer& t) const;
-  void fire(const Timer& t, TimePoint now);
-
-  Slot new_gather(RequestId id, std::shared_ptr<const Loaded> loaded, std::size_t which);
-  void start_part(Slot gather, std::uint32_t part, TimePoint now);
-  // Once its path is in path_. `own`: not by asking another member.
-  void seek(Slot gather, std::uint32_t part, std::uint32_t dependency, Duration fresh, bool own,
-            TimePoint now);
-  bool ask_owner(Slot flight, Duration fresh, TimePoint now);
-  void owner_ended(Slot flight, const CallReport& report, TimePoint now);
-  void owner_failed(Slot flight, TimePoint now);
-  void fall_back(Slot gather, std::uint32_t part, TimePoint now);
-  void settle(Slot gather, std::uint32_t part, PartStatus status, Bytes body, Duration age, TimePoint now);
-  void finish(Slot gather, bool required_parts_present, TimePoint now);
-  void leave(Slot gather, std::uint32_t part, TimePoint now);
 
-  Slot new_flight(std::uint32_t dependency, const Key& key);
-  void launch(Slot flight, TimePoint now);
-  void start_attempt(Slot flight, TimePoint now);
-  void end_attempt(Slot flight, std::uint32_t number);
-  void attempt_failed(Slot flight, std::uint32_t number, CallFate fate, bool fair,
-                      std::optional<Duration> retry_after, TimePoint now);
-  void time_out(Slot flight, std::uint32_t number, TimePoint now);
-  void after_failure(Slot flight, TimePoint now);
-  void answered(Slot flight, const Bytes& body, Duration age, TimePoint now);
-  void give_up(Slot flight, TimePoint now);
-  void abandon_attempts(Slot flight);
-  void free_flight(Slot flight);
-  void unqueue(Slot flight);
-  void pump(std::uint32_t dependency, TimePoint now);
-  void probe(std::uint32_t dependency, const Key& key, const std::string& path, TimePoint now);
-  // Which endpoint is this one's to probe; absent where others probe all of them.
-  std::optional<std::uint32_t> to_probe(Dependency& d) const;
-  void note_success(Dependency& d, std::uint32_t number, TimePoint now);
-  void note_failure(std::uint32_t number, TimePoint now);
-  TimePoint latest_deadline(const Flight& f) const;
-  bool any_open(const Flight& f) const;
-  bool failed_lately(const Key& key, TimePoint now) const;
-  void remember_failure(const Key& key, TimePoint now);
-  CallId call_id(Slot flight, std::uint32_t number) const;
+  void apply_spec(std::shared_ptr<const Spec> spec, TimePoint now);
+  std::vector<std::uint32_t> update_dependencies(const Spec& spec);
+  double random_fraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+
+  // ---- Timers: scatter_gather.cpp ----
+  bool is_current(const Timer& timer) const;
+  void fire(const Timer& timer, TimePoint now);
+  void on_part_deadline(GatherSlot gather, std::uint32_t part, TimePoint now);
+  void on_hedge_due(CallSlot call, TimePoint now);
+  void on_retry_due(CallSlot call, TimePoint now);
+
+  // ---- Parts: scatter_gather_parts.cpp ----
+  void start_part(GatherSlot gather, std::uint32_t part, TimePoint now);
+  // The part's path is in path_.
+  void resolve_part(GatherSlot gather, std::uint32_t part, std::uint32_t dependency, Duration max_age,
+                    Route route, TimePoint now);
+  TimePoint part_deadline(const Gather& gather, std::uint32_t part, TimePoint now) const;
+  bool may_call_now(std::uint32_t dependency, const CacheKey& key, TimePoint now);
+  void join_or_start_call(GatherSlot gather, std::uint32_t part, std::uint32_t dependency, Route route,
+                          TimePoint now);
+  void fall_back(GatherSlot gather, std::uint32_t part, TimePoint now);
+  void settle_without_value(GatherSlot gather, std::uint32_t part, TimePoint now);
+  void settle(GatherSlot gather, std::uint32_t part, PartStatus status, SharedBody body, Duration age,
+              TimePoint now);
+  void settle_dependent_parts(GatherSlot gather, std::uint32_t settled, TimePoint now);
+  void end_gather(GatherSlot gather, bool required_parts_present, TimePoint now);
+  void detach_part(GatherSlot gather, std::uint32_t part, TimePoint now);
+
+  // ---- Calls: scatter_gather_calls.cpp ----
+  void admit_call(CallSlot call, TimePoint now);
+  void start_attempt(CallSlot call, TimePoint now);
+  std::optional<std::uint32_t> choose_endpoint(const SharedCall& call, Duration remaining,
+                                               const LatencySummary& summary, TimePoint now);
+  Duration attempt_timeout(const SharedCall& call, Duration remaining, const LatencySummary& summary) const;
+  void close_attempt(CallSlot call, std::uint32_t attempt);
+  void cancel_attempts(CallSlot call);
+  void on_attempt_succeeded(CallSlot call, std::uint32_t attempt, const CallCompletion& completion,
+                            TimePoint now);
+  // `is_fair`: the failure is the endpoint's, not due to a short budget.
+  void on_attempt_failed(CallSlot call, std::uint32_t attempt, CallOutcome outcome, bool is_fair,
+                         std::optional<Duration> retry_after, TimePoint now);
+  void record_attempt_failure(const SharedCall& call, std::uint32_t attempt, CallOutcome outcome,
+                              bool is_fair, std::optional<Duration> retry_after, TimePoint now);
+  void on_attempt_timeout(CallSlot call, std::uint32_t attempt, TimePoint now);
+  void record_success(std::uint32_t dependency, TimePoint now);
+  void record_failure(std::uint32_t dependency, TimePoint now);
+  void retry_or_give_up(CallSlot call, TimePoint now);
+  bool try_schedule_retry(CallSlot call, TimePoint now);
+  void deliver(CallSlot call, const SharedBody& body, Duration age, TimePoint now);
+  void give_up(CallSlot call, TimePoint now);
+  void release_call(CallSlot call);
+  void start_queued_calls(std::uint32_t dependency, TimePoint now);
+  TimePoint latest_deadline(const SharedCall& call) const;
+
+  // ---- The fleet: scatter_gather_fleet.cpp ----
+  bool ask_owner(CallSlot call, Duration max_age, TimePoint now);
+  void on_owner_completed(CallSlot call, const CallCompletion& completion, TimePoint now);
+  void on_owner_timeout(CallSlot call, TimePoint now);
+  void call_without_owner(CallSlot call, TimePoint now);
+  void start_probe(std::uint32_t dependency, const CacheKey& key, const std::string& path, TimePoint now);
+  std::optional<std::uint32_t> choose_endpoint_to_probe(DependencyState& dependency) const;
+  void divide_fleet_limits();
+  std::size_t restore_response(const warm_state::CachedResponse& response, TimePoint now);
+  std::size_t restore_endpoint(const warm_state::Endpoint& endpoint, TimePoint now);
 
   bool guarded_;
   std::uint64_t hash_seed_;
   std::mt19937_64 random_;
-  std::shared_ptr<const Loaded> loaded_;
-  std::deque<Dependency> deps_;
-  std::deque<Gather> gathers_;
-  std::deque<Flight> flights_;
-  std::vector<Slot> free_gathers_, free_flights_;
-  SlotIndex by_request_, by_key_;
-  std::vector<Timer> timers_;  // a heap
-  std::uint64_t timer_order_ = 0;
-  std::vector<Failure> failures_;  // direct-mapped: a newer failure may push an older one out
-  std::vector<Action> actions_;
-  std::string path_;  // being filled in
+  std::shared_ptr<const LoadedSpec> loaded_;
+  std::deque<DependencyState> dependencies_;  // never shrinks: numbers stay valid
+  GatherTable gathers_;
+  CallTable calls_;
+  TimerQueue timers_;
+  NegativeCache failures_;
   ResponseCache cache_;
-  Totals totals_;
+  std::vector<Action> actions_;
+  std::string path_;                              // of the part being resolved; kept for its capacity
+  std::shared_ptr<const membership::View> view_;  // null: no fleet
+  KeyOwnerSelector owners_;
+  Counters counters_;
 };
 
 }  // namespace granitegap::deps
--- a/src/edge/dependency_messages.h
+++ b/src/edge/dependency_messages.h
@@ -11,7 +11,7 @@
 
 namespace granitegap::edge {
 
-// One attempt at a call to a dependency. Its end comes back as a deps::CallReport with the same id.
+// One attempt at a call to a dependency. Its end comes back as a deps::CallCompletion with the same id.
 struct DependencyCall {
   deps::CallId id{};
   std::string path;
@@ -20,7 +20,7 @@
   std::size_t max_response_bytes = 0;
   std::size_t max_header_bytes = 0;
   Duration io_timeout{};  // longest time without a byte sent or received
-  Duration max_idle_time{};
+  Duration idle_connection_timeout{};
   std::uint32_t max_idle_connections = 0;
 };
 
@@ -41,7 +41,7 @@
 // The answer to the query with the same tag.
 struct CacheFillReply {
   std::uint64_t tag = 0;
-  deps::Bytes body;  // null: none could be had in time
+  deps::SharedBody body;  // null: none could be had in time
   Duration age{};
 };
 
@@ -50,7 +50,7 @@
   std::string name;
   deps::PartStatus status = deps::PartStatus::absent;
   Duration age{};
-  deps::Bytes body;
+  deps::SharedBody body;
 };
 
 }  // namespace granitegap::edge
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -137,7 +137,7 @@
   void on(const DependencyCallRequested& call);
   void on(const CommandRejected& rejected);
   void on(const Gauges& gauges);
-  void on(const deps::CallReport& report);
+  void on(const deps::CallCompletion& report);
   void on(const DependencySpecUpdate& update);
   void on(const CacheFillQuery& query);
   void on(const MembershipUpdate& update);
@@ -208,7 +208,7 @@
   PayloadPtr make_payload(OpenRequest& open, std::string result);
   void dispatch_calls();
   DependencyCall make_call(const deps::StartCall& start) const;
-  void log_dependency_change(const deps::DependencyChanged& changed);
+  void log_dependency_change(const deps::CircuitBreakerChanged& changed);
 
   // ---- Recovery and membership: edge_recovery.cpp ----
   bool reject_quarantined(const Request& request);  // true: it is rejected
--- a/src/edge/edge_dependencies.cpp
+++ b/src/edge/edge_dependencies.cpp
@@ -14,14 +14,14 @@
 
 void Edge::on(const DependencySpecUpdate& update) {
   if (!scatter_gather_ || !update.spec) return;
-  scatter_gather_->change(update.spec, now_.steady);
+  scatter_gather_->update_spec(update.spec, now_.steady);
   dispatch_calls();
 }
 
 // ---- The gather of a request ----
 
 bool Edge::needs_gather(const OpenRequest& open) const {
-  return scatter_gather_ && open.parts.empty() && scatter_gather_->gathers(open.request.cls);
+  return scatter_gather_ && open.parts.empty() && scatter_gather_->has_gather(open.request.cls);
 }
 
 // Only requests of classes with declared parts ask for calls: the kernel's protocol has none.
@@ -39,7 +39,7 @@
 
 void Edge::begin_gather(RequestId id, OpenRequest& open, Duration budget, bool may_call) {
   if (open.calls_began) return;
-  if (!scatter_gather_->gathers(open.request.cls)) {  // a new declaration came in between
+  if (!scatter_gather_->has_gather(open.request.cls)) {  // a new declaration came in between
     if (may_call) events_.emplace_back(CallEnded{id, CallResult::ok, {}});
     return start_run(id, open);
   }
@@ -87,7 +87,8 @@
 void Edge::on(const CacheFillQuery& query) {
   const RequestId id{next_id_++};
   cache_fills_.emplace(id, query.tag);
-  if (scatter_gather_ && scatter_gather_->fill(id, query.request, now_.steady)) return dispatch_calls();
+  if (scatter_gather_ && scatter_gather_->begin_cache_fill(id, query.request, now_.steady))
+    return dispatch_calls();
   cache_fills_.erase(id);
   outputs_.emplace_back(CacheFillReply{query.tag, nullptr, {}});
 }
@@ -105,9 +106,9 @@
 
 // ---- Calls ----
 
-void Edge::on(const deps::CallReport& report) {
+void Edge::on(const deps::CallCompletion& report) {
   if (!scatter_gather_) return;
-  scatter_gather_->ended(report, now_.steady);
+  scatter_gather_->on_call_completed(report, now_.steady);
   dispatch_calls();
 }
 
@@ -116,9 +117,9 @@
 void Edge::dispatch_calls() {
   const Overloaded dispatch{
       [this](const deps::StartCall& start) { outputs_.emplace_back(make_call(start)); },
-      [this](const deps::AbandonCall& call) { outputs_.emplace_back(CancelDependencyCall{call.id}); },
+      [this](const deps::CancelCall& call) { outputs_.emplace_back(CancelDependencyCall{call.id}); },
       [this](const deps::GatherEnded& ended) { ended_gathers_.push_back(ended); },
-      [this](const deps::DependencyChanged& changed) { log_dependency_change(changed); }};
+      [this](const deps::CircuitBreakerChanged& changed) { log_dependency_change(changed); }};
   for (const auto& action : scatter_gather_->actions()) std::visit(dispatch, action);
   scatter_gather_->clear_actions();
 }
@@ -128,21 +129,22 @@
   DependencyCall call;
   call.id = start.id;
   call.path = *start.path;
-  call.endpoint = start.owner ? start.owner->at : scatter_gather_->address(start.dependency, start.endpoint);
+  call.endpoint =
+      start.owner ? start.owner->address : scatter_gather_->address(start.dependency, start.endpoint);
   call.dependency = spec.name;
-  call.max_response_bytes = spec.max_answer + (start.owner ? deps::kMaxFillHead : 0);
-  call.max_header_bytes = spec.max_header;
-  call.io_timeout = spec.max_quiet;
-  call.max_idle_time = spec.max_idle_time;
+  call.max_response_bytes = spec.max_response_bytes + (start.owner ? deps::kMaxFillHeaderBytes : 0);
+  call.max_header_bytes = spec.max_header_bytes;
+  call.io_timeout = spec.io_timeout;
+  call.idle_connection_timeout = spec.idle_connection_timeout;
   call.max_idle_connections = spec.max_idle_connections;
   return call;
 }
 
-void Edge::log_dependency_change(const deps::DependencyChanged& changed) {
+void Edge::log_dependency_change(const deps::CircuitBreakerChanged& changed) {
   const auto& name = scatter_gather_->dependency(changed.dependency).name;
-  if (changed.out)
+  if (changed.is_open)
     return log_event(name + " is out: going on without it, and probing", "dependency_out", name);
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(changed.after).count();
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(changed.was_open_for).count();
   log_event(name + " is back after " + std::to_string(ms) + " ms", "dependency_back", name);
 }
 
--- a/src/edge/edge_recovery.cpp
+++ b/src/edge/edge_recovery.cpp
@@ -112,11 +112,11 @@
   if (!scatter_gather_) return;
   const auto source =
       from_disk ? std::string("an earlier life") : std::to_string(received.donors) + " other members";
-  const auto used = scatter_gather_->learn(received.state, now_.steady);
+  const auto used = scatter_gather_->restore(received.state, now_.steady);
   if (used.endpoints > 0)
     log_event("learned of " + std::to_string(used.endpoints) + " endpoints from " + source, "learned");
-  if (used.parts > 0)
-    log_event("learned " + std::to_string(used.parts) + " kept answers from " + source, "learned_parts");
+  if (used.responses > 0)
+    log_event("learned " + std::to_string(used.responses) + " kept answers from " + source, "learned_parts");
 }
 
 void Edge::on(const StateTransferFinished& finished) {
@@ -125,7 +125,7 @@
 
 warm_state::WarmState Edge::export_warm_state(TimePoint now) const {
   warm_state::WarmState state;
-  if (scatter_gather_) scatter_gather_->export_to(state, now);
+  if (scatter_gather_) scatter_gather_->export_state(state, now);
   return state;
 }
 
@@ -139,7 +139,7 @@
   fleet_->missing_share = view.has_quorum ? membership::missing_fraction(view) : 0;
   if (recovery_) recovery_->on_fleet_status(recovery::fleet_status_of(view), now_.steady);
   if (quarantine_) quarantine_->on_name_conflict(view.name_conflict, now_.steady);
-  if (scatter_gather_) scatter_gather_->fleet(update.view, now_.steady);
+  if (scatter_gather_) scatter_gather_->on_membership_view(update.view, now_.steady);
 }
 
 MemberStatus Edge::member_status(TimePoint now) const {
--- a/src/edge/edge_requests.cpp
+++ b/src/edge/edge_requests.cpp
@@ -107,7 +107,7 @@
   if (open.stage == RequestStage::gathering) {
     if (open.calls_began && !open.followers.empty()) return;
     if (open.calls_began) {
-      scatter_gather_->abandon(id, now_.steady);
+      scatter_gather_->cancel(id, now_.steady);
       dispatch_calls();
     }
     events_.emplace_back(RunEnded{id, RunResult::moot, {}});
--- a/src/edge/types.h
+++ b/src/edge/types.h
@@ -26,7 +26,7 @@
 
 using Input = std::variant<Request, MalformedRequest, HealthCheck, PeerDisconnected, RequestCancelled, Drain,
                            LifecycleChanged, KernelStarted, RunReport, DependencyCallRequested,
-                           CommandRejected, Gauges, DeepHealthCheckResult, deps::CallReport,
+                           CommandRejected, Gauges, DeepHealthCheckResult, deps::CallCompletion,
                            DependencySpecUpdate, MembershipUpdate, PreviousIncarnationFound,
                            WarmStateReceived, StateTransferFinished, AdmissionClosed, CacheFillQuery>;
 
--- a/src/operators/operator_config.h
+++ b/src/operators/operator_config.h
@@ -24,7 +24,7 @@
   std::uint16_t cache_fill_port = 0;
   bool cache_fill_enabled() const {
     for (const auto& d : spec.dependencies)
-      if (d.fleet_fill) return membership.has_value();
+      if (d.fleet_cache_fill) return membership.has_value();
     return false;
   }
   struct Recovery {
--- a/src/partial_response/compose.cpp
+++ b/src/partial_response/compose.cpp
@@ -8,7 +8,7 @@
 namespace granitegap::partial_response {
 namespace {
 
-constexpr std::size_t kFraming = 32;  // of one part, besides its name and data
+constexpr std::size_t kFramingBytes = 32;  // of one part in the message, besides its name and data
 
 Part::Status status_of(deps::PartStatus status) {
   switch (status) {
@@ -25,42 +25,59 @@
   return Part::ABSENT;
 }
 
-void list(std::string& to, const std::string& name) {
+// Appends to a comma-separated list.
+void append_name(std::string& to, const std::string& name) {
   if (!to.empty()) to += ',';
   to += name;
 }
 
-}  // namespace
+bool has_value(const edge::GatheredPart& part) {
+  return part.status != deps::PartStatus::absent && part.status != deps::PartStatus::pending && part.body;
+}
 
-edge::Payload compose(std::string result, const std::vector<edge::GatheredPart>& parts,
-                      std::size_t max_bytes) {
-  std::vector<bool> there;
-  std::size_t bytes = result.size() + kFraming;
-  for (const auto& p : parts) {
-    there.push_back(p.status != deps::PartStatus::absent && p.status != deps::PartStatus::pending && p.body);
-    bytes += p.name.size() + kFraming + (there.back() ? p.body->size() : 0);
+// Which parts the message contains: those with a value, without the largest ones if it would be too long.
+std::vector<bool> choose_parts(std::size_t result_bytes, const std::vector<edge::GatheredPart>& parts,
+                               std::size_t max_bytes) {
+  std::vector<bool> included;
+  std::size_t bytes = result_bytes + kFramingBytes;
+  for (const auto& part : parts) {
+    included.push_back(has_value(part));
+    bytes += part.name.size() + kFramingBytes;
+    if (included.back()) bytes += part.body->size();
   }
   while (bytes > max_bytes) {
     std::size_t largest = parts.size();
-    for (std::size_t i = 0; i < parts.size(); ++i)
-      if (there[i] && (largest == parts.size() || parts[i].body->size() > parts[largest].body->size()))
-        largest = i;
+    for (std::size_t i = 0; i < parts.size(); ++i) {
+      if (!included[i]) continue;
+      if (largest == parts.size() || parts[i].body->size() > parts[largest].body->size()) largest = i;
+    }
     if (largest == parts.size()) break;
-    there[largest] = false;
+    included[largest] = false;
     bytes -= parts[largest].body->size();
   }
+  return included;
+}
+
+std::uint32_t age_ms(Duration age) {
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(age).count();
+  return std::uint32_t(std::clamp<std::int64_t>(ms, 0, std::numeric_limits<std::uint32_t>::max()));
+}
+
+}  // namespace
+
+edge::Payload compose(std::string result, const std::vector<edge::GatheredPart>& parts,
+                      std::size_t max_bytes) {
+  const auto included = choose_parts(result.size(), parts, max_bytes);
   edge::Payload payload;
   PartialAnswer answer;
   answer.set_result(std::move(result));
   for (std::size_t i = 0; i < parts.size(); ++i) {
     auto& part = *answer.add_parts();
     part.set_name(parts[i].name);
-    list(there[i] ? payload.present_parts : payload.missing_parts, parts[i].name);
-    if (!there[i]) continue;
+    append_name(included[i] ? payload.present_parts : payload.missing_parts, parts[i].name);
+    if (!included[i]) continue;
     part.set_status(status_of(parts[i].status));
-    const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(parts[i].age).count();
-    part.set_age_ms(
-        std::uint32_t(std::clamp<std::int64_t>(ms, 0, std::numeric_limits<std::uint32_t>::max())));
+    part.set_age_ms(age_ms(parts[i].age));
     part.set_data(*parts[i].body);
   }
   answer.SerializeToString(&payload.bytes);
--- a/src/partial_response/compose.h
+++ b/src/partial_response/compose.h
@@ -1,4 +1,6 @@
-// One answer of the kernel's result and the parts gathered for it.
+// The answer to a request whose class gathers parts: the kernel's result and the parts, in one message.
+//
+// No state and no I/O.
 #pragma once
 #include <string>
 #include <vector>
@@ -7,8 +9,9 @@
 
 namespace granitegap::partial_response {
 
-// A serialized granitegap.PartialAnswer (partial_answer.proto). Where it would grow over `max_bytes`, parts
-// are dropped, the largest first, and count as absent: a part may be lost, the answer never.
+// A serialized granitegap.PartialAnswer (partial_answer.proto), and the names of the parts that it contains
+// and lacks. Parts are dropped, the largest first, until the message fits into `max_bytes`; the result never
+// is.
 edge::Payload compose(std::string result, const std::vector<edge::GatheredPart>& parts,
                       std::size_t max_bytes);
 
--- a/tests/operator_config_test.cpp
+++ b/tests/operator_config_test.cpp
@@ -23,7 +23,7 @@
   ASSERT_TRUE(std::holds_alternative<OperatorConfig>(declared));
   const auto& d = std::get<OperatorConfig>(declared);
   EXPECT_EQ(d.spec.dependencies.size(), 2u);
-  EXPECT_EQ(d.spec.dependencies[0].max_open, 32u);
+  EXPECT_EQ(d.spec.dependencies[0].max_in_flight, 32u);
   EXPECT_EQ(d.spec.gathers[0].parts[1].fallback, "");
   const auto again = from_document(parse(typed_config::print(d.values)));
   ASSERT_TRUE(std::holds_alternative<OperatorConfig>(again));
