--- /dev/null
+++ b/src/operators/dependency_section.cpp
@@ -0,0 +1,120 @@
+// The section `dependencies` of an operator file.
+#include <algorithm>
+#include <set>
+#include <utility>
+
+#include "operators/sections.h"
+
+namespace granitegap::operators {
+namespace {
+
+using typed_config::Value;
+
+std::uint32_t count_of(const Value& dependency, const char* field) {
+  return std::uint32_t(dependency[field].as_int());
+}
+
+bool is_host_name(const std::string& name) {
+  return is_plain_name(name) && name.find_first_of("/@") == std::string::npos;
+}
+
+// Of a setting with a lower and an upper bound.
+template <class T>
+void check_order(const Value& dependency, const std::string& path, const char* lower_field, T lower,
+                 const char* upper_field, T upper, Diagnostics& diagnostics) {
+  if (lower > upper)
+    diagnostics.fail(dependency, path + "." + lower_field,
+                     std::string("expected no more than ") + upper_field);
+}
+
+std::vector<deps::EndpointSpec> read_endpoints(const Value& list, const std::string& path,
+                                               Diagnostics& diagnostics) {
+  std::vector<deps::EndpointSpec> endpoints;
+  std::size_t index = 0;
+  for (const auto& item : list.as_list()) {
+    const auto here = path + "[" + std::to_string(index++) + "]";
+    const auto endpoint = parse_endpoint(item.as_string());
+    if (!endpoint)
+      diagnostics.fail(item, here, "expected a numeric address and a port, as \"127.0.0.1:9001\"");
+    else if (std::find(endpoints.begin(), endpoints.end(), *endpoint) != endpoints.end())
+      diagnostics.fail(item, here, "the same endpoint twice");
+    else
+      endpoints.push_back(*endpoint);
+  }
+  return endpoints;
+}
+
+void read_retries(const Value& dependency, deps::DependencySpec& spec) {
+  spec.min_timeout = dependency["timeout_least"].as_duration();
+  spec.max_timeout = dependency["timeout_most"].as_duration();
+  spec.timeout_factor = dependency["timeout_factor"].as_double();
+  spec.max_tries = count_of(dependency, "most_tries");
+  spec.retry_share = dependency["retry_share"].as_double();
+  spec.retry_burst = dependency["retry_burst"].as_double();
+  spec.retry_pause = dependency["retry_pause"].as_duration();
+  spec.max_retry_pause = dependency["retry_pause_most"].as_duration();
+  spec.hedge_after = dependency["hedge_after"].as_double();
+}
+
+void read_concurrency(const Value& dependency, deps::DependencySpec& spec) {
+  spec.min_open = count_of(dependency, "least_open");
+  spec.max_open = count_of(dependency, "most_open");
+  spec.fleet_open = count_of(dependency, "fleet_open");
+  spec.fleet_fill = dependency["fleet_fill"].as_bool();
+  spec.max_waiting = count_of(dependency, "most_waiting");
+}
+
+void read_outlier_detection(const Value& dependency, deps::DependencySpec& spec) {
+  spec.max_ejected = dependency["most_ejected"].as_double();
+  spec.eject_for = dependency["eject_for"].as_duration();
+  spec.max_eject = dependency["eject_most"].as_duration();
+  spec.slow_start = dependency["slow_start"].as_duration();
+  spec.probe_every = dependency["probe_every"].as_duration();
+  spec.max_probe = dependency["probe_most"].as_duration();
+}
+
+void read_connection_limits(const Value& dependency, deps::DependencySpec& spec) {
+  spec.max_answer = dependency["most_answer"].as_byte_size();
+  spec.max_header = dependency["most_header"].as_byte_size();
+  spec.max_quiet = dependency["quiet_most"].as_duration();
+  spec.max_idle_time = dependency["idle_most"].as_duration();
+  spec.max_idle_connections = count_of(dependency, "most_idle");
+}
+
+void check_bounds(const Value& dependency, const deps::DependencySpec& spec, const std::string& path,
+                  Diagnostics& diagnostics) {
+  const auto check = [&](const char* lower_field, auto lower, const char* upper_field, auto upper) {
+    check_order(dependency, path, lower_field, lower, upper_field, upper, diagnostics);
+  };
+  check("timeout_least", spec.min_timeout, "timeout_most", spec.max_timeout);
+  check("retry_pause", spec.retry_pause, "retry_pause_most", spec.max_retry_pause);
+  check("least_open", spec.min_open, "most_open", spec.max_open);
+  check("eject_for", spec.eject_for, "eject_most", spec.max_eject);
+  check("probe_every", spec.probe_every, "probe_most", spec.max_probe);
+}
+
+}  // namespace
+
+std::vector<deps::DependencySpec> read_dependencies(const Value& list, Diagnostics& diagnostics) {
+  std::vector<deps::DependencySpec> specs;
+  std::set<std::string> names;
+  for (const auto& dependency : list.as_list()) {
+    const auto path = "dependencies[" + std::to_string(specs.size()) + "]";
+    deps::DependencySpec spec;
+    spec.name = dependency["name"].as_string();
+    if (!is_host_name(spec.name))
+      diagnostics.fail(dependency["name"], path + ".name", "expected a host's name, as it stands in Host");
+    if (!names.insert(spec.name).second)
+      diagnostics.fail(dependency["name"], path + ".name", "a second dependency of this name");
+    spec.endpoints = read_endpoints(dependency["endpoints"], path + ".endpoints", diagnostics);
+    read_retries(dependency, spec);
+    read_concurrency(dependency, spec);
+    read_outlier_detection(dependency, spec);
+    read_connection_limits(dependency, spec);
+    check_bounds(dependency, spec, path, diagnostics);
+    specs.push_back(std::move(spec));
+  }
+  return specs;
+}
+
+}  // namespace granitegap::operators
