--- a/src/cache_fill_http/server.cpp
+++ b/src/cache_fill_http/server.cpp
@@ -20,92 +20,116 @@
 using beast::error_code;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMaxQuestion = 4096;
-constexpr auto kIdle = 30s, kWrite = 2s;
+constexpr std::size_t kMaxRequestBytes = 4096;
+constexpr auto kIdleTimeout = 30s, kWriteTimeout = 2s;
+constexpr int kTimeoutMargin = 5;  // a query may take its timeout and this fraction more
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
 }  // namespace
 
-struct CacheFillServer::Waiting {
-  explicit Waiting(const asio::any_io_executor& executor) : over(executor) {}
-  asio::steady_timer over;
-  std::optional<edge::CacheFillReply> answer;
+struct CacheFillServer::PendingQuery {
+  explicit PendingQuery(const asio::any_io_executor& executor) : timer(executor) {}
+  asio::steady_timer timer;  // cancelled by the reply
+  std::optional<edge::CacheFillReply> reply;
 };
 
-CacheFillServer::CacheFillServer(const asio::any_io_executor& executor, const Tcp::endpoint& at, Logger& log)
-    : executor_(executor), log_(log), door_(executor, at) {
+// The answer to one HTTP request.
+struct CacheFillServer::Result {
+  http::status status = http::status::bad_request;
+  std::string body;
+};
+
+CacheFillServer::CacheFillServer(const asio::any_io_executor& executor, const Tcp::endpoint& address,
+                                 Logger& log)
+    : executor_(executor), log_(log), acceptor_(executor, address) {
   log_.line("fill: others ask for keys at port " + std::to_string(port()),
             {{"event", "fill_door"}, {"port", std::int64_t(port())}});
 }
 
-void CacheFillServer::begin(membership::BootId boot_id, Hooks hooks) {
+void CacheFillServer::start(membership::BootId boot_id, Hooks hooks) {
   boot_id_ = boot_id;
   hooks_ = std::move(hooks);
 }
 
 void CacheFillServer::close() {
-  closed_ = true;
+  is_closed_ = true;
   error_code ignored;
-  door_.close(ignored);
+  acceptor_.close(ignored);
 }
 
-void CacheFillServer::answer(edge::CacheFillReply answer) {
-  const auto it = waiting_.find(answer.tag);
-  if (it == waiting_.end()) return;  // it waits no more
-  it->second->answer = std::move(answer);
-  it->second->over.cancel();
+void CacheFillServer::reply(edge::CacheFillReply reply) {
+  const auto found = pending_.find(reply.tag);
+  if (found == pending_.end()) return;
+  auto& query = *found->second;
+  query.reply = std::move(reply);
+  query.timer.cancel();
 }
 
 asio::awaitable<void> CacheFillServer::serve() {
-  // In a name of its own: GCC 12 destroys a temporary in a co_await expression twice.
-  const net::ConnectionHandler take = [this](Tcp::socket socket, const asio::ip::address& from) {
-    // Guards against a fleet whose members each keep as many as they like: they ask below themselves.
-    if (connections_ < kMaxConnections && hooks_.may_ask(from))
-      asio::co_spawn(executor_, converse(std::move(socket)), asio::detached);
+  // A named variable: GCC 12 destroys a temporary in a co_await expression twice.
+  const net::ConnectionHandler accept = [this](Tcp::socket socket, const asio::ip::address& from) {
+    // Over the limit a member is refused and calls the dependency itself.
+    if (connections_ < kMaxConnections && hooks_.is_member(from))
+      asio::co_spawn(executor_, serve_connection(std::move(socket)), asio::detached);
   };
-  co_await net::accept_connections(door_, closed_, take);
+  co_await net::accept_connections(acceptor_, is_closed_, accept);
 }
 
-asio::awaitable<void> CacheFillServer::converse(Tcp::socket socket) {
+asio::awaitable<void> CacheFillServer::serve_connection(Tcp::socket socket) {
   const net::ScopedCount counted(connections_);
   error_code error;
   socket.set_option(Tcp::no_delay(true), error);
   beast::tcp_stream stream(std::move(socket));
-  beast::flat_buffer buffer(2 * kMaxQuestion);
-  while (!closed_) {
+  beast::flat_buffer buffer(2 * kMaxRequestBytes);
+  while (!is_closed_) {
     http::request_parser<http::empty_body> parser;
-    parser.header_limit(kMaxQuestion);
-    stream.expires_after(kIdle);
+    parser.header_limit(kMaxRequestBytes);
+    stream.expires_after(kIdleTimeout);
     co_await http::async_read(stream, buffer, parser, into(error));
     if (error) co_return;
+
     const auto& request = parser.get();
-    http::response<http::string_body> response(http::status::bad_request, request.version());
-    response.keep_alive(request.keep_alive());
     const auto target = request.target();
-    auto question = deps::read_target({target.data(), target.size()});
-    if (question && question->to != boot_id_) {
-      response.result(http::status::gone);  // of an earlier life, or of whoever had this port then
-    } else if (question) {
-      const auto waiting = std::make_shared<Waiting>(executor_);
-      const auto within = question->within;
-      waiting->over.expires_after(within + within / 5);
-      const auto tag = next_++;
-      waiting_.emplace(tag, waiting);
-      if (hooks_.ask({tag, std::move(*question)})) co_await waiting->over.async_wait(into(error));
-      waiting_.erase(tag);
-      if (const auto& a = waiting->answer; a && a->body) {
-        response.result(http::status::ok);
-        response.body() = deps::filled(a->age, *a->body);
-      } else {
-        response.result(a ? http::status::not_found : http::status::service_unavailable);
-      }
-    }
+    const auto query = deps::parse_request_target({target.data(), target.size()});
+    Result result;
+    if (query) result = co_await handle(*query);
+
+    http::response<http::string_body> response(result.status, request.version());
+    response.keep_alive(request.keep_alive());
+    response.body() = std::move(result.body);
     response.prepare_payload();
-    stream.expires_after(kWrite);
+    stream.expires_after(kWriteTimeout);
     co_await http::async_write(stream, response, into(error));
     if (error || !response.keep_alive()) co_return;
   }
 }
 
+asio::awaitable<CacheFillServer::Result> CacheFillServer::handle(const deps::CacheFillRequest& request) {
+  Result result;
+  if (request.target_boot_id != boot_id_) {  // of an earlier process, or of whoever had this port then
+    result.status = http::status::gone;
+    co_return result;
+  }
+  const auto query = std::make_shared<PendingQuery>(executor_);
+  query->timer.expires_after(request.timeout + request.timeout / kTimeoutMargin);
+  const auto tag = next_tag_;
+  ++next_tag_;
+  pending_.emplace(tag, query);
+  error_code ignored;
+  if (hooks_.submit({tag, request})) co_await query->timer.async_wait(into(ignored));
+  pending_.erase(tag);
+
+  const auto& reply = query->reply;
+  if (!reply) {
+    result.status = http::status::service_unavailable;
+  } else if (!reply->body) {
+    result.status = http::status::not_found;
+  } else {
+    result.status = http::status::ok;
+    result.body = deps::encode_fill_body(reply->age, *reply->body);
+  }
+  co_return result;
+}
+
 }  // namespace granitegap::cache_fill_http
--- a/src/deps/cache_fill.h
+++ b/src/deps/cache_fill.h
@@ -1,11 +1,12 @@
-// One member of a fleet fills a key of the parts' cache for all: who that is, and what it is asked.
+// Cache filling for the fleet: one member, the owner of a key, calls the dependency and serves the others.
 //
-// The owner of a key is the member with the highest score (membership/views.h) over those that serve and fill
-// for others, and this one. Members of one view name the same one, and where one goes only its keys move. It
-// is passed over for a while once it did not answer. Nobody is asked where the view can't be relied on: then
-// each calls for itself.
+// The owner of a key is the member with the highest score of rendezvous hashing (membership/views.h) among
+// this one and the members that serve and accept cache fills. All members with the same view agree on it, and
+// when one leaves only its keys move. A member that did not answer is skipped for a while, with exponential
+// backoff. While the view cannot be relied on there is no owner: each member calls the dependency itself.
 //
-// No socket, no clock. Ownership: all values. Errors: none; what can't be told is absent.
+// Values without clock or I/O, used by one thread. Errors: none is thrown; what cannot be determined or
+// parsed is absent.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -18,59 +19,73 @@
 
 namespace granitegap::deps {
 
+// The member of the fleet that fills a key for the others.
 struct KeyOwner {
-  std::uint64_t hash = 0;  // name_hash() of the member
+  std::uint64_t member_hash = 0;  // membership::name_hash() of its name
   membership::BootId boot_id{};
-  EndpointSpec at;
+  EndpointSpec address;  // where it accepts cache fills
 };
 
-class KeyOwners {
+// Chooses the owner of each key by rendezvous hashing.
+class KeyOwnerSelector {
  public:
-  // How long one that did not answer is passed over, doubling with each time in a row.
-  static constexpr Duration kPassedOver = std::chrono::milliseconds(500),
-                            kPassedOverMost = std::chrono::seconds(8);
+  // How long a member that did not answer is skipped; doubles with each failure in a row.
+  static constexpr Duration kBaseBackoff = std::chrono::milliseconds(500),
+                            kMaxBackoff = std::chrono::seconds(8);
 
-  void see(const membership::View& view);
-  // Who else fills this key; absent where that is this one, or it can't be told.
-  std::optional<KeyOwner> of(std::uint64_t key, TimePoint now) const;
-  void failed(std::uint64_t member, TimePoint now);
-  void answered(std::uint64_t member);
-  std::size_t size() const { return others_.size(); }
+  // Takes a new view of the fleet. A member's backoff carries over unless it has restarted.
+  void update_view(const membership::View& view);
+  // The other member that owns `key` (cache_fill_key()); absent when it is this one or cannot be determined.
+  std::optional<KeyOwner> owner_of(std::uint64_t key, TimePoint now) const;
+
+  // How a cache fill asked of a member ended. `member`: KeyOwner::member_hash.
+  void on_failure(std::uint64_t member, TimePoint now);
+  void on_success(std::uint64_t member);
+
+  // Members other than this one that accept cache fills.
+  std::size_t size() const { return candidates_.size(); }
 
  private:
-  struct Other {
+  struct Candidate {
     KeyOwner owner;
-    TimePoint until{};  // passed over
-    std::uint32_t in_a_row = 0;
+    TimePoint skipped_until{};
+    std::uint32_t consecutive_failures = 0;
   };
-  Other* find(std::uint64_t member);
-  std::uint64_t own_ = 0;
-  bool sure_ = false;
-  std::vector<Other> others_;  // by hash
+  Candidate* find(std::uint64_t member);
+
+  std::uint64_t own_hash_ = 0;
+  bool view_is_reliable_ = false;
+  std::vector<Candidate> candidates_;  // ordered by member hash
 };
 
-// The same in every process, as keys of the cache are not.
+// The key of one path of a dependency: the same in every process, unlike cache_key().
 std::uint64_t cache_fill_key(std::string_view dependency, std::string_view path);
 
-// What is asked of the owner: the value of a path below, no older than `fresh`, within so long. `to`: the
-// life that is asked; a later one on the same port does not answer for it.
+// What one member asks of a key's owner: the response for `path`, no older than `max_age`, within `timeout`.
 struct CacheFillRequest {
-  membership::BootId to{};
+  membership::BootId target_boot_id{};  // a later process on the same port must not answer
   std::string dependency, path;
-  Duration fresh{}, within{};
+  Duration max_age{}, timeout{};
   bool operator==(const CacheFillRequest&) const = default;
 };
-// As the target of an HTTP request, and back; absent where it is none.
-std::string target_of(const CacheFillRequest& question);
-std::optional<CacheFillRequest> read_target(std::string_view target);
 
-// The value and its age, as the body of the answer, and back; kMaxFillHead: bytes more than the value's.
-inline constexpr std::size_t kMaxFillHead = 24;
-std::string filled(Duration age, std::string_view body);
+// The request as the target of an HTTP GET: /fill/BOOT_ID/MAX_AGE/TIMEOUT/DEPENDENCY/PATH, the identifier in
+// hexadecimal, the durations in microseconds.
+std::string to_request_target(const CacheFillRequest& request);
+// Absent when the target is not of that form.
+std::optional<CacheFillRequest> parse_request_target(std::string_view target);
+
+// The owner's answer.
 struct CacheFillResponse {
-  Duration age{};
+  Duration age{};  // since the dependency answered
   std::string body;
 };
-std::optional<CacheFillResponse> read_filled(const std::string& bytes);
+
+// Most bytes that encode_fill_body() adds to the body.
+inline constexpr std::size_t kMaxFillHeaderBytes = 24;
+// The answer as the body of an HTTP response: the age in microseconds, a newline, the dependency's body.
+std::string encode_fill_body(Duration age, std::string_view body);
+// Absent when the bytes are not of that form.
+std::optional<CacheFillResponse> parse_fill_body(const std::string& bytes);
 
 }  // namespace granitegap::deps
--- a/src/deps/endpoints.cpp
+++ b/src/deps/endpoints.cpp
@@ -6,203 +6,250 @@
 namespace granitegap::deps {
 namespace {
 
-constexpr std::uint32_t kFailuresInARow = 5;
-constexpr double kDecaySeconds = 2;    // of the peak latency
-constexpr double kUnknownUs = 1000;    // of an endpoint not heard of yet: worth a try
-constexpr double kMinShare = 0.1;      // at the beginning of a slow start
-constexpr std::uint32_t kGrowths = 8;  // of the time out; bounded by max_eject long before
+constexpr std::uint32_t kConsecutiveFailures = 5;   // that eject an endpoint
+constexpr double kPeakDecaySeconds = 2;             // time constant of the peak latency
+constexpr double kImprovementGain = 0.3;            // weight of a sample below the peak
+constexpr double kInitialLatencyUs = 1000;          // assumed of an endpoint without samples
+constexpr double kMinSlowStartWeight = 0.1;         // at the beginning of a slow start
+constexpr std::uint32_t kMaxEjectionDoublings = 8;  // max_ejection_time bounds the duration long before
 
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
+double decayed_peak(double peak_us, Duration age) {
+  return peak_us * std::exp(-seconds(age) / kPeakDecaySeconds);
+}
+
 }  // namespace
 
-EndpointSet::EndpointSet(const DependencySpec& spec) { change(spec); }
+EndpointSet::EndpointSet(const DependencySpec& spec) { update(spec); }
 
-void EndpointSet::change(const DependencySpec& spec) {
-  all_in_ = false;  // looked at by the next pick
-  max_ejected_ = spec.max_ejected;
-  eject_for_ = spec.eject_for;
-  max_eject_ = spec.max_eject;
-  slow_start_ = spec.slow_start;
-  for (auto& e : all_) {
+void EndpointSet::update(const DependencySpec& spec) {
+  all_available_ = false;  // determined anew by the next pick()
+  max_ejection_ratio_ = spec.max_ejection_ratio;
+  base_ejection_time_ = spec.base_ejection_time;
+  max_ejection_time_ = spec.max_ejection_time;
+  slow_start_window_ = spec.slow_start_window;
+  for (auto& endpoint : endpoints_) {
     const bool stays =
-        std::find(spec.endpoints.begin(), spec.endpoints.end(), e.address) != spec.endpoints.end();
-    if (!stays) e.state = State::gone;
+        std::find(spec.endpoints.begin(), spec.endpoints.end(), endpoint.address) != spec.endpoints.end();
+    if (!stays) endpoint.state = State::removed;
   }
   for (const auto& address : spec.endpoints) {
-    const auto known = std::find_if(all_.begin(), all_.end(), [&](auto& e) { return e.address == address; });
-    if (known != all_.end()) {
-      if (known->state == State::gone) known->state = State::in;
-      continue;
+    const auto known = std::find_if(endpoints_.begin(), endpoints_.end(),
+                                    [&](const Endpoint& endpoint) { return endpoint.address == address; });
+    if (known == endpoints_.end()) {
+      auto& added = free_slot();
+      added = Endpoint{};
+      added.address = address;
+    } else if (known->state == State::removed) {
+      known->state = State::healthy;
     }
-    const auto free =
-        std::find_if(all_.begin(), all_.end(), [](auto& e) { return e.state == State::gone && e.open == 0; });
-    auto& e = free != all_.end() ? *free : all_.emplace_back();
-    e = Endpoint{};
-    e.address = address;
   }
 }
 
-double EndpointSet::cost(const Endpoint& e, TimePoint now) const {
-  double peak = e.peak_us > 0 ? e.peak_us * std::exp(-seconds(now - e.heard) / kDecaySeconds) : kUnknownUs;
-  peak = std::max(peak, 1.0);
-  double share = 1;
-  if (e.slow_start) {
-    const double part = slow_start_.count() > 0 ? seconds(now - e.back_at) / seconds(slow_start_) : 1;
-    share = std::clamp(part, kMinShare, 1.0);
+EndpointSet::Endpoint& EndpointSet::free_slot() {
+  const auto free = std::find_if(endpoints_.begin(), endpoints_.end(), [](const Endpoint& endpoint) {
+    return endpoint.state == State::removed && endpoint.in_flight == 0;
+  });
+  return free != endpoints_.end() ? *free : endpoints_.emplace_back();
+}
+
+bool EndpointSet::is_available(const Endpoint& endpoint, TimePoint now) const {
+  return endpoint.state == State::healthy && endpoint.retry_after <= now;
+}
+
+double EndpointSet::load_score(const Endpoint& endpoint, TimePoint now) const {
+  double peak_us = kInitialLatencyUs;
+  if (endpoint.peak_us > 0) peak_us = decayed_peak(endpoint.peak_us, now - endpoint.last_sample);
+  peak_us = std::max(peak_us, 1.0);
+  double weight = 1;
+  if (endpoint.in_slow_start) {
+    const double progress = slow_start_window_.count() > 0
+                                ? seconds(now - endpoint.slow_start_began) / seconds(slow_start_window_)
+                                : 1;
+    weight = std::clamp(progress, kMinSlowStartWeight, 1.0);
   }
-  return peak * (e.open + 1) / share;
+  return peak_us * (endpoint.in_flight + 1) / weight;
+}
+
+EndpointSet::Index EndpointSet::less_loaded(Index a, Index b, TimePoint now) const {
+  return load_score(endpoints_[b], now) < load_score(endpoints_[a], now) ? b : a;
 }
 
 std::optional<EndpointSet::Index> EndpointSet::pick(TimePoint now, double random1, double random2,
-                                                    std::optional<Index> not_this) {
-  const auto better = [&](Index a, Index b) { return cost(all_[b], now) < cost(all_[a], now) ? b : a; };
-  if (all_in_ && all_.size() > 2) {
-    const auto n = Index(all_.size());
-    // One of those that are not `not_this`, and another one: numbers past the ones left out move up.
-    const auto among = n - (not_this ? 1 : 0);
-    auto first = std::min(Index(random1 * among), among - 1);
-    auto second = std::min(Index(random2 * (among - 1)), among - 2);
-    if (second >= first) ++second;
-    if (not_this && first >= *not_this) ++first;
-    if (not_this && second >= *not_this) ++second;
-    return better(first, second);
+                                                    std::optional<Index> avoid) {
+  if (all_available_ && endpoints_.size() > 2) return pick_among_all(now, random1, random2, avoid);
+  all_available_ = std::all_of(endpoints_.begin(), endpoints_.end(),
+                               [&](const Endpoint& endpoint) { return is_available(endpoint, now); });
+  if (const auto trial = begin_trial(now, avoid)) return trial;
+  return pick_by_scan(now, random1, random2, avoid);
+}
+
+// Two different endpoints other than `avoid`, without a scan: an index at or past one that is left out moves
+// up by one.
+EndpointSet::Index EndpointSet::pick_among_all(TimePoint now, double random1, double random2,
+                                               std::optional<Index> avoid) const {
+  const auto candidates = Index(endpoints_.size()) - (avoid ? 1 : 0);
+  auto first = std::min(Index(random1 * candidates), candidates - 1);
+  auto second = std::min(Index(random2 * (candidates - 1)), candidates - 2);
+  if (second >= first) ++second;
+  if (avoid && first >= *avoid) ++first;
+  if (avoid && second >= *avoid) ++second;
+  return less_loaded(first, second, now);
+}
+
+// Puts the first ejected endpoint whose time is over on trial with a single attempt.
+std::optional<EndpointSet::Index> EndpointSet::begin_trial(TimePoint now, std::optional<Index> avoid) {
+  for (Index i = 0; i < endpoints_.size(); ++i) {
+    auto& endpoint = endpoints_[i];
+    const bool is_due =
+        endpoint.state == State::ejected && endpoint.ejected_until <= now && endpoint.retry_after <= now;
+    if (!is_due || i == avoid) continue;
+    endpoint.state = State::half_open;
+    return i;
   }
-  std::uint32_t eligible = 0;
-  std::optional<Index> last_resort;
-  all_in_ = std::all_of(all_.begin(), all_.end(),
-                        [&](const auto& e) { return e.state == State::in && e.held_until <= now; });
-  const auto fits = [&](Index i) {
-    const auto& e = all_[i];
-    return e.state == State::in && e.held_until <= now && i != not_this;
-  };
-  for (Index i = 0; i < all_.size(); ++i) {
-    auto& e = all_[i];
-    if (e.state == State::ejected && e.until <= now && e.held_until <= now && i != not_this) {
-      e.state = State::half_open;  // this call alone, until its end is told
-      return i;
-    }
-    if (fits(i)) ++eligible;
-    if (e.state == State::in && e.held_until <= now) last_resort = i;
+  return std::nullopt;
+}
+
+std::optional<EndpointSet::Index> EndpointSet::pick_by_scan(TimePoint now, double random1, double random2,
+                                                            std::optional<Index> avoid) const {
+  std::uint32_t candidates = 0;
+  std::optional<Index> last_resort;  // `avoid` too
+  for (Index i = 0; i < endpoints_.size(); ++i) {
+    if (!is_available(endpoints_[i], now)) continue;
+    last_resort = i;
+    if (i != avoid) ++candidates;
   }
-  if (eligible == 0) return last_resort;
-  auto first = std::min(std::uint32_t(random1 * eligible), eligible - 1);
-  auto second = eligible;  // none
-  if (eligible > 1) {
-    second = std::min(std::uint32_t(random2 * (eligible - 1)), eligible - 2);
+  if (candidates == 0) return last_resort;
+
+  const auto first = std::min(std::uint32_t(random1 * candidates), candidates - 1);
+  auto second = candidates;  // none
+  if (candidates > 1) {
+    second = std::min(std::uint32_t(random2 * (candidates - 1)), candidates - 2);
     if (second >= first) ++second;
   }
   std::optional<Index> a, b;
   std::uint32_t seen = 0;
-  for (Index i = 0; i < all_.size(); ++i) {
-    if (!fits(i)) continue;
+  for (Index i = 0; i < endpoints_.size(); ++i) {
+    if (!is_available(endpoints_[i], now) || i == avoid) continue;
     if (seen == first) a = i;
     if (seen == second) b = i;
     ++seen;
   }
-  return b ? better(*a, *b) : *a;
-}
-
-void EndpointSet::started(Index i) { ++all_[i].open; }
-
-void EndpointSet::succeeded(Index i, Duration took, TimePoint now) {
-  auto& e = all_[i];
-  e.open -= e.open > 0;
-  const double us = double(took.count());
-  const double kept = e.peak_us * std::exp(-seconds(now - e.heard) / kDecaySeconds);
-  // A peak is believed at once, an improvement bit by bit.
-  e.peak_us = us > kept ? us : kept + 0.3 * (us - kept);
-  e.heard = now;
-  e.in_a_row = 0;
-  if (e.state == State::half_open) {
-    e.state = State::in;
-    e.slow_start = true;
-    e.back_at = now;
-  } else if (e.slow_start && now - e.back_at >= slow_start_) {
-    e.slow_start = false;
-    e.times_out = 0;  // it has held
+  return b ? less_loaded(*a, *b, now) : *a;
+}
+
+void EndpointSet::on_call_started(Index i) { ++endpoints_[i].in_flight; }
+
+void EndpointSet::end_call(Endpoint& endpoint) {
+  if (endpoint.in_flight > 0) --endpoint.in_flight;
+}
+
+void EndpointSet::on_success(Index i, Duration took, TimePoint now) {
+  auto& endpoint = endpoints_[i];
+  end_call(endpoint);
+  // Peak EWMA: a higher latency counts at once, a lower one bit by bit.
+  const double sample_us = double(took.count());
+  const double peak_us = decayed_peak(endpoint.peak_us, now - endpoint.last_sample);
+  endpoint.peak_us = sample_us > peak_us ? sample_us : peak_us + kImprovementGain * (sample_us - peak_us);
+  endpoint.last_sample = now;
+  endpoint.consecutive_failures = 0;
+  if (endpoint.state == State::half_open) {
+    endpoint.state = State::healthy;
+    endpoint.in_slow_start = true;
+    endpoint.slow_start_began = now;
+  } else if (endpoint.in_slow_start && now - endpoint.slow_start_began >= slow_start_window_) {
+    endpoint.in_slow_start = false;
+    endpoint.ejections = 0;
   }
 }
 
-void EndpointSet::failed(Index i, TimePoint now) {
-  auto& e = all_[i];
-  e.open -= e.open > 0;
-  ++e.in_a_row;
-  if (e.state == State::half_open) return eject(e, now);
-  if (e.state != State::in || e.in_a_row < kFailuresInARow) return;
-  // Guards against putting out so many that the rest are overrun, or all for a fault that is theirs together.
-  if (may_eject()) eject(e, now);
+void EndpointSet::on_failure(Index i, TimePoint now) {
+  auto& endpoint = endpoints_[i];
+  end_call(endpoint);
+  ++endpoint.consecutive_failures;
+  if (endpoint.state == State::half_open) return eject(endpoint, now);
+  if (endpoint.state != State::healthy || endpoint.consecutive_failures < kConsecutiveFailures) return;
+  // Ejecting more would overload the remaining endpoints; a fault of all of them is the circuit breaker's.
+  if (may_eject_another()) eject(endpoint, now);
 }
 
-bool EndpointSet::may_eject() const {
-  std::size_t there = 0;
-  for (const auto& e : all_) there += e.state != State::gone;
-  return count_out() + 1 <= std::size_t(max_ejected_ * double(there));
+bool EndpointSet::may_eject_another() const {
+  const auto present = std::count_if(endpoints_.begin(), endpoints_.end(), [](const Endpoint& endpoint) {
+    return endpoint.state != State::removed;
+  });
+  return ejected_count() + 1 <= std::size_t(max_ejection_ratio_ * double(present));
 }
 
-void EndpointSet::eject(Endpoint& e, TimePoint now) {
-  e.state = State::ejected;
-  all_in_ = false;
-  const auto longer = eject_for_ * (std::int64_t(1) << std::min(e.times_out, kGrowths));
-  e.until = now + std::min(longer, max_eject_);
-  ++e.times_out;
-  e.in_a_row = 0;
+void EndpointSet::eject(Endpoint& endpoint, TimePoint now) {
+  endpoint.state = State::ejected;
+  all_available_ = false;
+  const auto duration =
+      base_ejection_time_ * (std::int64_t(1) << std::min(endpoint.ejections, kMaxEjectionDoublings));
+  endpoint.ejected_until = now + std::min(duration, max_ejection_time_);
+  ++endpoint.ejections;
+  endpoint.consecutive_failures = 0;
 }
 
-void EndpointSet::abandoned(Index i) {
-  auto& e = all_[i];
-  e.open -= e.open > 0;
-  if (e.state == State::half_open) e.state = State::ejected;  // its time is over: the next call tries
+void EndpointSet::on_cancelled(Index i) {
+  auto& endpoint = endpoints_[i];
+  end_call(endpoint);
+  // The trial had no result. Its ejection time is over, so that the next attempt is a trial again.
+  if (endpoint.state == State::half_open) endpoint.state = State::ejected;
 }
 
-void EndpointSet::hold(Index i, TimePoint until) {
-  all_in_ = false;
-  all_[i].held_until = std::max(all_[i].held_until, until);
+void EndpointSet::set_retry_after(Index i, TimePoint until) {
+  all_available_ = false;
+  endpoints_[i].retry_after = std::max(endpoints_[i].retry_after, until);
 }
 
-void EndpointSet::all_back(TimePoint now) {
-  for (auto& e : all_) {
-    if (e.state == State::gone) continue;
-    e.in_a_row = 0;
-    if (e.state == State::ejected) e.until = now;
-    if (e.state == State::in) {
-      e.slow_start = true;
-      e.back_at = now;
+void EndpointSet::begin_slow_start(TimePoint now) {
+  for (auto& endpoint : endpoints_) {
+    if (endpoint.state == State::removed) continue;
+    endpoint.consecutive_failures = 0;
+    if (endpoint.state == State::ejected) endpoint.ejected_until = now;
+    if (endpoint.state == State::healthy) {
+      endpoint.in_slow_start = true;
+      endpoint.slow_start_began = now;
     }
   }
 }
 
-std::optional<EndpointSet::Known> EndpointSet::known(Index i, TimePoint now) const {
-  const auto& e = all_[i];
-  Known k;
-  if (e.state == State::ejected) k.out_for = std::max(e.until - now, Duration{});
-  k.times_out = e.times_out;
-  if (e.peak_us > 0) {
-    k.latency = Duration(std::int64_t(e.peak_us));
-    k.heard_ago = std::max(now - e.heard, Duration{});
+std::optional<EndpointStats> EndpointSet::stats(Index i, TimePoint now) const {
+  const auto& endpoint = endpoints_[i];
+  EndpointStats stats;
+  if (endpoint.state == State::ejected)
+    stats.ejected_for = std::max(endpoint.ejected_until - now, Duration{});
+  stats.ejections = endpoint.ejections;
+  if (endpoint.peak_us > 0) {
+    stats.latency = Duration(std::int64_t(endpoint.peak_us));
+    stats.sample_age = std::max(now - endpoint.last_sample, Duration{});
   }
-  if (e.state == State::gone || (k.out_for.count() == 0 && k.latency.count() == 0)) return std::nullopt;
-  return k;
+  const bool is_blank = stats.ejected_for.count() == 0 && stats.latency.count() == 0;
+  if (endpoint.state == State::removed || is_blank) return std::nullopt;
+  return stats;
 }
 
-bool EndpointSet::learn(Index i, const Known& k, TimePoint now) {
-  auto& e = all_[i];
-  if (e.state != State::in || e.peak_us > 0 || e.in_a_row > 0 || e.times_out > 0) return false;
-  if (k.latency.count() > 0) {
-    e.peak_us = double(k.latency.count());
-    e.heard = now - k.heard_ago;
+bool EndpointSet::restore(Index i, const EndpointStats& stats, TimePoint now) {
+  auto& endpoint = endpoints_[i];
+  const bool has_own_evidence =
+      endpoint.peak_us > 0 || endpoint.consecutive_failures > 0 || endpoint.ejections > 0;
+  if (endpoint.state != State::healthy || has_own_evidence) return false;
+  if (stats.latency.count() > 0) {
+    endpoint.peak_us = double(stats.latency.count());
+    endpoint.last_sample = now - stats.sample_age;
   }
-  if (k.out_for.count() <= 0 || !may_eject()) return true;
-  e.state = State::ejected;
-  all_in_ = false;
-  e.until = now + std::min(k.out_for, max_eject_);
-  e.times_out = std::clamp<std::uint32_t>(k.times_out, 1, kGrowths);
+  if (stats.ejected_for.count() <= 0 || !may_eject_another()) return true;
+  endpoint.state = State::ejected;
+  all_available_ = false;
+  endpoint.ejected_until = now + std::min(stats.ejected_for, max_ejection_time_);
+  endpoint.ejections = std::clamp<std::uint32_t>(stats.ejections, 1, kMaxEjectionDoublings);
   return true;
 }
 
-std::size_t EndpointSet::count_out() const {
-  return std::size_t(std::count_if(all_.begin(), all_.end(), [](const auto& e) {
-    return e.state == State::ejected || e.state == State::half_open;
+std::size_t EndpointSet::ejected_count() const {
+  return std::size_t(std::count_if(endpoints_.begin(), endpoints_.end(), [](const Endpoint& endpoint) {
+    return endpoint.state == State::ejected || endpoint.state == State::half_open;
   }));
 }
 
--- a/src/deps/limits.cpp
+++ b/src/deps/limits.cpp
@@ -6,137 +6,160 @@
 namespace granitegap::deps {
 namespace {
 
-constexpr double kTolerance = 1.5;            // latency over the best that is taken for noise
-constexpr double kGrow = 0.3, kShrink = 0.8;  // of the way that one update goes
-constexpr double kMeanGain = 0.2;             // of one answer in the recent mean
-constexpr double kBestDrift = 0.005;          // of the way from best to recent, per update
-constexpr double kCut = 0.9;
-constexpr double kBudgetHalfLife = 10;  // s
-constexpr double kOutageHalfLife = 0.5;
-constexpr std::uint32_t kOutInARow = 8;
-constexpr double kOutCalls = 10, kOutShare = 0.8;
-constexpr double kProbeGrowth = 1.6;
-
-double aged(double value, Duration passed, double half_life) {
+constexpr double kInitialLimit = 8;  // until there are latencies
+constexpr double kTolerance = 1.5;   // recent over best latency that is taken for noise
+constexpr double kMinGradient = 0.5;
+constexpr double kGrowth = 0.3, kShrink = 0.8;  // smoothing: share of the way that one update goes
+constexpr double kLatencyGain = 0.2;            // weight of one answer in the recent latency
+constexpr double kBestDrift = 0.005;            // of the way from best to recent, per update
+constexpr double kFailureCut = 0.9;             // factor of the limit on a failure
+
+constexpr double kBudgetHalfLifeSeconds = 10;
+
+constexpr double kCircuitHalfLifeSeconds = 0.5;  // of the counts of recent calls
+constexpr std::uint32_t kConsecutiveFailures = 8;
+constexpr double kMinCalls = 10, kMaxFailureRatio = 0.8;
+constexpr double kProbeIntervalGrowth = 1.6;
+
+double decayed(double value, Duration passed, double half_life_seconds) {
   if (passed.count() <= 0 || value == 0) return value;
-  return value * std::exp2(-std::chrono::duration<double>(passed).count() / half_life);
+  return value * std::exp2(-std::chrono::duration<double>(passed).count() / half_life_seconds);
+}
+
+Duration scaled(Duration duration, double factor) {
+  return Duration(std::llround(double(duration.count()) * factor));
 }
 
 }  // namespace
 
-ConcurrencyLimit::ConcurrencyLimit(std::uint32_t least, std::uint32_t most)
-    : least_(std::max(least, 1u)), most_(std::max<double>(most, least_)), limit_(most_) {
-  limit_ = std::clamp(8.0, least_, most_);  // until latency has been heard of
-}
+// ---- ConcurrencyLimit ----
 
-void ConcurrencyLimit::rebound(std::uint32_t least, std::uint32_t most) {
-  least_ = std::max(least, 1u);
-  most_ = std::max<double>(most, least_);
-  limit_ = std::clamp(limit_, ramp_to_ > 0 ? 1.0 : least_, most_);
+ConcurrencyLimit::ConcurrencyLimit(std::uint32_t min, std::uint32_t max)
+    : min_(std::max(min, 1u)),
+      max_(std::max<double>(max, min_)),
+      limit_(std::clamp(kInitialLimit, min_, max_)) {}
+
+void ConcurrencyLimit::set_bounds(std::uint32_t min, std::uint32_t max) {
+  min_ = std::max(min, 1u);
+  max_ = std::max<double>(max, min_);
+  limit_ = std::clamp(limit_, min_limit(), max_);
 }
 
-void ConcurrencyLimit::succeeded(Duration took, std::uint32_t open_then) {
+void ConcurrencyLimit::on_success(Duration took, std::uint32_t in_flight) {
   const double us = std::max<double>(double(took.count()), 1);
-  mean_ = mean_ > 0 ? mean_ + kMeanGain * (us - mean_) : us;
-  best_ = best_ > 0 ? std::min(best_, mean_) : mean_;
-  ++since_cut_;
-  if (++ends_ >= std::uint32_t(limit_)) update(open_then);
-}
-
-void ConcurrencyLimit::update(std::uint32_t open_then) {
-  ends_ = 0;
-  best_ += kBestDrift * (mean_ - best_);
-  if (ramp_to_ > 0) {
-    limit_ = std::min(limit_ * 2, ramp_to_);
-    if (limit_ >= ramp_to_) ramp_to_ = 0;
+  recent_us_ = recent_us_ > 0 ? recent_us_ + kLatencyGain * (us - recent_us_) : us;
+  best_us_ = best_us_ > 0 ? std::min(best_us_, recent_us_) : recent_us_;
+  ++ends_since_cut_;
+  ++answers_since_update_;
+  if (answers_since_update_ >= std::uint32_t(limit_)) update(in_flight);
+}
+
+void ConcurrencyLimit::update(std::uint32_t in_flight) {
+  answers_since_update_ = 0;
+  best_us_ += kBestDrift * (recent_us_ - best_us_);
+  if (in_slow_start()) {
+    limit_ = std::min(limit_ * 2, slow_start_target_);
+    if (limit_ >= slow_start_target_) slow_start_target_ = 0;
     return;
   }
-  const double gradient = std::clamp(kTolerance * best_ / mean_, 0.5, 1.0);
-  // Guards against a limit that grows while nothing presses against it, and so protects nothing later.
-  if (gradient >= 1 && open_then * 2 < std::uint32_t(limit_)) return;
-  const double next = limit_ * gradient + std::sqrt(limit_);
-  limit_ = std::clamp(limit_ + (next > limit_ ? kGrow : kShrink) * (next - limit_), least_, most_);
+  const double gradient = std::clamp(kTolerance * best_us_ / recent_us_, kMinGradient, 1.0);
+  // A limit that is not used must not grow: it would protect nothing when it is needed.
+  const bool is_used = in_flight * 2 >= std::uint32_t(limit_);
+  if (gradient >= 1 && !is_used) return;
+  const double target = limit_ * gradient + std::sqrt(limit_);
+  const double smoothing = target > limit_ ? kGrowth : kShrink;
+  limit_ = std::clamp(limit_ + smoothing * (target - limit_), min_, max_);
 }
 
-void ConcurrencyLimit::failed() {
-  if (++since_cut_ < std::uint32_t(limit_)) return;
-  since_cut_ = 0;
-  limit_ = std::clamp(limit_ * kCut, ramp_to_ > 0 ? 1.0 : least_, most_);
+void ConcurrencyLimit::on_failure() {
+  ++ends_since_cut_;
+  if (ends_since_cut_ < std::uint32_t(limit_)) return;
+  ends_since_cut_ = 0;
+  limit_ = std::clamp(limit_ * kFailureCut, min_limit(), max_);
 }
 
-void ConcurrencyLimit::restart() {
-  ramp_to_ = std::max(limit_, least_);
+void ConcurrencyLimit::begin_slow_start() {
+  slow_start_target_ = std::max(limit_, min_);
   limit_ = 1;
-  ends_ = since_cut_ = 0;
+  answers_since_update_ = 0;
+  ends_since_cut_ = 0;
 }
 
-double RetryBudget::saved(TimePoint now) {
-  saved_ = aged(saved_, now - at_, kBudgetHalfLife);
-  at_ = std::max(at_, now);
-  return saved_;
+// ---- RetryBudget ----
+
+void RetryBudget::configure(double ratio, double max_balance) {
+  ratio_ = ratio;
+  max_balance_ = max_balance;
+  balance_ = std::min(balance_, max_balance_);
+}
+
+double RetryBudget::balance(TimePoint now) {
+  balance_ = decayed(balance_, now - updated_, kBudgetHalfLifeSeconds);
+  updated_ = std::max(updated_, now);
+  return balance_;
 }
 
-void RetryBudget::succeeded(TimePoint now) { saved_ = std::min(saved(now) + share_, burst_); }
+void RetryBudget::deposit(TimePoint now) { balance_ = std::min(balance(now) + ratio_, max_balance_); }
 
-bool RetryBudget::take(TimePoint now) {
-  if (saved(now) < 1) return false;
-  saved_ -= 1;
+bool RetryBudget::try_withdraw(TimePoint now) {
+  if (balance(now) < 1) return false;
+  balance_ -= 1;
   return true;
 }
 
-void RetryBudget::reset(double share, double burst) {
-  share_ = share;
-  burst_ = burst;
-  saved_ = std::min(saved_, burst_);
+// ---- CircuitBreaker ----
+
+CircuitBreaker::CircuitBreaker(Duration probe_interval, Duration max_probe_interval) {
+  configure(probe_interval, max_probe_interval);
 }
 
-Outage::Outage(Duration probe_every, Duration max_probe) { reset(probe_every, max_probe); }
+void CircuitBreaker::configure(Duration probe_interval, Duration max_probe_interval) {
+  min_probe_interval_ = std::max(probe_interval, Duration(1));
+  max_probe_interval_ = std::max(max_probe_interval, min_probe_interval_);
+}
 
-void Outage::reset(Duration probe_every, Duration max_probe) {
-  probe_every_ = std::max(probe_every, Duration(1));
-  max_probe_ = std::max(max_probe, probe_every_);
+void CircuitBreaker::decay(TimePoint now) {
+  successes_ = decayed(successes_, now - updated_, kCircuitHalfLifeSeconds);
+  failures_ = decayed(failures_, now - updated_, kCircuitHalfLifeSeconds);
+  updated_ = std::max(updated_, now);
 }
 
-void Outage::fade(TimePoint now) {
-  good_ = aged(good_, now - at_, kOutageHalfLife);
-  bad_ = aged(bad_, now - at_, kOutageHalfLife);
-  at_ = std::max(at_, now);
+// Half of the interval is jitter: processes that saw the same outage must not probe in step.
+void CircuitBreaker::schedule_probe(TimePoint now, double random) {
+  next_probe_ = now + scaled(interval_, 0.5 + random / 2);
 }
 
-bool Outage::succeeded(TimePoint now) {
-  fade(now);
-  good_ += 1;
-  in_a_row_ = 0;
-  probing_ = false;
-  if (!out_) return false;
-  out_ = false;
-  good_ = bad_ = 0;
+bool CircuitBreaker::on_success(TimePoint now) {
+  decay(now);
+  successes_ += 1;
+  consecutive_failures_ = 0;
+  is_probing_ = false;
+  if (!is_open_) return false;
+  is_open_ = false;
+  successes_ = 0;
+  failures_ = 0;
   return true;
 }
 
-bool Outage::failed(TimePoint now, double random) {
-  fade(now);
-  bad_ += 1;
-  ++in_a_row_;
-  // The pause until the next probe counts from its end, and half of it is chance: instances that saw the same
-  // outage must not probe in step.
-  const auto next = [&] {
-    next_probe_ = now + Duration(std::llround(double(pause_.count()) * (0.5 + random / 2)));
-  };
-  if (out_) {
-    if (!probing_) return false;  // a call from before the outage
-    probing_ = false;
-    pause_ = std::min(Duration(std::llround(double(pause_.count()) * kProbeGrowth)), max_probe_);
-    next();
+bool CircuitBreaker::on_failure(TimePoint now, double random) {
+  decay(now);
+  failures_ += 1;
+  ++consecutive_failures_;
+  if (is_open_) {
+    if (!is_probing_) return false;  // a call that began before the breaker opened
+    is_probing_ = false;
+    interval_ = std::min(scaled(interval_, kProbeIntervalGrowth), max_probe_interval_);
+    schedule_probe(now, random);
     return false;
   }
-  const bool most = good_ + bad_ >= kOutCalls && bad_ > kOutShare * (good_ + bad_);
-  if (in_a_row_ < kOutInARow && !most) return false;
-  out_ = true;
-  probing_ = false;
-  since_ = now;
-  pause_ = probe_every_;
-  next();
+  const double calls = successes_ + failures_;
+  const bool most_failed = calls >= kMinCalls && failures_ > kMaxFailureRatio * calls;
+  if (consecutive_failures_ < kConsecutiveFailures && !most_failed) return false;
+  is_open_ = true;
+  is_probing_ = false;
+  opened_at_ = now;
+  interval_ = min_probe_interval_;
+  schedule_probe(now, random);
   return true;
 }
 
--- a/src/deps/limits.h
+++ b/src/deps/limits.h
@@ -1,4 +1,7 @@
-// How much may be asked of one dependency: how many calls at once, and how many tries beyond the first.
+// How much is asked of one dependency: the adaptive concurrency limit, the retry budget and the circuit
+// breaker.
+//
+// Value types without clock, randomness or I/O, used by one thread.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -7,76 +10,104 @@
 
 namespace granitegap::deps {
 
-// The concurrency limit follows latency: limit <- limit * clamp(kTolerance * best / recent, 0.5, 1) +
-// sqrt(limit), smoothed, once for every limit's worth of answers. `best` is the least recent mean and drifts
-// up slowly, so that a lasting change becomes the new usual. The gradient cuts within a few answers when
-// queues build below, and the square root is the headroom that lets it find the way up again; see
-// docs/dependencies.md for why not AIMD on losses, or Vegas' fixed queue.
+// An adaptive concurrency limit: the gradient algorithm of Netflix's concurrency-limits. Once for every
+// limit's worth of answers
+//
+//   limit <- limit * clamp(tolerance * best / recent, 0.5, 1) + sqrt(limit)     (smoothed)
+//
+// with `recent` the mean of the newest latencies and `best` its minimum, which drifts upwards slowly so that
+// a lasting change becomes the new normal. The gradient shrinks the limit within a few answers when queues
+// build up in the dependency; the square root is the headroom to grow again. docs/dependencies.md compares it
+// with AIMD and with Vegas.
 //
-// A failed call cuts it by a tenth, at most once for every limit's worth of ends. After an outage it starts
-// from one and doubles with every limit's worth of successes up to where it stood: slow start.
+// A failure shrinks the limit by a tenth, at most once for every limit's worth of answers. After an outage a
+// slow start doubles it from one with every limit's worth of successes, up to where it was.
 class ConcurrencyLimit {
  public:
-  ConcurrencyLimit(std::uint32_t least, std::uint32_t most);
+  // `min`, `max`: bounds of the limit, in attempts in flight.
+  ConcurrencyLimit(std::uint32_t min, std::uint32_t max);
+
+  // Most attempts that may be in flight now; at least 1.
   std::uint32_t limit() const { return std::min(std::uint32_t(limit_), cap_); }
-  // This process's share of what a fleet may have open, over whatever it has learned; 1 at the least.
-  void cap(std::uint32_t most) { cap_ = std::max(most, 1u); }
-  void succeeded(Duration took, std::uint32_t open_then);
-  void failed();
-  // The mean of the newest few answers; zero before the first.
-  Duration recent() const { return Duration(std::int64_t(mean_)); }
-  void restart();  // the dependency is back: from one
-  void rebound(std::uint32_t least, std::uint32_t most);
+
+  static constexpr std::uint32_t kNoCap = ~0u;
+  // An upper bound besides the learned limit: this process's share of a fleet-wide bound. At least 1.
+  void set_cap(std::uint32_t cap) { cap_ = std::max(cap, 1u); }
+  void set_bounds(std::uint32_t min, std::uint32_t max);
+
+  // `in_flight`: attempts in flight when the answer came, the answered one included.
+  void on_success(Duration took, std::uint32_t in_flight);
+  void on_failure();
+  // The dependency is back after an outage.
+  void begin_slow_start();
+
+  // Mean of the newest few latencies; zero before the first.
+  Duration recent_latency() const { return Duration(std::int64_t(recent_us_)); }
 
  private:
-  void update(std::uint32_t open_then);
-  double least_, most_, limit_;
-  double best_ = 0, mean_ = 0;  // us
-  double ramp_to_ = 0;          // slow start is on while above zero
-  std::uint32_t ends_ = 0, since_cut_ = 0, cap_ = ~0u;
+  void update(std::uint32_t in_flight);
+  bool in_slow_start() const { return slow_start_target_ > 0; }
+  double min_limit() const { return in_slow_start() ? 1.0 : min_; }
+
+  double min_, max_, limit_;
+  double best_us_ = 0, recent_us_ = 0;
+  double slow_start_target_ = 0;  // zero outside of slow start
+  std::uint32_t answers_since_update_ = 0, ends_since_cut_ = 0;
+  std::uint32_t cap_ = kNoCap;
 };
 
-// Tries beyond the first are paid for by recent successes: each saves `share` of a try, up to `burst`, and
-// what is saved fades with a half-life, so that calm hours don't pay for a storm. When nothing succeeds,
-// nothing is tried again: guards against retries that multiply the load on what fails.
+// Pays for retries and hedges out of recent successes, as Finagle's RetryBudget does: each success deposits
+// `ratio` of an attempt, up to `max_balance`, and each extra attempt withdraws one. The balance halves every
+// ten seconds, so that a calm hour does not pay for a retry storm. While nothing succeeds there are no
+// retries.
 class RetryBudget {
  public:
-  RetryBudget(double share, double burst) : share_(share), burst_(burst) {}
-  void succeeded(TimePoint now);
-  bool take(TimePoint now);
-  double saved(TimePoint now);
-  void reset(double share, double burst);
+  RetryBudget(double ratio, double max_balance) : ratio_(ratio), max_balance_(max_balance) {}
+  void configure(double ratio, double max_balance);
+  // For a success.
+  void deposit(TimePoint now);
+  // True when an extra attempt may be made; it is paid for then.
+  [[nodiscard]] bool try_withdraw(TimePoint now);
+  // In attempts.
+  double balance(TimePoint now);
 
  private:
-  double share_, burst_, saved_ = 0;
-  TimePoint at_{};
+  double ratio_, max_balance_, balance_ = 0;
+  TimePoint updated_{};
 };
 
-// Whether the whole dependency is out: so many failures in a row with no success among them, or most of the
-// recent calls. While out, calls don't go to it but for one probe at a time, at growing, bounded pauses with
-// jitter. A success ends it.
-class Outage {
+// Stops calling a dependency that is down. It opens after consecutive failures, or when most of the recent
+// calls failed. While it is open, one probe at a time is let through (half-open), at intervals that grow up
+// to a bound, with jitter. A success closes it.
+class CircuitBreaker {
  public:
-  Outage(Duration probe_every, Duration max_probe);
-  bool out() const { return out_; }
-  // Both return true when the state changes with this end.
-  bool succeeded(TimePoint now);
-  bool failed(TimePoint now, double random);
-  // While out: whether a probe may start now. Only one is open until its end is told.
-  bool may_probe(TimePoint now) const { return out_ && !probing_ && now >= next_probe_; }
-  void probe_started() { probing_ = true; }
-  void probe_now(TimePoint now) { next_probe_ = std::min(next_probe_, now); }  // somebody found it back
-  void probe_lost() { probing_ = false; }                                      // abandoned, its end unknown
-  TimePoint since() const { return since_; }
-  void reset(Duration probe_every, Duration max_probe);
+  CircuitBreaker(Duration probe_interval, Duration max_probe_interval);
+  void configure(Duration probe_interval, Duration max_probe_interval);
+
+  bool is_open() const { return is_open_; }
+  TimePoint opened_at() const { return opened_at_; }
+
+  // Both return true when the state has changed. `random`: a draw from [0, 1), the jitter of the next probe.
+  [[nodiscard]] bool on_success(TimePoint now);
+  [[nodiscard]] bool on_failure(TimePoint now, double random);
+
+  // Whether a probe may start now: the breaker is open, its interval is over and no other probe in flight.
+  bool may_probe(TimePoint now) const { return is_open_ && !is_probing_ && now >= next_probe_; }
+  // A probe is followed by on_success(), on_failure() or on_probe_cancelled().
+  void on_probe_started() { is_probing_ = true; }
+  void on_probe_cancelled() { is_probing_ = false; }
+  // Another member of the fleet found the dependency back: the next probe is due.
+  void probe_now(TimePoint now) { next_probe_ = std::min(next_probe_, now); }
 
  private:
-  void fade(TimePoint now);
-  Duration probe_every_, max_probe_, pause_{};
-  bool out_ = false, probing_ = false;
-  std::uint32_t in_a_row_ = 0;
-  double good_ = 0, bad_ = 0;  // fading counts
-  TimePoint at_{}, next_probe_{}, since_{};
+  void decay(TimePoint now);
+  void schedule_probe(TimePoint now, double random);
+
+  Duration min_probe_interval_, max_probe_interval_, interval_{};
+  bool is_open_ = false, is_probing_ = false;
+  std::uint32_t consecutive_failures_ = 0;
+  double successes_ = 0, failures_ = 0;  // decaying counts
+  TimePoint updated_{}, next_probe_{}, opened_at_{};
 };
 
 }  // namespace granitegap::deps
--- a/src/deps/scatter_gather_calls.cpp
+++ b/src/deps/scatter_gather_calls.cpp
@@ -1,6 +1,5 @@
-// ScatterGather, calls: the calls below shared by parts; the concurrency limit and its wait queue, attempts,
-// hedged requests, timeouts, retries with backoff paid for by the retry budget, Retry-After and outlier
-// ejection via EndpointSet.
+// ScatterGather, the calls to dependencies: the concurrency limit and its queue, attempts and their timeouts,
+// hedged attempts, retries with backoff, Retry-After, and the end of a call.
 #include <algorithm>
 #include <cmath>
 
@@ -9,306 +8,301 @@
 namespace granitegap::deps {
 namespace {
 
-constexpr double kFairAttemptMedians =
-    1.5;  // median times a try must have had for its timeout to be held against anyone
-constexpr unsigned kAttemptBits = 4, kSlotBits = 24;
+// An attempt's timeout counts against the endpoint only if the attempt had this many median latencies.
+constexpr double kMinFairMedians = 1.5;
+constexpr std::uint32_t kMaxBackoffDoublings = 10;
 
-}  // namespace
-
-// ---- Calls ----
-
-ScatterGather::Slot ScatterGather::new_flight(std::uint32_t dependency, const Key& key) {
-  if (free_flights_.empty()) {
-    flights_.emplace_back();
-    free_flights_.push_back(Slot(flights_.size() - 1));
-  }
-  const Slot slot = free_flights_.back();
-  free_flights_.pop_back();
-  auto& f = flights_[slot];
-  f.dependency = dependency;
-  f.state = FlightState::calling;
-  f.key = key;
-  f.attempts = {};
-  f.attempts_made = 0;
-  f.detached = false;
-  f.only.reset();
-  f.used = true;
-  f.asking.open = false;
-  f.before = f.after = kNone;
-  f.waiters.clear();
-  by_key_.put(key.low, slot);
-  return slot;
+Duration scaled(Duration duration, double factor) {
+  return Duration(std::llround(double(duration.count()) * factor));
 }
 
-void ScatterGather::free_flight(Slot slot) {
-  auto& f = flights_[slot];
-  unqueue(slot);
-  by_key_.erase(f.key.low, slot);
-  f.used = false;
-  ++f.generation;
-  f.waiters.clear();
-  free_flights_.push_back(slot);
-}
+}  // namespace
+
+// ---- Admission ----
 
-// Started at once under the limit, and queued over it while there is room. Guards against a slow dependency
-// that takes the connections and the memory of all others.
-void ScatterGather::launch(Slot slot, TimePoint now) {
-  auto& f = flights_[slot];
-  auto& d = deps_[f.dependency];
-  if (!guarded_ || (d.open < d.limit.limit() && d.waiting == 0)) return start_attempt(slot, now);
-  // Guards against a wait for a slot that can't be free in time: those ahead take turns of a median answer
-  // each.
-  const auto turns = std::int64_t(d.waiting / std::max(d.limit.limit(), 1u)) + 1;
-  const bool in_vain = now + d.latency_summary(now).median * (turns + 1) > latest_deadline(f);
-  if (d.waiting >= d.spec.max_waiting || in_vain) {
-    ++totals_.shed;
+// Starts the call within the concurrency limit, queues it beyond, or sheds it. The bounded queue keeps a slow
+// dependency from taking the connections and the memory of all others.
+void ScatterGather::admit_call(CallSlot slot, TimePoint now) {
+  const auto& call = calls_[slot];
+  auto& dependency = dependencies_[call.dependency];
+  if (!guarded_ || (dependency.has_free_slot() && dependency.queue.size == 0))
+    return start_attempt(slot, now);
+  // The calls ahead take turns of one median latency each; a call that cannot be served in time is not
+  // queued.
+  const auto limit = std::max(dependency.limit.limit(), 1u);
+  const auto turns_ahead = std::int64_t(dependency.queue.size / limit) + 1;
+  const auto expected_end = now + dependency.latency_summary(now).median * (turns_ahead + 1);
+  if (dependency.queue.size >= dependency.spec.max_queued || expected_end > latest_deadline(call)) {
+    ++counters_.shed;
     return give_up(slot, now);
   }
-  f.state = FlightState::queued;
-  f.before = d.newest;
-  (d.newest == kNone ? d.oldest : flights_[d.newest].after) = slot;
-  d.newest = slot;
-  ++d.waiting;
+  calls_.enqueue(dependency.queue, slot);
 }
 
-void ScatterGather::unqueue(Slot slot) {
-  auto& f = flights_[slot];
-  if (f.state != FlightState::queued) return;
-  auto& d = deps_[f.dependency];
-  (f.before == kNone ? d.oldest : flights_[f.before].after) = f.after;
-  (f.after == kNone ? d.newest : flights_[f.after].before) = f.before;
-  f.before = f.after = kNone;
-  f.state = FlightState::calling;
-  --d.waiting;
-}
-
-void ScatterGather::pump(std::uint32_t number, TimePoint now) {
-  auto& d = deps_[number];
-  while (d.oldest != kNone && (d.outage.out() || d.open < d.limit.limit())) {
-    const auto slot = d.oldest;
-    unqueue(slot);
-    if (d.outage.out())
+// Starts queued calls while the limit has room; sheds them all while the circuit breaker is open.
+void ScatterGather::start_queued_calls(std::uint32_t number, TimePoint now) {
+  auto& dependency = dependencies_[number];
+  while (dependency.queue.oldest != kNoSlot && (dependency.circuit.is_open() || dependency.has_free_slot())) {
+    const auto slot = dependency.queue.oldest;
+    calls_.dequeue(dependency.queue, slot);
+    if (dependency.circuit.is_open())
       give_up(slot, now);
     else
       start_attempt(slot, now);
   }
 }
 
-TimePoint ScatterGather::latest_deadline(const Flight& f) const {
+TimePoint ScatterGather::latest_deadline(const SharedCall& call) const {
   TimePoint latest{};
-  for (const auto& w : f.waiters) latest = std::max(latest, gathers_[w.gather].parts[w.part].deadline);
+  for (const auto& waiter : call.waiters)
+    latest = std::max(latest, gathers_[waiter.gather].parts[waiter.part].deadline);
   return latest;
 }
 
-bool ScatterGather::any_open(const Flight& f) const {
-  return std::any_of(f.attempts.begin(), f.attempts.end(), [](const Attempt& t) { return t.open; });
-}
+// ---- Attempts ----
 
-CallId ScatterGather::call_id(Slot slot, std::uint32_t number) const {
-  return CallId(std::uint64_t(flights_[slot].generation) << (kAttemptBits + kSlotBits) |
-                std::uint64_t(slot) << kAttemptBits | number);
-}
-
-void ScatterGather::start_attempt(Slot slot, TimePoint now) {
-  auto& f = flights_[slot];
-  auto& d = deps_[f.dependency];
-  std::optional<std::uint32_t> other;
-  if (f.attempts_made > 0) other = f.attempts[f.attempts_made - 1].endpoint;
-  const auto& summary = d.latency_summary(now);
-  const auto left = f.detached ? d.spec.max_timeout : latest_deadline(f) - now;
-  // Guards against calls that can't be back in time: they would only take slots from those that can.
-  const bool hopeless = !f.detached && (left.count() <= 0 || (guarded_ && left < summary.median));
-  const auto endpoint = hopeless ? std::nullopt
-                        : f.only ? f.only
-                                 : d.endpoints.pick(now, roll(), roll(), other);
+void ScatterGather::start_attempt(CallSlot slot, TimePoint now) {
+  auto& call = calls_[slot];
+  auto& dependency = dependencies_[call.dependency];
+  const auto& summary = dependency.latency_summary(now);
+  const auto remaining = call.is_probe ? dependency.spec.max_timeout : latest_deadline(call) - now;
+  const auto endpoint = choose_endpoint(call, remaining, summary, now);
   if (!endpoint) {
-    if (f.detached) d.outage.probe_lost();
-    if (!any_open(f)) give_up(slot, now);
+    if (call.is_probe) dependency.circuit.on_probe_cancelled();
+    if (!call.has_attempt_in_flight()) give_up(slot, now);
     return;
   }
-  auto timeout = d.spec.max_timeout;
-  if (summary.high.count() > 0 && !f.detached)
-    timeout = std::clamp(Duration(std::llround(double(summary.high.count()) * d.spec.timeout_factor)),
-                         d.spec.min_timeout, d.spec.max_timeout);
-  timeout = guarded_ ? std::min(timeout, left) : left;
-  f.state = FlightState::calling;
-  const auto number = f.attempts_made++;
-  f.attempts[number] = {*endpoint, true, now, now + timeout};
-  d.endpoints.started(*endpoint);
-  totals_.max_open = std::max(totals_.max_open, ++d.open);
-  ++totals_.calls;
-  set_timer(now + timeout, TimerKind::call, slot, f.generation, number);
-  actions_.emplace_back(StartCall{call_id(slot, number), f.dependency, *endpoint, &f.path});
-  if (!guarded_ || number > 0 || f.detached || summary.hedge.count() == 0 || summary.hedge >= timeout) return;
-  set_timer(now + summary.hedge, TimerKind::hedge, slot, f.generation, number);
-}
+  const auto timeout = attempt_timeout(call, remaining, summary);
+  const auto number = call.attempt_count;
+  ++call.attempt_count;
+  call.state = SharedCall::State::calling;
+  call.attempts[number] = {*endpoint, true, now, now + timeout};
+  dependency.endpoints.on_call_started(*endpoint);
+  ++dependency.in_flight;
+  counters_.max_in_flight = std::max(counters_.max_in_flight, dependency.in_flight);
+  ++counters_.calls;
+  timers_.push(now + timeout, TimerKind::attempt_timeout, slot, call.generation, number);
+  actions_.emplace_back(StartCall{calls_.id_of(slot, number), call.dependency, *endpoint, &call.path});
 
-void ScatterGather::end_attempt(Slot slot, std::uint32_t number) {
-  auto& f = flights_[slot];
-  f.attempts[number].open = false;
-  --deps_[f.dependency].open;
+  const bool may_hedge = guarded_ && number == 0 && !call.is_probe;
+  if (!may_hedge || summary.hedge_delay.count() == 0 || summary.hedge_delay >= timeout) return;
+  timers_.push(now + summary.hedge_delay, TimerKind::hedge, slot, call.generation, number);
 }
 
-void ScatterGather::abandon_attempts(Slot slot) {
-  auto& f = flights_[slot];
-  if (std::exchange(f.asking.open, false)) actions_.emplace_back(AbandonCall{call_id(slot, kOwnerAttempt)});
-  for (std::uint32_t t = 0; t < f.attempts_made; ++t) {
-    if (!f.attempts[t].open) continue;
-    end_attempt(slot, t);
-    deps_[f.dependency].endpoints.abandoned(f.attempts[t].endpoint);
-    if (f.detached) deps_[f.dependency].outage.probe_lost();
-    actions_.emplace_back(AbandonCall{call_id(slot, t)});
+// `remaining`: until the last waiter's deadline. Absent when no endpoint is available, or when an attempt
+// could not be back in time and would only take a slot from one that can.
+std::optional<std::uint32_t> ScatterGather::choose_endpoint(const SharedCall& call, Duration remaining,
+                                                            const LatencySummary& summary, TimePoint now) {
+  if (!call.is_probe) {
+    const bool is_hopeless = remaining.count() <= 0 || (guarded_ && remaining < summary.median);
+    if (is_hopeless) return std::nullopt;
   }
+  if (call.probed_endpoint) return call.probed_endpoint;
+  std::optional<std::uint32_t> previous;
+  if (call.attempt_count > 0) previous = call.attempts[call.attempt_count - 1].endpoint;
+  // The second candidate is drawn first. The order is part of what a seed determines.
+  const double random2 = random_fraction();
+  const double random1 = random_fraction();
+  return dependencies_[call.dependency].endpoints.pick(now, random1, random2, previous);
 }
 
-void ScatterGather::note_success(Dependency& d, std::uint32_t number, TimePoint now) {
-  d.budget.succeeded(now);
-  const auto since = d.outage.since();
-  if (!d.outage.succeeded(now)) return;
-  // Back: from one call at once, doubling; all that waits at the door must not fall on it together.
-  d.limit.restart();
-  d.endpoints.all_back(now);
-  actions_.emplace_back(DependencyChanged{number, false, now - since});
+Duration ScatterGather::attempt_timeout(const SharedCall& call, Duration remaining,
+                                        const LatencySummary& summary) const {
+  if (!guarded_) return remaining;
+  const auto& spec = dependencies_[call.dependency].spec;
+  auto timeout = spec.max_timeout;
+  if (summary.timeout_base.count() > 0 && !call.is_probe)
+    timeout =
+        std::clamp(scaled(summary.timeout_base, spec.timeout_factor), spec.min_timeout, spec.max_timeout);
+  return std::min(timeout, remaining);
 }
 
-void ScatterGather::note_failure(std::uint32_t number, TimePoint now) {
-  auto& d = deps_[number];
-  d.limit.failed();
-  if (!d.outage.failed(now, roll())) return;
-  ++totals_.outages;
-  actions_.emplace_back(DependencyChanged{number, true, {}});
+void ScatterGather::close_attempt(CallSlot slot, std::uint32_t number) {
+  auto& call = calls_[slot];
+  call.attempts[number].in_flight = false;
+  --dependencies_[call.dependency].in_flight;
 }
 
-void ScatterGather::ended(const CallReport& report, TimePoint now) {
-  const auto bits = std::uint64_t(report.id);
-  const auto number = std::uint32_t(bits & ((1u << kAttemptBits) - 1));
-  const auto slot = Slot(bits >> kAttemptBits & ((1u << kSlotBits) - 1));
-  if (number == kOwnerAttempt && slot < flights_.size() && flights_[slot].used &&
-      flights_[slot].asking.open && call_id(slot, number) == report.id)
-    return owner_ended(slot, report, now);
-  // Guards against ends of calls that were given up: their slot may be another call's by now.
-  if (slot >= flights_.size() || !flights_[slot].used || number >= flights_[slot].attempts_made ||
-      call_id(slot, number) != report.id || !flights_[slot].attempts[number].open) {
-    ++totals_.late;
-    return;
+void ScatterGather::cancel_attempts(CallSlot slot) {
+  auto& call = calls_[slot];
+  auto& dependency = dependencies_[call.dependency];
+  if (call.owner_request.in_flight) {
+    call.owner_request.in_flight = false;
+    actions_.emplace_back(CancelCall{calls_.id_of(slot, CallTable::kOwnerAttempt)});
   }
-  auto& f = flights_[slot];
-  auto& d = deps_[f.dependency];
-  const auto took = std::max(now - f.attempts[number].started, Duration(1));
-  if (report.fate != CallFate::ok && report.fate != CallFate::no_data) {
-    attempt_failed(slot, number, report.fate, true, report.retry_after, now);
-    return;
+  for (std::uint32_t number = 0; number < call.attempt_count; ++number) {
+    if (!call.attempts[number].in_flight) continue;
+    close_attempt(slot, number);
+    dependency.endpoints.on_cancelled(call.attempts[number].endpoint);
+    if (call.is_probe) dependency.circuit.on_probe_cancelled();
+    actions_.emplace_back(CancelCall{calls_.id_of(slot, number)});
   }
-  const auto open_then = d.open;
-  end_attempt(slot, number);
-  if (f.only) d.note_probe(*f.only, false, now);
-  d.endpoints.succeeded(f.attempts[number].endpoint, took, now);
-  d.heard(took, now);
+}
+
+// ---- Outcomes of attempts ----
+
+void ScatterGather::on_attempt_succeeded(CallSlot slot, std::uint32_t number,
+                                         const CallCompletion& completion, TimePoint now) {
+  const auto& call = calls_[slot];
+  const auto& attempt = call.attempts[number];
+  const auto dependency_number = call.dependency;
+  auto& dependency = dependencies_[dependency_number];
+  const auto took = std::max(now - attempt.started, Duration(1));
+  const auto in_flight = dependency.in_flight;
+  close_attempt(slot, number);
+  if (call.probed_endpoint) dependency.record_probe(*call.probed_endpoint, false, now);
+  dependency.endpoints.on_success(attempt.endpoint, took, now);
+  dependency.record_latency(took, now);
   if (guarded_) {
-    d.limit.succeeded(took, open_then);
-    note_success(d, f.dependency, now);
+    dependency.limit.on_success(took, in_flight);
+    record_success(dependency_number, now);
   }
-  const auto dependency = f.dependency;
-  if (report.fate == CallFate::ok) {
-    answered(slot, report.body ? report.body : std::make_shared<const std::string>(), {}, now);
+  if (completion.outcome == CallOutcome::ok) {
+    deliver(slot, completion.body ? completion.body : std::make_shared<const std::string>(), {}, now);
   } else {
-    remember_failure(f.key, now);
-    abandon_attempts(slot);
+    failures_.insert(call.key, now + loaded_->spec->negative_cache_ttl);
+    cancel_attempts(slot);
     give_up(slot, now);
   }
-  pump(dependency, now);
+  start_queued_calls(dependency_number, now);
 }
 
-void ScatterGather::answered(Slot slot, const Bytes& body, Duration age, TimePoint now) {
-  abandon_attempts(slot);
-  auto& f = flights_[slot];
-  cache_.put(f.key, f.dependency, f.path, body, now - age);
-  const auto generation = f.generation;
-  // Another member's may be too old for some who joined the one that asked: these go on.
-  const auto serves = [&](const Waiter& w) {
-    return age.count() <= 0 || age <= gathers_[w.gather].parts[w.part].fresh;
-  };
-  for (;;) {
-    if (!f.used || f.generation != generation) return;
-    const auto next = std::find_if(f.waiters.rbegin(), f.waiters.rend(), serves);
-    if (next == f.waiters.rend()) break;
-    const auto w = *next;
-    f.waiters.erase(std::next(next).base());
-    gathers_[w.gather].parts[w.part].flight = kNone;
-    settle(w.gather, w.part, PartStatus::fresh, body, age, now);
+void ScatterGather::on_attempt_timeout(CallSlot slot, std::uint32_t number, TimePoint now) {
+  const auto& call = calls_[slot];
+  auto& dependency = dependencies_[call.dependency];
+  const auto waited = now - call.attempts[number].started;
+  bool is_fair = call.is_probe;
+  if (!is_fair) {
+    const auto median = dependency.latency_summary(now).median;
+    is_fair = double(waited.count()) >= kMinFairMedians * double(median.count());
   }
-  if (!f.waiters.empty()) return owner_failed(slot, now);
-  free_flight(slot);
+  actions_.emplace_back(CancelCall{calls_.id_of(slot, number)});
+  if (is_fair && guarded_) dependency.record_latency(waited, now);  // a lower bound of the real one
+  on_attempt_failed(slot, number, CallOutcome::limit_exceeded, is_fair, std::nullopt, now);
 }
 
-void ScatterGather::give_up(Slot slot, TimePoint now) {
-  auto& f = flights_[slot];
-  unqueue(slot);
-  const auto generation = f.generation;
-  while (f.used && f.generation == generation && !f.waiters.empty()) {
-    const auto w = f.waiters.back();
-    f.waiters.pop_back();
-    gathers_[w.gather].parts[w.part].flight = kNone;
-    fall_back(w.gather, w.part, now);
+void ScatterGather::on_attempt_failed(CallSlot slot, std::uint32_t number, CallOutcome outcome, bool is_fair,
+                                      std::optional<Duration> retry_after, TimePoint now) {
+  const auto& call = calls_[slot];
+  const auto dependency = call.dependency;
+  close_attempt(slot, number);
+  record_attempt_failure(call, number, outcome, is_fair, retry_after, now);
+  if (!call.has_attempt_in_flight()) retry_or_give_up(slot, now);
+  start_queued_calls(dependency, now);
+}
+
+void ScatterGather::record_attempt_failure(const SharedCall& call, std::uint32_t number, CallOutcome outcome,
+                                           bool is_fair, std::optional<Duration> retry_after, TimePoint now) {
+  auto& dependency = dependencies_[call.dependency];
+  const auto endpoint = call.attempts[number].endpoint;
+  const bool asked_to_wait = outcome == CallOutcome::overloaded && retry_after && guarded_;
+  if (!is_fair) {
+    dependency.endpoints.on_cancelled(endpoint);
+    if (call.is_probe) dependency.circuit.on_probe_cancelled();
+  } else if (asked_to_wait) {
+    // An endpoint that sends Retry-After is overloaded but not broken: it is left alone, not ejected.
+    const auto pause = std::clamp(*retry_after, Duration{}, dependency.spec.max_ejection_time);
+    dependency.endpoints.on_cancelled(endpoint);
+    dependency.endpoints.set_retry_after(endpoint, now + pause);
+    if (call.is_probe) dependency.circuit.on_probe_cancelled();
+    dependency.limit.on_failure();
+  } else if (guarded_) {
+    dependency.endpoints.on_failure(endpoint, now);
+    record_failure(call.dependency, now);
+  } else {
+    dependency.endpoints.on_cancelled(endpoint);
   }
-  if (f.used && f.generation == generation) free_flight(slot);
 }
 
-void ScatterGather::time_out(Slot slot, std::uint32_t number, TimePoint now) {
-  auto& f = flights_[slot];
-  auto& d = deps_[f.dependency];
-  const auto waited = now - f.attempts[number].started;
-  // Guards against blame for a try that was cut short by its caller's budget.
-  const bool fair = f.detached || double(waited.count()) >=
-                                      kFairAttemptMedians * double(d.latency_summary(now).median.count());
-  actions_.emplace_back(AbandonCall{call_id(slot, number)});
-  if (fair && guarded_) d.heard(waited, now);  // it takes at least this long
-  attempt_failed(slot, number, CallFate::too_long, fair, std::nullopt, now);
+void ScatterGather::record_success(std::uint32_t number, TimePoint now) {
+  auto& dependency = dependencies_[number];
+  dependency.budget.deposit(now);
+  const auto opened_at = dependency.circuit.opened_at();
+  if (!dependency.circuit.on_success(now)) return;
+  // Slow start, from one attempt: the requests that come now must not all fall on the recovering dependency.
+  dependency.limit.begin_slow_start();
+  dependency.endpoints.begin_slow_start(now);
+  actions_.emplace_back(CircuitBreakerChanged{number, false, now - opened_at});
 }
 
-void ScatterGather::attempt_failed(Slot slot, std::uint32_t number, CallFate fate, bool fair,
-                                   std::optional<Duration> retry_after, TimePoint now) {
-  auto& f = flights_[slot];
-  const auto dependency = f.dependency;
-  auto& d = deps_[dependency];
-  const auto endpoint = f.attempts[number].endpoint;
-  end_attempt(slot, number);
-  if (!fair) {
-    d.endpoints.abandoned(endpoint);
-    if (f.detached) d.outage.probe_lost();
-  } else if (fate == CallFate::busy && retry_after && guarded_) {
-    // It is well enough to say so: left alone for that long, not counted among the broken.
-    d.endpoints.abandoned(endpoint);
-    d.endpoints.hold(endpoint, now + std::clamp(*retry_after, Duration{}, d.spec.max_eject));
-    if (f.detached) d.outage.probe_lost();
-    d.limit.failed();
-  } else if (guarded_) {
-    d.endpoints.failed(endpoint, now);
-    note_failure(dependency, now);
-  } else {
-    d.endpoints.abandoned(endpoint);
+void ScatterGather::record_failure(std::uint32_t number, TimePoint now) {
+  auto& dependency = dependencies_[number];
+  dependency.limit.on_failure();
+  if (!dependency.circuit.on_failure(now, random_fraction())) return;
+  ++counters_.circuits_opened;
+  actions_.emplace_back(CircuitBreakerChanged{number, true, {}});
+}
+
+// ---- The end of a call ----
+
+void ScatterGather::retry_or_give_up(CallSlot slot, TimePoint now) {
+  if (try_schedule_retry(slot, now)) return;
+  if (guarded_) failures_.insert(calls_[slot].key, now + loaded_->spec->negative_cache_ttl);
+  give_up(slot, now);
+}
+
+bool ScatterGather::try_schedule_retry(CallSlot slot, TimePoint now) {
+  auto& call = calls_[slot];
+  auto& dependency = dependencies_[call.dependency];
+  const auto& spec = dependency.spec;
+  const auto max_attempts = std::min<std::uint32_t>(spec.max_attempts, SharedCall::kMaxAttempts);
+  const bool may_retry = guarded_ && !call.is_probe && !call.waiters.empty() &&
+                         call.attempt_count < max_attempts && !dependency.circuit.is_open();
+  if (!may_retry) return false;
+  const auto doublings = std::min(call.attempt_count - 1, kMaxBackoffDoublings);
+  const auto max_backoff =
+      std::min(spec.base_retry_backoff * (std::int64_t(1) << doublings), spec.max_retry_backoff);
+  const auto backoff = scaled(max_backoff, random_fraction());  // full jitter
+  const auto expected_end = now + backoff + dependency.latency_summary(now).median;
+  if (expected_end >= latest_deadline(call) || !dependency.budget.try_withdraw(now)) return false;
+  ++counters_.retries;
+  call.state = SharedCall::State::backing_off;
+  const auto due = now + std::max(backoff, Duration(1));
+  timers_.push(due, TimerKind::retry, slot, call.generation, call.attempt_count);
+  return true;
+}
+
+// Settles the waiting parts with a response of that age and caches it. Parts that do not accept the age, as
+// they joined a call that was answered by another member, go on waiting for the dependency itself.
+void ScatterGather::deliver(CallSlot slot, const SharedBody& body, Duration age, TimePoint now) {
+  cancel_attempts(slot);
+  auto& call = calls_[slot];
+  cache_.insert(call.key, call.dependency, call.path, body, now - age);
+  const auto generation = call.generation;
+  const auto accepts_age = [&](const Waiter& waiter) {
+    return age.count() <= 0 || age <= gathers_[waiter.gather].parts[waiter.part].max_age;
+  };
+  // Settling a part can start and end calls, this one included: the waiters are looked up anew each time.
+  while (calls_.is_current(slot, generation)) {
+    const auto next = std::find_if(call.waiters.rbegin(), call.waiters.rend(), accepts_age);
+    if (next == call.waiters.rend()) break;
+    const auto waiter = *next;
+    call.waiters.erase(std::next(next).base());
+    gathers_[waiter.gather].parts[waiter.part].call = kNoSlot;
+    settle(waiter.gather, waiter.part, PartStatus::fresh, body, age, now);
   }
-  if (!any_open(f)) after_failure(slot, now);
-  pump(dependency, now);
+  if (!calls_.is_current(slot, generation)) return;
+  if (!call.waiters.empty()) return call_without_owner(slot, now);
+  release_call(slot);
 }
 
-void ScatterGather::after_failure(Slot slot, TimePoint now) {
-  auto& f = flights_[slot];
-  auto& d = deps_[f.dependency];
-  const auto most = std::min<std::uint32_t>(d.spec.max_tries, kMaxAttempts);
-  if (guarded_ && !f.detached && !f.waiters.empty() && f.attempts_made < most && !d.outage.out()) {
-    const auto grown = d.spec.retry_pause * (std::int64_t(1) << std::min(f.attempts_made - 1, 10u));
-    const auto pause =
-        Duration(std::llround(roll() * double(std::min(grown, d.spec.max_retry_pause).count())));
-    if (now + pause + d.latency_summary(now).median < latest_deadline(f) && d.budget.take(now)) {
-      ++totals_.retries;
-      f.state = FlightState::pausing;
-      return set_timer(now + std::max(pause, Duration(1)), TimerKind::retry, slot, f.generation,
-                       f.attempts_made);
-    }
+// The call ends without a response: the waiting parts fall back.
+void ScatterGather::give_up(CallSlot slot, TimePoint now) {
+  auto& call = calls_[slot];
+  calls_.dequeue(dependencies_[call.dependency].queue, slot);
+  const auto generation = call.generation;
+  while (calls_.is_current(slot, generation) && !call.waiters.empty()) {
+    const auto waiter = call.waiters.back();
+    call.waiters.pop_back();
+    gathers_[waiter.gather].parts[waiter.part].call = kNoSlot;
+    fall_back(waiter.gather, waiter.part, now);
   }
-  if (guarded_) remember_failure(f.key, now);
-  give_up(slot, now);
+  if (calls_.is_current(slot, generation)) release_call(slot);
+}
+
+void ScatterGather::release_call(CallSlot slot) {
+  calls_.dequeue(dependencies_[calls_[slot].dependency].queue, slot);
+  calls_.release(slot);
 }
 
 }  // namespace granitegap::deps
--- a/src/deps/scatter_gather_fleet.cpp
+++ b/src/deps/scatter_gather_fleet.cpp
@@ -1,147 +1,232 @@
-// ScatterGather, fleet: probing a dependency that is out, sharing concurrency limits over the live members,
-// health reports for other members, and exporting/learning what a previous incarnation knew.
+// ScatterGather among the other members of the fleet: cache fills asked of a key's owner, probes of a
+// dependency that is down, shares of fleet-wide limits, and warm state for and from other processes.
 #include <algorithm>
-#include <cmath>
+#include <utility>
 
 #include "deps/scatter_gather.h"
 
 namespace granitegap::deps {
 namespace {
 
-constexpr std::size_t kHotLooked = 2048;  // kept answers: looked at in well under a millisecond
+constexpr Duration kMinOwnerTimeout = std::chrono::milliseconds(5);  // with less time the owner is not asked
+constexpr int kOwnerTimeShare = 2;            // the owner gets the remaining time divided by this
+constexpr int kOwnerTransitShare = 8;         // and is told of that time without this part, for the way back
+constexpr std::size_t kMaxHotEntries = 2048;  // looked at for an export: well under a millisecond
 
 }  // namespace
 
-// One call at a time while a dependency is out, for which nobody waits: who asked goes on without at once,
-// and its answer, should one come, is kept for the next.
-void ScatterGather::probe(std::uint32_t dependency, const Key& key, const std::string& path, TimePoint now) {
-  if (by_key_.find(key.low, [&](Slot f) { return flights_[f].key == key; }) != kNone) return;
-  auto& d = deps_[dependency];
-  const auto only = to_probe(d);
-  if (fleet_ && !only) return;
-  const auto slot = new_flight(dependency, key);
-  auto& f = flights_[slot];
-  f.path = path;
-  f.detached = true;
-  f.only = only;
-  d.outage.probe_started();
-  ++totals_.probes;
+// ---- Cache fills ----
+
+// One member calls the dependency for a key and serves the others: a fleet that restarts with empty caches
+// does not call for everything once per member. In vain it costs at most half of the remaining time.
+bool ScatterGather::ask_owner(CallSlot slot, Duration max_age, TimePoint now) {
+  if (max_age.count() <= 0) return false;
+  auto& call = calls_[slot];
+  const auto& spec = dependencies_[call.dependency].spec;
+  const auto owner = owners_.owner_of(cache_fill_key(spec.name, call.path), now);
+  const auto timeout = std::min((latest_deadline(call) - now) / kOwnerTimeShare, spec.max_timeout);
+  if (!owner || timeout < kMinOwnerTimeout) return false;
+  ++counters_.owner_requests;
+  const auto owner_timeout = timeout - timeout / kOwnerTransitShare;
+  const CacheFillRequest request{owner->boot_id, spec.name, call.path, max_age, owner_timeout};
+  call.owner_request = {*owner, to_request_target(request), now, true};
+  timers_.push(now + timeout, TimerKind::owner_timeout, slot, call.generation, CallTable::kOwnerAttempt);
+  actions_.emplace_back(StartCall{calls_.id_of(slot, CallTable::kOwnerAttempt), call.dependency, 0,
+                                  &call.owner_request.target, &call.owner_request.owner});
+  return true;
+}
+
+void ScatterGather::on_owner_completed(CallSlot slot, const CallCompletion& completion, TimePoint now) {
+  auto& request = calls_[slot].owner_request;
+  request.in_flight = false;
+  std::optional<CacheFillResponse> response;
+  if (completion.outcome == CallOutcome::ok && completion.body) response = parse_fill_body(*completion.body);
+  if (response) {
+    ++counters_.owner_hits;
+    owners_.on_success(request.owner.member_hash);
+    // The owner may have answered as soon as it was asked: that is the oldest that the response can be.
+    const auto age = response->age + (now - request.started);
+    return deliver(slot, std::make_shared<const std::string>(std::move(response->body)), age, now);
+  }
+  // An owner that is reachable but has no response is not skipped.
+  const bool is_reachable =
+      completion.outcome == CallOutcome::not_found || completion.outcome == CallOutcome::overloaded;
+  if (!is_reachable) owners_.on_failure(request.owner.member_hash, now);
+  call_without_owner(slot, now);
+}
+
+void ScatterGather::on_owner_timeout(CallSlot slot, TimePoint now) {
+  actions_.emplace_back(CancelCall{calls_.id_of(slot, CallTable::kOwnerAttempt)});
+  owners_.on_failure(calls_[slot].owner_request.owner.member_hash, now);
+  call_without_owner(slot, now);
+}
+
+void ScatterGather::call_without_owner(CallSlot slot, TimePoint now) {
+  auto& call = calls_[slot];
+  call.owner_request.in_flight = false;
+  if (dependencies_[call.dependency].circuit.is_open()) return give_up(slot, now);
+  admit_call(slot, now);
+}
+
+// ---- Probes ----
+
+// While the circuit breaker is open one call at a time probes the dependency. No part waits for it: the
+// request that occasioned it falls back at once, and a response is cached for the next one.
+void ScatterGather::start_probe(std::uint32_t number, const CacheKey& key, const std::string& path,
+                                TimePoint now) {
+  if (calls_.find(key) != kNoSlot) return;
+  auto& dependency = dependencies_[number];
+  std::optional<std::uint32_t> endpoint;
+  if (view_) {
+    endpoint = choose_endpoint_to_probe(dependency);
+    if (!endpoint) return;
+  }
+  const auto slot = calls_.create(number, key);
+  auto& call = calls_[slot];
+  call.path = path;
+  call.is_probe = true;
+  call.probed_endpoint = endpoint;
+  dependency.circuit.on_probe_started();
+  ++counters_.probes;
   start_attempt(slot, now);
-  if (only && f.used && f.attempts_made > 0) d.note_probe(*only, true, now);
+  if (endpoint && call.in_use && call.attempt_count > 0) dependency.record_probe(*endpoint, true, now);
 }
 
-// First what another has found back, then this one's own in turns.
-std::optional<std::uint32_t> ScatterGather::to_probe(Dependency& d) const {
-  if (!fleet_) return std::nullopt;
-  const auto n = std::uint32_t(d.endpoints.places());
-  std::optional<std::uint32_t> mine;
-  for (std::uint32_t k = 0; k < n; ++k) {
-    const auto i = (d.next_probed + k) % n;
-    if (d.endpoints.gone(i)) continue;
-    const auto key = d.fleet_keys[i];
-    if (membership::reported_recovered(*fleet_, key)) {
-      mine = i;
+// An endpoint that another member found back, else the next of those that are this member's to probe; absent
+// when other members probe all of them.
+std::optional<std::uint32_t> ScatterGather::choose_endpoint_to_probe(DependencyState& dependency) const {
+  const auto slots = std::uint32_t(dependency.endpoints.slot_count());
+  std::optional<std::uint32_t> chosen;
+  for (std::uint32_t k = 0; k < slots; ++k) {
+    const auto endpoint = (dependency.next_probed + k) % slots;
+    if (dependency.endpoints.is_removed(endpoint)) continue;
+    const auto key = dependency.endpoint_keys[endpoint];
+    if (membership::reported_recovered(*view_, key)) {
+      chosen = endpoint;
       break;
     }
-    if (!mine && membership::should_health_check(*fleet_, key)) mine = i;
+    if (!chosen && membership::should_health_check(*view_, key)) chosen = endpoint;
   }
-  if (mine) d.next_probed = *mine + 1;
-  return mine;
+  if (chosen) dependency.next_probed = *chosen + 1;
+  return chosen;
 }
 
-// An even share for each member that is there. Where it can't be told who is, all that were agreed on count
-// as there, and before there is any view one call at a time is all: guards against a fleet that comes back as
-// one and falls on what it had emptied, each member with the whole limit.
-void ScatterGather::share_limits() {
-  std::uint32_t members = 0;
-  if (fleet_) {
-    const auto there = 1 + std::count_if(fleet_->peers.begin(), fleet_->peers.end(),
-                                         [](const auto& p) { return p.status == membership::Status::alive; });
-    const bool sure = fleet_->has_quorum && !fleet_->uncertain;
-    members = std::uint32_t(sure ? there : std::max<std::size_t>(std::size_t(there), fleet_->fleet_size));
-  }
-  for (auto& d : deps_) {
-    if (d.spec.fleet_open == 0)
-      d.limit.cap(~0u);
-    else
-      d.limit.cap(members > 0 ? d.spec.fleet_open / members : 1);
+std::vector<membership::EndpointHealth> ScatterGather::endpoint_health(TimePoint now) const {
+  std::vector<membership::EndpointHealth> health;
+  if (!view_) return health;
+  for (const auto& dependency : dependencies_) {
+    for (const auto& result : dependency.probe_results) {
+      // A "down" of a dependency that this member no longer takes for down would make others wait for probes
+      // that it does not make.
+      const bool is_valid = !result.is_down || dependency.circuit.is_open();
+      const bool is_recent = now - result.at < dependency.probe_result_lifetime();
+      if (is_valid && is_recent && health.size() < membership::kMaxEndpointHealth)
+        health.push_back({result.endpoint_key, result.is_down});
+    }
   }
+  return health;
 }
 
-// Other members may be probing it; one of them that has found it back is taken at its word for one try.
-void ScatterGather::fleet(std::shared_ptr<const membership::View> view, TimePoint now) {
-  fleet_ = std::move(view);
-  owners_.see(*fleet_);
-  share_limits();
-  for (std::uint32_t d = 0; d < deps_.size(); ++d) pump(d, now);
-  for (auto& d : deps_)
-    for (std::uint32_t i = 0; d.outage.out() && i < d.endpoints.places(); ++i)
-      if (!d.endpoints.gone(i) && membership::reported_recovered(*fleet_, d.fleet_keys[i]))
-        d.outage.probe_now(now);
+// ---- The view ----
+
+void ScatterGather::on_membership_view(std::shared_ptr<const membership::View> view, TimePoint now) {
+  view_ = std::move(view);
+  owners_.update_view(*view_);
+  divide_fleet_limits();
+  for (std::uint32_t d = 0; d < dependencies_.size(); ++d) start_queued_calls(d, now);
+  for (auto& dependency : dependencies_) {
+    if (!dependency.circuit.is_open()) continue;
+    for (std::uint32_t i = 0; i < dependency.endpoints.slot_count(); ++i) {
+      if (dependency.endpoints.is_removed(i)) continue;
+      if (membership::reported_recovered(*view_, dependency.endpoint_keys[i]))
+        dependency.circuit.probe_now(now);
+    }
+  }
 }
 
-std::vector<membership::EndpointHealth> ScatterGather::endpoint_health(TimePoint now) const {
-  std::vector<membership::EndpointHealth> found;
-  if (!fleet_) return found;
-  for (const auto& d : deps_)
-    for (const auto& p : d.probed)
-      // Guards against others that wait for this one's probes of what it no longer holds for out.
-      if ((!p.out || d.outage.out()) && now - p.at < 4 * d.spec.max_probe &&
-          found.size() < membership::kMaxEndpointHealth)
-        found.push_back({p.key, p.out});
-  return found;
+// An equal share for each member that is alive. In doubt all agreed members count, and without a view the
+// share is one attempt: a fleet that restarts as one must not fall on its dependencies with every member's
+// whole limit.
+void ScatterGather::divide_fleet_limits() {
+  std::size_t members = 0;
+  if (view_) {
+    const auto alive = std::count_if(view_->peers.begin(), view_->peers.end(), [](const auto& peer) {
+      return peer.status == membership::Status::alive;
+    });
+    members = 1 + std::size_t(alive);
+    const bool is_certain = view_->has_quorum && !view_->uncertain;
+    if (!is_certain) members = std::max(members, view_->fleet_size);
+  }
+  for (auto& dependency : dependencies_) {
+    const auto fleet_limit = dependency.spec.fleet_max_in_flight;
+    if (fleet_limit == 0)
+      dependency.limit.set_cap(ConcurrencyLimit::kNoCap);
+    else
+      dependency.limit.set_cap(members > 0 ? fleet_limit / std::uint32_t(members) : 1);
+  }
 }
 
-void ScatterGather::export_to(warm_state::WarmState& to, TimePoint now) const {
-  for (const auto& d : deps_)
-    for (std::uint32_t i = 0; i < d.endpoints.places(); ++i)
-      if (const auto k = d.endpoints.known(i, now)) {
-        const auto& a = d.endpoints.address(i);
-        to.endpoints.push_back(
-            {d.spec.name, a.host, a.port, k->out_for, k->times_out, k->latency, k->heard_ago});
-      }
+// ---- Warm state ----
+
+void ScatterGather::export_state(warm_state::WarmState& to, TimePoint now) const {
+  for (const auto& dependency : dependencies_) {
+    for (std::uint32_t i = 0; i < dependency.endpoints.slot_count(); ++i) {
+      const auto stats = dependency.endpoints.stats(i, now);
+      if (!stats) continue;
+      const auto& address = dependency.endpoints.address(i);
+      to.endpoints.push_back({dependency.spec.name, address.host, address.port, stats->ejected_for,
+                              stats->ejections, stats->latency, stats->sample_age});
+    }
+  }
   std::size_t bytes = 0;
-  for (const auto& hot : cache_.hottest(kHotLooked)) {
-    warm_state::CachedResponse part{deps_[hot.dependency].spec.name, *hot.path, hot.body,
-                                    std::max(now - hot.stored, Duration{})};
-    if (!warm_state::is_within_limits(part) || part.age >= cached_for(hot.dependency)) continue;
-    bytes += warm_state::size_of(part);
-    if (bytes > warm_state::kMaxCachedResponseBytes ||
-        to.cached_responses.size() >= warm_state::kMaxCachedResponses)
-      break;
-    to.cached_responses.push_back(std::move(part));
+  for (const auto& entry : cache_.hottest(kMaxHotEntries)) {
+    warm_state::CachedResponse response{dependencies_[entry.dependency].spec.name, *entry.path, entry.body,
+                                        std::max(now - entry.stored_at, Duration{})};
+    const bool is_useful = response.age < loaded_->max_useful_age(entry.dependency);
+    if (!warm_state::is_within_limits(response) || !is_useful) continue;
+    bytes += warm_state::size_of(response);
+    if (bytes > warm_state::kMaxCachedResponseBytes || to.cached_responses.size() >= warm_state::kMaxCachedResponses) break;
+    to.cached_responses.push_back(std::move(response));
   }
 }
 
-Duration ScatterGather::cached_for(std::uint32_t dependency) const {
-  Duration longest{};
-  for (const auto& g : loaded_->spec->gathers)
-    for (const auto& p : g.parts)
-      if (loaded_->dependency[p.dependency] == dependency)
-        longest = std::max({longest, p.fresh_for, p.stale_for});
-  return longest;
+ScatterGather::Restored ScatterGather::restore(const warm_state::WarmState& from, TimePoint now) {
+  Restored restored;
+  // From the coldest to the hottest, so that the hottest is the newest in the cache.
+  for (auto response = from.cached_responses.rbegin(); response != from.cached_responses.rend(); ++response)
+    restored.responses += restore_response(*response, now);
+  for (const auto& endpoint : from.endpoints) restored.endpoints += restore_endpoint(endpoint, now);
+  return restored;
 }
 
-ScatterGather::Used ScatterGather::learn(const warm_state::WarmState& from, TimePoint now) {
-  Used used;
-  // The hottest last, so that it is the newest here too.
-  for (auto p = from.cached_responses.rbegin(); p != from.cached_responses.rend(); ++p)
-    for (std::uint32_t d = 0; d < deps_.size(); ++d) {
-      if (deps_[d].spec.name != p->dependency || p->age < Duration{} || p->age >= cached_for(d)) continue;
-      const auto key = key_of(d, p->path, hash_seed_);
-      const auto at = now - p->age;
-      if (const auto own = cache_.stored(key); own && *own >= at) continue;
-      cache_.put(key, d, p->path, p->body, at);
-      ++used.parts;
-    }
-  for (const auto& e : from.endpoints)
-    for (auto& d : deps_) {
-      if (d.spec.name != e.dependency) continue;
-      for (std::uint32_t i = 0; i < d.endpoints.places(); ++i)
-        if (d.endpoints.address(i) == EndpointSpec{e.host, e.port})
-          used.endpoints +=
-              d.endpoints.learn(i, {e.ejected_for, e.latency, e.latency_age, e.consecutive_ejections}, now);
-    }
-  return used;
+// The number of responses taken over: 0 or 1.
+std::size_t ScatterGather::restore_response(const warm_state::CachedResponse& response, TimePoint now) {
+  std::size_t restored = 0;
+  for (std::uint32_t d = 0; d < dependencies_.size(); ++d) {
+    if (dependencies_[d].spec.name != response.dependency) continue;
+    if (response.age < Duration{} || response.age >= loaded_->max_useful_age(d)) continue;
+    const auto key = cache_key(d, response.path, hash_seed_);
+    const auto answered_at = now - response.age;
+    const auto own = cache_.stored_at(key);
+    if (own && *own >= answered_at) continue;
+    cache_.insert(key, d, response.path, response.body, answered_at);
+    ++restored;
+  }
+  return restored;
 }
+
+// The number of endpoints taken over: 0 or 1.
+std::size_t ScatterGather::restore_endpoint(const warm_state::Endpoint& endpoint, TimePoint now) {
+  const EndpointSpec address{endpoint.host, endpoint.port};
+  const EndpointStats stats{endpoint.ejected_for, endpoint.latency, endpoint.latency_age, endpoint.consecutive_ejections};
+  std::size_t restored = 0;
+  for (auto& dependency : dependencies_) {
+    if (dependency.spec.name != endpoint.dependency) continue;
+    for (std::uint32_t i = 0; i < dependency.endpoints.slot_count(); ++i)
+      if (dependency.endpoints.address(i) == address && dependency.endpoints.restore(i, stats, now))
+        ++restored;
+  }
+  return restored;
+}
+
 }  // namespace granitegap::deps
--- a/src/deps/slot_index.h
+++ b/src/deps/slot_index.h
@@ -1,11 +1,14 @@
-// Finds slots of a slab by hash: open addressing, linear probing, deletion by shifting back. It allocates
-// only when it grows, and never shrinks.
+// An index from hashes to slots of an array: open addressing with linear probing and deletion by backward
+// shifting, without tombstones. It allocates only when it grows, and never shrinks.
+//
+// A value type, used by one thread.
 #pragma once
 #include <cstdint>
 #include <vector>
 
 namespace granitegap::deps {
 
+// Spreads a value's entropy over all bits.
 inline std::uint64_t mix_bits(std::uint64_t x) {
   x ^= x >> 32;
   x *= 0x9e3779b97f4a7c15u;
@@ -17,43 +20,52 @@
   using Slot = std::uint32_t;
   static constexpr Slot kNone = ~Slot(0);
 
-  // `is(slot)`: whether that slot is the one meant; asked only where the whole hash agrees.
-  template <class Is>
-  Slot find(std::uint64_t hash, Is is) const {
-    for (auto at = home(hash); cells_[at].slot != kNone; at = (at + 1) & mask())
-      if (cells_[at].hash == hash && is(cells_[at].slot)) return cells_[at].slot;
+  // The slot of that hash for which `matches(slot)` holds, or kNone. It is called only where the whole hash
+  // agrees.
+  template <class Matches>
+  Slot find(std::uint64_t hash, Matches matches) const {
+    for (auto at = home(hash); cells_[at].slot != kNone; at = next(at))
+      if (cells_[at].hash == hash && matches(cells_[at].slot)) return cells_[at].slot;
     return kNone;
   }
+
+  // The pair must not be in the index yet.
   void put(std::uint64_t hash, Slot slot) {
     if ((size_ + 1) * 2 > cells_.size()) grow();
     place({hash, slot});
     ++size_;
   }
+
+  // No effect when the slot is not in the index.
   void erase(std::uint64_t hash, Slot slot) {
-    auto at = home(hash);
-    while (cells_[at].slot != kNone && cells_[at].slot != slot) at = (at + 1) & mask();
-    if (cells_[at].slot == kNone) return;
+    auto hole = home(hash);
+    while (cells_[hole].slot != kNone && cells_[hole].slot != slot) hole = next(hole);
+    if (cells_[hole].slot == kNone) return;
     --size_;
-    for (auto next = (at + 1) & mask(); cells_[next].slot != kNone; next = (next + 1) & mask()) {
-      // One that stands between its home and the hole stays: moved, it could not be found.
-      if (((next - home(cells_[next].hash)) & mask()) < ((next - at) & mask())) continue;
-      cells_[at] = cells_[next];
-      at = next;
+    for (auto at = next(hole); cells_[at].slot != kNone; at = next(at)) {
+      // A cell between its home and the hole stays where it is: moved, it would not be found.
+      if (distance(home(cells_[at].hash), at) < distance(hole, at)) continue;
+      cells_[hole] = cells_[at];
+      hole = at;
     }
-    cells_[at] = {};
+    cells_[hole] = {};
   }
+
   std::size_t size() const { return size_; }
 
  private:
+  static constexpr std::size_t kInitialCells = 64;  // a power of two
   struct Cell {
     std::uint64_t hash = 0;
     Slot slot = kNone;
   };
   std::size_t mask() const { return cells_.size() - 1; }
   std::size_t home(std::uint64_t hash) const { return std::size_t(mix_bits(hash)) & mask(); }
+  std::size_t next(std::size_t at) const { return (at + 1) & mask(); }
+  std::size_t distance(std::size_t from, std::size_t to) const { return (to - from) & mask(); }
   void place(const Cell& cell) {
     auto at = home(cell.hash);
-    while (cells_[at].slot != kNone) at = (at + 1) & mask();
+    while (cells_[at].slot != kNone) at = next(at);
     cells_[at] = cell;
   }
   void grow() {
@@ -62,7 +74,7 @@
     for (const auto& cell : old)
       if (cell.slot != kNone) place(cell);
   }
-  std::vector<Cell> cells_ = std::vector<Cell>(64);
+  std::vector<Cell> cells_ = std::vector<Cell>(kInitialCells);
   std::size_t size_ = 0;
 };
 
--- a/src/deps_http/dependency_client.cpp
+++ b/src/deps_http/dependency_client.cpp
@@ -3,13 +3,14 @@
 #include <sys/socket.h>
 
 #include <boost/asio/co_spawn.hpp>
+#include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/core/tcp_stream.hpp>
 #include <boost/beast/http.hpp>
 #include <charconv>
-#include <cmath>
+#include <optional>
 
 namespace granitegap::deps_http {
 namespace {
@@ -19,214 +20,300 @@
 namespace http = beast::http;
 using asio::ip::tcp;
 using beast::error_code;
-using deps::CallFate;
+using deps::CallOutcome;
 
-constexpr auto kLook = std::chrono::milliseconds(500);
-constexpr int kMaxInterim = 4;  // 1xx answers before the one that counts
+using Request = http::request<http::empty_body>;
+using Response = http::response<http::string_body>;
+using Parser = http::response_parser<http::string_body>;
+
+constexpr auto kReapInterval = std::chrono::milliseconds(500);
+constexpr int kMaxInterimResponses = 4;            // 1xx, before the final one
+constexpr std::size_t kReadBufferOverhead = 4096;  // beside header and body
+constexpr int kHttpVersion = 11;
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
-// Delta seconds only (RFC 9110, 10.2.3); a date would need its clock and ours to agree.
-std::optional<Duration> retry_after(std::string_view text) {
-  std::uint32_t value = 0;
+// Retry-After in seconds (RFC 9110, 10.2.3). A date is ignored: it would need the two clocks to agree.
+std::optional<Duration> parse_retry_after(std::string_view text) {
+  std::uint32_t seconds = 0;
   const auto* end = text.data() + text.size();
-  const auto [at, error] = std::from_chars(text.data(), end, value);
-  if (error != std::errc{} || at != end) return std::nullopt;
-  return std::chrono::seconds(value);
+  const auto [parsed_to, error] = std::from_chars(text.data(), end, seconds);
+  if (error != std::errc{} || parsed_to != end) return std::nullopt;
+  return std::chrono::seconds(seconds);
+}
+
+CallOutcome outcome_of_status(unsigned status) {
+  if (status == 200) return CallOutcome::ok;
+  if (status == 429 || status == 503) return CallOutcome::overloaded;
+  const bool is_client_error = status >= 400 && status < 500;
+  if (status == 204 || (is_client_error && status != 408)) return CallOutcome::not_found;
+  return CallOutcome::error;  // 5xx, redirects and whatever else
 }
 
-CallFate fate_of(unsigned status) {
-  if (status == 200) return CallFate::ok;
-  if (status == 429 || status == 503) return CallFate::busy;
-  if (status == 204 || (status >= 400 && status < 500 && status != 408)) return CallFate::no_data;
-  return CallFate::error;  // 5xx, redirects (never followed) and whatever else
+CallOutcome outcome_of_error(error_code error) {
+  const bool is_over_limit = error == http::error::body_limit || error == http::error::header_limit ||
+                             error == http::error::buffer_overflow || error == beast::error::timeout;
+  if (is_over_limit) return CallOutcome::limit_exceeded;
+  if (error == http::error::end_of_stream || error == http::error::partial_message)
+    return CallOutcome::connection_lost;
+  const bool is_http_error = error.category() == make_error_code(http::error::bad_version).category();
+  return is_http_error ? CallOutcome::error : CallOutcome::connection_lost;
 }
 
-// Guards against reuse of a connection that the other side has closed, or on which it says what nobody asked.
-bool still_quiet(tcp::socket& socket) {
-  char byte;
-  const auto got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+// False when the other side has closed the idle connection, or sent bytes that no request asked for.
+bool is_reusable(tcp::socket& socket) {
+  char byte = 0;
+  const auto received = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
+Request http_request_for(const edge::DependencyCall& call) {
+  Request request(http::verb::get, call.path, kHttpVersion);
+  request.set(http::field::host, call.name);
+  request.set(http::field::accept_encoding, "identity");
+  return request;
+}
+
+void begin_response(std::optional<Parser>& parser, const edge::DependencyCall& call) {
+  parser.emplace();
+  parser->header_limit(std::uint32_t(call.max_header_bytes));
+  parser->body_limit(call.max_response_bytes);
+}
+
+bool is_interim(const Response& response) { return response.result_int() / 100 == 1; }
+
 }  // namespace
 
+// ---- What a call is made of ----
+
 struct DependencyClient::Call {
-  Call(const asio::any_io_executor& executor, edge::DependencyCall b)
-      : below(std::move(b)), stream(std::make_unique<beast::tcp_stream>(executor)) {}
-  edge::DependencyCall below;
+  Call(const asio::any_io_executor& executor, edge::DependencyCall call)
+      : request(std::move(call)),
+        http_request(http_request_for(request)),
+        stream(std::make_unique<beast::tcp_stream>(executor)) {}
+  Address address() const { return {request.to.host, request.to.port}; }
+
+  edge::DependencyCall request;
+  Request http_request;
   std::unique_ptr<beast::tcp_stream> stream;
-  bool connected = false, abandoned = false;
+  bool is_connected = false;  // its connection is counted in connections_
+  bool is_cancelled = false;
+};
+
+// One request and its response on one connection.
+struct DependencyClient::Exchange {
+  error_code error;
+  std::optional<Response> response;  // set without an error
+  bool received_anything = false;
+  bool received_surplus = false;  // bytes after the response: the connection cannot be reused
 };
 
-struct DependencyClient::Idle {
+struct DependencyClient::IdleConnection {
   std::unique_ptr<beast::tcp_stream> stream;
   Clock::time_point since;
-  Duration most;
+  Duration timeout;
 };
 
+// ---- Calls ----
+
 DependencyClient::DependencyClient(const asio::any_io_executor& executor, std::size_t max_connections,
-                                   Report report)
-    : executor_(executor), look_(executor), most_(max_connections), report_(std::move(report)) {}
+                                   CompletionCallback on_completed)
+    : executor_(executor),
+      reap_timer_(executor),
+      max_connections_(max_connections),
+      on_completed_(std::move(on_completed)) {}
 
 DependencyClient::~DependencyClient() { close_all(); }
 
 void DependencyClient::close_all() {
-  closed_ = true;
-  while (!calls_.empty()) abandon(calls_.begin()->first);
+  is_closed_ = true;
+  while (!calls_.empty()) cancel(calls_.begin()->first);
   idle_.clear();
   connections_ = 0;
-  look_.cancel();
+  reap_timer_.cancel();
 }
 
-void DependencyClient::start(edge::DependencyCall below) {
-  if (closed_) return;
-  const auto id = below.id;
-  auto call = std::make_shared<Call>(executor_, std::move(below));
+void DependencyClient::start(edge::DependencyCall request) {
+  if (is_closed_) return;
+  const auto id = request.id;
+  auto call = std::make_shared<Call>(executor_, std::move(request));
   calls_.emplace(id, call);
-  asio::co_spawn(executor_, carry_out(call),
-                 [this, call](const std::exception_ptr& failed, deps::CallReport report) {
-                   if (call->abandoned) return;  // this may be gone by now
-                   if (call->connected) --connections_;
-                   calls_.erase(call->below.id);
-                   if (failed) report = {call->below.id, CallFate::cut_off, {}, {}, nullptr};
-                   report_(std::move(report));
+  asio::co_spawn(executor_, execute(call),
+                 [this, call](const std::exception_ptr& exception, deps::CallCompletion completion) {
+                   if (call->is_cancelled) return;  // the client may be gone by now
+                   if (call->is_connected) --connections_;
+                   calls_.erase(call->request.id);
+                   if (exception)
+                     completion = {call->request.id, CallOutcome::connection_lost, {}, {}, nullptr};
+                   on_completed_(std::move(completion));
                  });
 }
 
-void DependencyClient::abandon(deps::CallId id) {
-  const auto it = calls_.find(id);
-  if (it == calls_.end()) return;
-  auto& call = *it->second;
-  call.abandoned = true;
-  if (std::exchange(call.connected, false)) --connections_;
-  call.stream->close();
-  calls_.erase(it);
+void DependencyClient::cancel(deps::CallId id) {
+  const auto found = calls_.find(id);
+  if (found == calls_.end()) return;
+  auto& call = *found->second;
+  call.is_cancelled = true;
+  drop_connection(call);
+  calls_.erase(found);
 }
 
-// One idle connection less: the one idle for longest.
-bool DependencyClient::make_room() {
-  if (connections_ < most_) return true;
-  std::list<Idle>* oldest = nullptr;
-  for (auto& [to, list] : idle_)
-    if (!list.empty() && (!oldest || list.front().since < oldest->front().since)) oldest = &list;
-  if (!oldest) return false;
-  oldest->pop_front();
-  --connections_;
-  return true;
+asio::awaitable<deps::CallCompletion> DependencyClient::execute(std::shared_ptr<Call> call) {
+  const auto started = Clock::now();
+  deps::CallCompletion completion{call->request.id, CallOutcome::connection_lost, {}, {}, nullptr};
+  if (!call->is_cancelled) co_await perform(*call, completion);
+  completion.took = std::chrono::duration_cast<Duration>(Clock::now() - started);
+  co_return completion;
 }
 
-asio::awaitable<deps::CallReport> DependencyClient::carry_out(std::shared_ptr<Call> call) {
-  const auto began = Clock::now();
-  const auto& below = call->below;
-  const auto ended = [&](CallFate fate) {
-    return deps::CallReport{
-        below.id, fate, std::chrono::duration_cast<Duration>(Clock::now() - began), {}, nullptr};
-  };
-  if (call->abandoned) co_return ended(CallFate::cut_off);
-  const std::pair place(below.to.host, below.to.port);
-  bool reused = false;
-  if (const auto idle = idle_.find(place); idle != idle_.end()) {
-    while (!idle->second.empty() && !reused) {
-      auto candidate = std::move(idle->second.back());  // the one used last is the likeliest to stand
-      idle->second.pop_back();
-      --connections_;
-      if (!still_quiet(candidate.stream->socket())) continue;
-      call->stream = std::move(candidate.stream);
-      reused = true;
-    }
-    if (idle->second.empty()) idle_.erase(idle);
-  }
-  http::request<http::empty_body> request(http::verb::get, below.path, 11);
-  request.set(http::field::host, below.name);
-  request.set(http::field::accept_encoding, "identity");
+// After each co_await the call may have been cancelled, and the client be gone: no member is used then.
+asio::awaitable<void> DependencyClient::perform(Call& call, deps::CallCompletion& completion) {
+  bool is_reused = take_idle_connection(call);
   for (;;) {
-    error_code error;
-    if (!reused) {
-      if (!make_room()) co_return ended(CallFate::unreachable);
-      const auto address = asio::ip::make_address(below.to.host, error);
-      if (error) co_return ended(CallFate::unreachable);
-      ++connections_;
-      call->connected = true;
-      call->stream->expires_after(below.max_quiet);
-      co_await call->stream->async_connect(tcp::endpoint(address, below.to.port), into(error));
-      if (call->abandoned) co_return ended(CallFate::cut_off);
-      if (error) co_return ended(CallFate::unreachable);
-      call->stream->socket().set_option(tcp::no_delay(true), error);
-    } else {
-      ++connections_;
-      call->connected = true;
-    }
-    call->stream->expires_after(below.max_quiet);
-    co_await http::async_write(*call->stream, request, into(error));
-    if (call->abandoned) co_return ended(CallFate::cut_off);
-
-    beast::flat_buffer buffer(below.max_header + below.max_answer + 4096);
-    std::optional<http::response_parser<http::string_body>> parser;
-    const auto fresh_parser = [&] {
-      parser.emplace();
-      parser->header_limit(std::uint32_t(below.max_header));
-      parser->body_limit(below.max_answer);
-    };
-    fresh_parser();
-    std::size_t got = 0;
-    int interim = 0;
-    while (!error && !parser->is_done()) {
-      call->stream->expires_after(below.max_quiet);
-      got += co_await http::async_read_some(*call->stream, buffer, *parser, into(error));
-      if (call->abandoned) co_return ended(CallFate::cut_off);
-      if (!error && parser->is_done() && parser->get().result_int() / 100 == 1) {
-        if (++interim > kMaxInterim) co_return ended(CallFate::error);
-        fresh_parser();
+    if (!is_reused) {
+      const bool is_connected = co_await connect(call);
+      if (call.is_cancelled) co_return;
+      if (!is_connected) {
+        completion.outcome = CallOutcome::unreachable;
+        co_return;
       }
     }
-    if (error) {
-      // A connection kept for the next call may have been closed just as it was written: nothing of this read
-      // was done there, as no byte came back, so that a new connection may carry it, once.
-      const bool nothing_came = got == 0 && buffer.size() == 0 && error != beast::error::timeout;
-      if (std::exchange(reused, false) && nothing_came) {
-        call->stream->close();
-        call->connected = false;
-        --connections_;
-        call->stream = std::make_unique<beast::tcp_stream>(executor_);
-        continue;
-      }
-      if (error == http::error::body_limit || error == http::error::header_limit ||
-          error == http::error::buffer_overflow || error == beast::error::timeout)
-        co_return ended(CallFate::too_long);
-      const bool torn = error == http::error::end_of_stream || error == http::error::partial_message ||
-                        error.category() != make_error_code(http::error::bad_version).category();
-      co_return ended(torn ? CallFate::cut_off : CallFate::error);
+    auto exchanged = co_await exchange(call);
+    if (call.is_cancelled) co_return;
+    if (!exchanged.error) {
+      complete(call, exchanged, completion);
+      co_return;
     }
-    auto response = parser->release();
-    auto report = ended(fate_of(response.result_int()));
-    if (report.fate == CallFate::busy) {
-      const auto value = response[http::field::retry_after];
-      report.retry_after = retry_after({value.data(), value.size()});
+    // The server may have closed the idle connection just as the request was written. It has not answered a
+    // byte, so that the request can be sent once more on a new connection.
+    const bool was_closed_idle =
+        is_reused && !exchanged.received_anything && exchanged.error != beast::error::timeout;
+    if (!was_closed_idle) {
+      completion.outcome = outcome_of_error(exchanged.error);
+      co_return;
     }
-    if (report.fate == CallFate::ok)
-      report.body = std::make_shared<const std::string>(std::move(response.body()));
-    auto& kept = idle_[place];
-    if (response.keep_alive() && buffer.size() == 0 && kept.size() < below.max_idle_connections) {
-      call->stream->expires_never();
-      kept.push_back({std::move(call->stream), Clock::now(), below.max_idle_time});
-      call->connected = false;  // it counts on, as an idle one
-    } else if (kept.empty()) {
-      idle_.erase(place);
+    drop_connection(call);
+    call.stream = std::make_unique<beast::tcp_stream>(executor_);
+    is_reused = false;
+  }
+}
+
+asio::awaitable<bool> DependencyClient::connect(Call& call) {
+  if (!make_room_for_connection()) co_return false;
+  error_code error;
+  const auto address = asio::ip::make_address(call.request.to.host, error);
+  if (error) co_return false;
+  const tcp::endpoint endpoint(address, call.request.to.port);
+  ++connections_;
+  call.is_connected = true;
+  call.stream->expires_after(call.request.io_timeout);
+  co_await call.stream->async_connect(endpoint, into(error));
+  if (call.is_cancelled || error) co_return false;
+  error_code ignored;
+  call.stream->socket().set_option(tcp::no_delay(true), ignored);
+  co_return true;
+}
+
+asio::awaitable<DependencyClient::Exchange> DependencyClient::exchange(Call& call) {
+  Exchange result;
+  call.stream->expires_after(call.request.io_timeout);
+  co_await http::async_write(*call.stream, call.http_request, into(result.error));
+  if (call.is_cancelled) co_return result;
+
+  beast::flat_buffer buffer(call.request.max_header_bytes + call.request.max_response_bytes +
+                            kReadBufferOverhead);
+  std::optional<Parser> parser;
+  begin_response(parser, call.request);
+  int interim_responses = 0;
+  while (!result.error && !parser->is_done()) {
+    call.stream->expires_after(call.request.io_timeout);
+    const std::size_t bytes =
+        co_await http::async_read_some(*call.stream, buffer, *parser, into(result.error));
+    if (call.is_cancelled) co_return result;
+    if (bytes > 0 || buffer.size() > 0) result.received_anything = true;
+    if (result.error || !parser->is_done() || !is_interim(parser->get())) continue;
+    ++interim_responses;
+    if (interim_responses > kMaxInterimResponses) result.error = http::error::bad_status;
+    begin_response(parser, call.request);
+  }
+  if (result.error) co_return result;
+  result.response = parser->release();
+  result.received_surplus = buffer.size() > 0;
+  co_return result;
+}
+
+// Takes the outcome from the response, and the connection for the next call if it can carry one.
+void DependencyClient::complete(Call& call, Exchange& exchange, deps::CallCompletion& completion) {
+  auto& response = *exchange.response;
+  const bool keep_alive = response.keep_alive() && !exchange.received_surplus;
+  completion.outcome = outcome_of_status(response.result_int());
+  if (completion.outcome == CallOutcome::overloaded) {
+    const auto retry_after = response[http::field::retry_after];
+    completion.retry_after = parse_retry_after({retry_after.data(), retry_after.size()});
+  }
+  if (completion.outcome == CallOutcome::ok)
+    completion.body = std::make_shared<const std::string>(std::move(response.body()));
+
+  auto& idle = idle_[call.address()];
+  if (keep_alive && idle.size() < call.request.max_idle_connections) {
+    call.stream->expires_never();
+    idle.push_back({std::move(call.stream), Clock::now(), call.request.idle_connection_timeout});
+    call.is_connected = false;  // still counted, as an idle connection
+  } else if (idle.empty()) {
+    idle_.erase(call.address());
+  }
+}
+
+// ---- Connections ----
+
+// The connection used last is the likeliest to be open still.
+bool DependencyClient::take_idle_connection(Call& call) {
+  const auto found = idle_.find(call.address());
+  if (found == idle_.end()) return false;
+  auto& idle = found->second;
+  while (!idle.empty() && !call.is_connected) {
+    auto candidate = std::move(idle.back());
+    idle.pop_back();
+    if (is_reusable(candidate.stream->socket())) {
+      call.stream = std::move(candidate.stream);
+      call.is_connected = true;
+    } else {
+      --connections_;
     }
-    co_return report;
   }
+  if (idle.empty()) idle_.erase(found);
+  return call.is_connected;
+}
+
+void DependencyClient::drop_connection(Call& call) {
+  if (call.is_connected) --connections_;
+  call.is_connected = false;
+  if (call.stream) call.stream->close();
+}
+
+// At the limit closes the connection that has been idle for longest; false when none is idle.
+bool DependencyClient::make_room_for_connection() {
+  if (connections_ < max_connections_) return true;
+  std::list<IdleConnection>* oldest = nullptr;
+  for (auto& [address, idle] : idle_)
+    if (!idle.empty() && (!oldest || idle.front().since < oldest->front().since)) oldest = &idle;
+  if (!oldest) return false;
+  oldest->pop_front();
+  --connections_;
+  return true;
 }
 
-asio::awaitable<void> DependencyClient::mind_idle() {
-  while (!closed_) {
-    look_.expires_after(kLook);
-    error_code woken;
-    co_await look_.async_wait(into(woken));
-    if (closed_) co_return;
+asio::awaitable<void> DependencyClient::reap_idle_connections() {
+  while (!is_closed_) {
+    reap_timer_.expires_after(kReapInterval);
+    error_code ignored;
+    co_await reap_timer_.async_wait(into(ignored));
+    if (is_closed_) co_return;
     const auto now = Clock::now();
     for (auto it = idle_.begin(); it != idle_.end();) {
-      connections_ -= std::erase_if(it->second, [&](const Idle& i) { return now - i.since > i.most; });
+      connections_ -= std::erase_if(it->second, [&](const IdleConnection& connection) {
+        return now - connection.since > connection.timeout;
+      });
       it = it->second.empty() ? idle_.erase(it) : std::next(it);
     }
   }
--- a/src/operators/dependency_section.cpp
+++ b/src/operators/dependency_section.cpp
@@ -48,36 +48,36 @@
   spec.min_timeout = dependency["timeout_least"].as_duration();
   spec.max_timeout = dependency["timeout_most"].as_duration();
   spec.timeout_factor = dependency["timeout_factor"].as_double();
-  spec.max_tries = count_of(dependency, "most_tries");
-  spec.retry_share = dependency["retry_share"].as_double();
-  spec.retry_burst = dependency["retry_burst"].as_double();
-  spec.retry_pause = dependency["retry_pause"].as_duration();
-  spec.max_retry_pause = dependency["retry_pause_most"].as_duration();
-  spec.hedge_after = dependency["hedge_after"].as_double();
+  spec.max_attempts = count_of(dependency, "most_tries");
+  spec.retry_budget_ratio = dependency["retry_share"].as_double();
+  spec.max_retry_budget = dependency["retry_burst"].as_double();
+  spec.base_retry_backoff = dependency["retry_pause"].as_duration();
+  spec.max_retry_backoff = dependency["retry_pause_most"].as_duration();
+  spec.hedge_quantile = dependency["hedge_after"].as_double();
 }
 
 void read_concurrency(const Value& dependency, deps::DependencySpec& spec) {
-  spec.min_open = count_of(dependency, "least_open");
-  spec.max_open = count_of(dependency, "most_open");
-  spec.fleet_open = count_of(dependency, "fleet_open");
-  spec.fleet_fill = dependency["fleet_fill"].as_bool();
-  spec.max_waiting = count_of(dependency, "most_waiting");
+  spec.min_in_flight = count_of(dependency, "least_open");
+  spec.max_in_flight = count_of(dependency, "most_open");
+  spec.fleet_max_in_flight = count_of(dependency, "fleet_open");
+  spec.fleet_cache_fill = dependency["fleet_fill"].as_bool();
+  spec.max_queued = count_of(dependency, "most_waiting");
 }
 
 void read_outlier_detection(const Value& dependency, deps::DependencySpec& spec) {
-  spec.max_ejected = dependency["most_ejected"].as_double();
-  spec.eject_for = dependency["eject_for"].as_duration();
-  spec.max_eject = dependency["eject_most"].as_duration();
-  spec.slow_start = dependency["slow_start"].as_duration();
-  spec.probe_every = dependency["probe_every"].as_duration();
-  spec.max_probe = dependency["probe_most"].as_duration();
+  spec.max_ejection_ratio = dependency["most_ejected"].as_double();
+  spec.base_ejection_time = dependency["eject_for"].as_duration();
+  spec.max_ejection_time = dependency["eject_most"].as_duration();
+  spec.slow_start_window = dependency["slow_start"].as_duration();
+  spec.probe_interval = dependency["probe_every"].as_duration();
+  spec.max_probe_interval = dependency["probe_most"].as_duration();
 }
 
 void read_connection_limits(const Value& dependency, deps::DependencySpec& spec) {
-  spec.max_answer = dependency["most_answer"].as_byte_size();
-  spec.max_header = dependency["most_header"].as_byte_size();
-  spec.max_quiet = dependency["quiet_most"].as_duration();
-  spec.max_idle_time = dependency["idle_most"].as_duration();
+  spec.max_response_bytes = dependency["most_answer"].as_byte_size();
+  spec.max_header_bytes = dependency["most_header"].as_byte_size();
+  spec.io_timeout = dependency["quiet_most"].as_duration();
+  spec.idle_connection_timeout = dependency["idle_most"].as_duration();
   spec.max_idle_connections = count_of(dependency, "most_idle");
 }
 
@@ -87,10 +87,10 @@
     check_order(dependency, path, lower_field, lower, upper_field, upper, diagnostics);
   };
   check("timeout_least", spec.min_timeout, "timeout_most", spec.max_timeout);
-  check("retry_pause", spec.retry_pause, "retry_pause_most", spec.max_retry_pause);
-  check("least_open", spec.min_open, "most_open", spec.max_open);
-  check("eject_for", spec.eject_for, "eject_most", spec.max_eject);
-  check("probe_every", spec.probe_every, "probe_most", spec.max_probe);
+  check("retry_pause", spec.base_retry_backoff, "retry_pause_most", spec.max_retry_backoff);
+  check("least_open", spec.min_in_flight, "most_open", spec.max_in_flight);
+  check("eject_for", spec.base_ejection_time, "eject_most", spec.max_ejection_time);
+  check("probe_every", spec.probe_interval, "probe_most", spec.max_probe_interval);
 }
 
 }  // namespace
--- a/src/operators/gather_section.cpp
+++ b/src/operators/gather_section.cpp
@@ -36,9 +36,9 @@
     read_path(part, path, spec);
     read_needs(part, path, earlier, spec);
     spec.required = part["required"].as_bool();
-    spec.within = part["within"].as_duration();
-    spec.fresh_for = part["fresh_for"].as_duration();
-    spec.stale_for = part["stale_for"].as_duration();
+    spec.timeout = part["within"].as_duration();
+    spec.max_fresh_age = part["fresh_for"].as_duration();
+    spec.max_stale_age = part["stale_for"].as_duration();
     if (const auto* fallback = part.find("default")) spec.fallback = fallback->as_string();
     return spec;
   }
@@ -69,8 +69,9 @@
     const auto& text = part["path"];
     spec.path = text.as_string();
     const auto parsed = deps::PathTemplate::parse(spec.path);
-    if (const auto* error = std::get_if<deps::PathTemplate::Bad>(&parsed))
-      diagnostics_.fail(text, path + ".path", error->why + ", at character " + std::to_string(error->at + 1));
+    if (const auto* error = std::get_if<deps::PathTemplate::ParseError>(&parsed))
+      diagnostics_.fail(text, path + ".path",
+                        error->reason + ", at character " + std::to_string(error->position + 1));
     else if (!part.find("needs") && std::get<deps::PathTemplate>(parsed).uses_needed())
       diagnostics_.fail(text, path + ".path",
                         "{needed} without needs: expected the name of an earlier part there");
@@ -84,7 +85,7 @@
     if (needed == earlier.end())
       diagnostics_.fail(*needs, path + ".needs", "expected the name of an earlier part of this gather");
     else
-      spec.needs = std::size_t(needed - earlier.begin());
+      spec.depends_on = std::size_t(needed - earlier.begin());
   }
 
   const std::vector<deps::DependencySpec>& dependencies_;
--- a/src/operators/operator_config.cpp
+++ b/src/operators/operator_config.cpp
@@ -42,18 +42,18 @@
   require_membership(
       dependencies, config, "fleet_fill",
       "expected membership beside it: without it there is nobody to fill it for",
-      [](const deps::DependencySpec& spec) { return spec.fleet_fill; }, diagnostics);
+      [](const deps::DependencySpec& spec) { return spec.fleet_cache_fill; }, diagnostics);
   require_membership(
       dependencies, config, "fleet_open",
       "expected membership beside it: without it nobody knows how many share it",
-      [](const deps::DependencySpec& spec) { return spec.fleet_open > 0; }, diagnostics);
+      [](const deps::DependencySpec& spec) { return spec.fleet_max_in_flight > 0; }, diagnostics);
 }
 
 void read_sections(const Value& root, OperatorConfig& config, Diagnostics& diagnostics) {
   config.spec.dependencies = read_dependencies(root["dependencies"], diagnostics);
   read_gathers(root["gathers"], config, diagnostics);
-  config.spec.cache_bytes = root["cache"].as_byte_size();
-  config.spec.remember_failures = root["remember_failures"].as_duration();
+  config.spec.max_cache_bytes = root["cache"].as_byte_size();
+  config.spec.negative_cache_ttl = root["remember_failures"].as_duration();
   config.dependency_connections = std::size_t(root["connections"].as_int());
   config.cache_fill_port = std::uint16_t(root["fill_port"].as_int());
   if (const auto* section = root.find("membership"))
@@ -67,7 +67,7 @@
 bool OperatorConfig::cache_fill_enabled() const {
   const auto& dependencies = spec.dependencies;
   const bool is_used = std::any_of(dependencies.begin(), dependencies.end(),
-                                   [](const auto& dependency) { return dependency.fleet_fill; });
+                                   [](const auto& dependency) { return dependency.fleet_cache_fill; });
   return is_used && membership.has_value();
 }
 
