--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -1,5 +1,5 @@
-// Admission control for arriving requests: the reasons to shed one, the worth-ranked drop past D_drop,
-// tenant quotas, and the reuse and caching of idempotent results.
+// Admission control for arriving requests: the reasons to reject one, and the drop by weight past the
+// paper's D_drop.
 // Part of the admission controller; see src/policy/controller_state.h and docs/design.md.
 #include <algorithm>
 #include <optional>
@@ -11,147 +11,143 @@
 
 using namespace policy;  // NOLINT(google-build-using-namespace): this module's own internal names
 
-// ---- Arrivals ----
+namespace {
+constexpr Duration kMaxUnreadWait = seconds(3600);  // a longer one is no credible report
+}  // namespace
 
-void AdmissionController::Impl::on(const RequestArrived& in) {
-  if (requests.count(in.id)) return;
-  if (!class_of(in)) {  // a class no one told of: nothing can be promised
-    act(Reject{in.id, false, {}});
+void AdmissionController::Impl::on(const RequestArrived& arrival) {
+  if (requests.count(arrival.id)) return;
+  if (!find_class(arrival)) {  // not in the settings: nothing can be promised
+    act(Reject{arrival.id, false, {}});
     return;
   }
-  callers[in.caller] = now;
-  Request fresh;
-  fresh.in = in;
-  auto& r = requests.emplace(in.id, std::move(fresh)).first->second;
-  const auto& c = cls(r);
-  r.since = now;
-  r.reached = now - std::clamp(in.unread_wait, Duration{}, Duration(seconds(3600)));
-  r.due = std::max(in.caller_timeout ? now + *in.caller_timeout : r.reached + c.deadline, now);
-  const auto stretch = in.cost_hint ? dur(sec(*in.cost_hint) * c.objective_stretch) : Duration{};
-  r.useful_until = std::min(r.due, r.reached + std::min(c.latency_objective + stretch, c.deadline));
-  if (stop_at) r.due = std::min(r.due, last_answer());
-  // What waited unread and is refused at once is never the oldest held: its wait counts all the same, or a
-  // flood at the door would look calm and the pool would grow into it.
-  newest_unread = sec(now - r.reached) / sec(target(r));
-  arrival_ratio = std::max(arrival_ratio, newest_unread);
-  r.over_share = quota_exhausted(in.tenant);
-  // Guards against a repeat read just before the kill, which no timer could still answer.
-  if (drain_from && now >= last_answer()) return refuse(r, false);
-  if (in.duplicate_of && may_reuse(r)) return reuse(r);
-  if (const auto reason = shed_reason(r)) {
-    const bool pressed = *reason == Reason::waits_too_long || *reason == Reason::over_share;
-    refuse(r, (pressed && persistent_overload()) || *reason == Reason::too_late,
-           pressed ? std::min(s.max_retry_after.value_or(Duration{}), target(r)) : Duration{});
-    return;
-  }
-  if (!r.over_share) consume_quota(in.tenant);
-  if (c.idempotency == Idempotency::with_key) remember(r, c.idempotency_window - (now - r.reached));
-  set_due_timer(r);
-}
-
-// Past D_drop the least worth goes first, even with a core free: where requests wait unread, the queue is
-// outside the hold and its order can't be chosen. Guards against serving the patient classes and losing the
-// hasty ones; the part taken follows the waits as the pool does. Ties are broken by chance.
-bool AdmissionController::Impl::below_admission_threshold(Request& r) {
-  const double own = value(r);
-  const bool under = admitted < 1 && recent_values.size() >= kValues / 2 && rank_by_worth(own) < 1 - admitted;
-  recent_values.push_back(own);
-  if (recent_values.size() > kValues) recent_values.pop_front();
-  return under;
-}
-
-double AdmissionController::Impl::rank_by_worth(double own) {
-  double under = 0, ties = 0;
-  for (const double v : recent_values) under += v < own, ties += v == own;
-  const double drawn = std::uniform_real_distribution<double>(0, 1)(random);
-  return (under + ties * drawn) / double(recent_values.size());
+  caller_last_seen[arrival.caller] = now;
+  auto& request = add_request(arrival);
+  // What waited unread and is rejected at once is never the oldest in the queue: its wait counts all the
+  // same, or a flood of arrivals would look like no overload and the pool would grow into it.
+  newest_unread_ratio = to_seconds(now - request.arrived_at) / to_seconds(delay_target(request));
+  arrival_delay_ratio = std::max(arrival_delay_ratio, newest_unread_ratio);
+  request.over_quota = quota_exhausted(arrival.tenant);
+  // Guards against a duplicate read just before the kill, which no timer could still answer.
+  if (drain_started && now >= last_answer_time()) return reject(request, false);
+  if (arrival.duplicate_of && may_reuse(request)) return reuse_result(request);
+  if (const auto reason = reject_reason(request)) return reject_arrival(request, *reason);
+  admit(request);
 }
 
-std::optional<AdmissionController::Impl::Reason> AdmissionController::Impl::shed_reason(Request& r) {
-  const auto& c = cls(r);
-  if (drain_from &&
-      (r.reached > *drain_from + s.drain_grace.value_or(Duration{}) || now + time_needed(r) > last_answer()))
-    return Reason::leaving;
-  const auto key = c.idempotency == Idempotency::with_key ? key_units : 0;
-  if (memory_in_use() + key > memory_limit || !memory_leaves_a_run(r, key)) return Reason::no_memory;
-  if (now >= r.useful_until && c.late_weight_fraction <= 0) return Reason::too_late;
-  if (below_admission_threshold(r)) return Reason::waits_too_long;
-  if (count(Phase::running) < int(limit) && count(Phase::held) <= 1) return std::nullopt;
-  if (oldest_wait(r.in.class_id) > kDropRatio * sec(target(r))) return Reason::waits_too_long;
-  // By what the cores can do, not by the oldest wait: guards against a burst that is taken while the hold
-  // is empty and keeps everybody waiting past the patience of their callers, who are served when they are
-  // gone.
-  if (const double ahead = work_ahead(r) / cores; max_wait && ahead > *max_wait * sec(target(r))) {
-    arrival_ratio = std::max(arrival_ratio, ahead / sec(target(r)));
-    return Reason::waits_too_long;
-  }
-  const auto wait = expected_wait(r);
-  if (now + wait + dur(kServeMargin * sec(time_needed(r))) > r.useful_until) {
-    // The wait it would have met is a delay like any other: refusing early must not make the pool look
-    // calm.
-    arrival_ratio = std::max(arrival_ratio, sec(wait + (now - r.reached)) / sec(target(r)));
-    return Reason::waits_too_long;
-  }
-  if (r.over_share && worst_ratio > kOverSharePressure) return Reason::over_share;
-  return std::nullopt;
-}
-
-double AdmissionController::Impl::oldest_wait(ClassId id) const {
-  double worst = 0;
-  for (const auto& [rid, r] : requests)
-    if (r.phase == Phase::held && r.in.class_id == id) worst = std::max(worst, sec(now - r.reached));
-  return worst;
+Request& AdmissionController::Impl::add_request(const RequestArrived& arrival) {
+  Request fresh;
+  fresh.arrival = arrival;
+  auto& request = requests.emplace(arrival.id, std::move(fresh)).first->second;
+  const auto& request_class = class_of(request);
+  request.phase_since = now;
+  request.arrived_at = now - std::clamp(arrival.unread_wait, Duration{}, kMaxUnreadWait);
+  const TimePoint due =
+      arrival.caller_timeout ? now + *arrival.caller_timeout : request.arrived_at + request_class.deadline;
+  request.due = std::max(due, now);
+  Duration stretch{};
+  if (arrival.cost_hint)
+    stretch = to_duration(to_seconds(*arrival.cost_hint) * request_class.objective_stretch);
+  const Duration objective = std::min(request_class.latency_objective + stretch, request_class.deadline);
+  request.useful_until = std::min(request.due, request.arrived_at + objective);
+  if (stop_at) request.due = std::min(request.due, last_answer_time());
+  return request;
 }
 
-// The allowance counts what clients ask of the service: a tier further in sees calls and can't apply it,
-// and what is refused has used none of it (guards against retries and calls reading as traffic over a
-// share).
-bool AdmissionController::Impl::quota_exhausted(TenantId tenant) const {
-  const auto i = std::size_t(tenant);
-  return s.tier.value_or(0) < 1 && i < tenants.size() && tenants[i].tokens < 1;
+void AdmissionController::Impl::admit(Request& request) {
+  if (!request.over_quota) consume_quota(request.arrival.tenant);
+  const auto& request_class = class_of(request);
+  if (request_class.idempotency == Idempotency::with_key)
+    cache_result(request, request_class.idempotency_window - (now - request.arrived_at));
+  set_deadline_timer(request);
 }
 
-void AdmissionController::Impl::consume_quota(TenantId tenant) {
-  if (const auto i = std::size_t(tenant); i < tenants.size())
-    tenants[i].tokens = std::max(tenants[i].tokens - 1, 0.0);
+void AdmissionController::Impl::reject_arrival(Request& request, RejectReason reason) {
+  const bool by_load = reason == RejectReason::waits_too_long || reason == RejectReason::over_quota;
+  const bool last = (by_load && persistent_overload()) || reason == RejectReason::too_late;
+  Duration retry_after{};
+  if (by_load) retry_after = std::min(settings.max_retry_after.value_or(Duration{}), delay_target(request));
+  reject(request, last, retry_after);
 }
 
-// Two seconds' worth; where that is few requests, more, or chance alone would read as traffic over a share.
-// The price: a share that is overrun is noticed later.
-void AdmissionController::Impl::refill_quotas() {
-  const double passed = sec(now - last_refill);
-  last_refill = now;
-  for (auto& t : tenants)
-    t.tokens = std::min(t.tokens + t.allowance * passed, std::max(2 * t.allowance, kShareSavings));
+// Past D_drop the least weight is shed first, even with a core free: where requests wait unread, the queue
+// is outside this controller and its order can't be chosen. Guards against serving the patient classes and
+// losing the urgent ones; the admitted fraction follows the waits as the pool does. Ties are broken by
+// chance.
+bool AdmissionController::Impl::below_admission_threshold(Request& request) {
+  const double own = weight(request);
+  const bool below = admitted_fraction < 1 && recent_weights.size() >= kWeightSamples / 2 &&
+                     rank_by_weight(own) < 1 - admitted_fraction;
+  recent_weights.push_back(own);
+  if (recent_weights.size() > kWeightSamples) recent_weights.pop_front();
+  return below;
 }
 
-// ---- Repeats ----
-
-bool AdmissionController::Impl::may_reuse(const Request& r) {
-  return cls(r).idempotency == Idempotency::with_key ||
-         (cls(r).idempotency == Idempotency::idempotent && reads_are_shared());
+// 0 to 1, among recent arrivals. Draws a random number.
+double AdmissionController::Impl::rank_by_weight(double own) {
+  double below = 0;
+  double ties = 0;
+  for (const double other : recent_weights) {
+    below += other < own;
+    ties += other == own;
+  }
+  const double drawn = std::uniform_real_distribution<double>(0, 1)(random);
+  return (below + ties * drawn) / double(recent_weights.size());
 }
 
-bool AdmissionController::Impl::reads_are_shared() const {
-  return s.response_max_age.value_or(Duration{}).count() > 0;
+bool AdmissionController::Impl::arrives_too_late_for_drain(Request& request) {
+  if (!drain_started) return false;
+  const Duration grace = settings.drain_grace.value_or(Duration{});
+  return request.arrived_at > *drain_started + grace || now + time_needed(request) > last_answer_time();
 }
 
-void AdmissionController::Impl::reuse(Request& r) {
-  if (memory_in_use() > memory_limit) return refuse(r, false);
-  enter(r, Phase::reusing);
-  act(ReuseResult{r.in.id});
-  set_due_timer(r);
+std::optional<AdmissionController::Impl::RejectReason> AdmissionController::Impl::reject_reason(
+    Request& request) {
+  const auto& request_class = class_of(request);
+  if (arrives_too_late_for_drain(request)) return RejectReason::draining;
+  const auto entry = request_class.idempotency == Idempotency::with_key ? entry_memory : 0;
+  if (memory_in_use() + entry > memory_limit || !memory_leaves_a_run(request, entry))
+    return RejectReason::no_memory;
+  if (now >= request.useful_until && request_class.late_weight_fraction <= 0) return RejectReason::too_late;
+  if (below_admission_threshold(request)) return RejectReason::waits_too_long;
+  if (count(Phase::running) < int(run_limit) && count(Phase::queued) <= 1) return std::nullopt;
+  return wait_reject_reason(request);
 }
 
-void AdmissionController::Impl::remember(Request& r, Duration keep) {
-  keep += update_every;  // past the window's end, never short of it
-  if (keep.count() <= 0) return;
-  cached_results[r.in.id] = now + keep;
-  act(CacheResult{r.in.id, keep});
+// The reasons that hold only while requests queue.
+std::optional<AdmissionController::Impl::RejectReason> AdmissionController::Impl::wait_reject_reason(
+    Request& request) {
+  const double target = to_seconds(delay_target(request));
+  if (oldest_wait(request.arrival.class_id) > kDropRatio * target) return RejectReason::waits_too_long;
+  // By what the cores can do, not by the oldest wait: guards against a burst that is admitted while the
+  // queue is empty and keeps everybody waiting past the patience of their callers, who are served when they
+  // are gone.
+  const double cores_wait = work_ahead(request) / cores;
+  if (max_wait_ratio && cores_wait > *max_wait_ratio * target) {
+    arrival_delay_ratio = std::max(arrival_delay_ratio, cores_wait / target);
+    return RejectReason::waits_too_long;
+  }
+  const Duration wait = expected_wait(request);
+  const Duration run = to_duration(kServeMargin * to_seconds(time_needed(request)));
+  if (now + wait + run > request.useful_until) {
+    // The wait it would have met is a delay like any other: rejecting early must not make the pool look
+    // idle.
+    const double delay = to_seconds(wait + (now - request.arrived_at));
+    arrival_delay_ratio = std::max(arrival_delay_ratio, delay / target);
+    return RejectReason::waits_too_long;
+  }
+  if (request.over_quota && worst_delay_ratio > kOverQuotaRatio) return RejectReason::over_quota;
+  return std::nullopt;
 }
 
-void AdmissionController::Impl::drop_expired_entries() {
-  std::erase_if(cached_results, [&](const auto& e) { return e.second < now; });
+// In seconds, of the queued requests of one class.
+double AdmissionController::Impl::oldest_wait(ClassId id) const {
+  double worst = 0;
+  for (const auto& [request_id, request] : requests) {
+    if (request.phase == Phase::queued && request.arrival.class_id == id)
+      worst = std::max(worst, to_seconds(now - request.arrived_at));
+  }
+  return worst;
 }
 
 }  // namespace granitegap
--- a/src/policy/controller.cpp
+++ b/src/policy/controller.cpp
@@ -1,6 +1,7 @@
 // The admission controller as the host sees it: construction, start, and one batch of events in, actions
 // out. The periodic update timer runs the decision steps in their fixed order.
 // Part of the admission controller; see src/policy/controller_state.h and docs/design.md.
+#include <cmath>
 #include <span>
 #include <utility>
 #include <vector>
@@ -11,49 +12,56 @@
 
 using namespace policy;  // NOLINT(google-build-using-namespace): this module's own internal names
 
-AdmissionController::Impl::Impl(Settings settings, std::uint64_t seed, TimePoint at)
-    : s(std::move(settings)), now(at), born(at), random(seed) {
+namespace {
+constexpr double kMaxRunnable = 1e6;
+}  // namespace
+
+AdmissionController::Impl::Impl(Settings configured, std::uint64_t seed, TimePoint at)
+    : settings(std::move(configured)), now(at), started_at(at), random(seed) {
   read_settings();
-  limit = cores;
-  pool = floor_of_pool();
+  run_limit = cores;
+  credit_pool = pool_floor();
 }
 
-// ---- The update ----
+// ---- The periodic update ----
 
-void AdmissionController::Impl::on(const TimerFired& e) {
-  if (e.token != kUpdateToken) return answer_due(e.token);
-  if (e.core_utilization && std::isfinite(*e.core_utilization))
-    core_use = std::clamp(*e.core_utilization, 0.0, 1.0);
-  if (e.runnable_tasks && std::isfinite(*e.runnable_tasks))
-    on_cores = std::clamp(*e.runnable_tasks, 0.0, 1e6);
+void AdmissionController::Impl::on(const TimerFired& fired) {
+  if (fired.token != kUpdateToken) return answer_due(fired.token);
+  if (fired.core_utilization && std::isfinite(*fired.core_utilization))
+    core_utilization = std::clamp(*fired.core_utilization, 0.0, 1.0);
+  if (fired.runnable_tasks && std::isfinite(*fired.runnable_tasks))
+    runnable_tasks = std::clamp(*fired.runnable_tasks, 0.0, kMaxRunnable);
   refill_quotas();
   drop_expired_entries();
   forget_quiet_callers();
   shed_hopeless();
-  update_limit();
+  update_run_limit();
   update_pool();
   pause_long_runs();
-  act(SetTimer{kUpdateToken, update_every});
+  act(SetTimer{kUpdateToken, update_interval});
 }
 
 std::vector<Action> AdmissionController::Impl::start() {
-  if (s.deep_health_checks.value_or(false)) act(SetHealth{true, true});
-  act(SetTimer{kUpdateToken, update_every});
+  if (settings.deep_health_checks.value_or(false)) act(SetHealth{true, true});
+  act(SetTimer{kUpdateToken, update_interval});
   advertise();
-  return std::move(out);
+  return std::move(actions);
 }
 
 std::vector<Action> AdmissionController::Impl::handle(TimePoint at, std::span<const Event> events) {
   now = std::max(now, at);
-  out.clear();
-  for (const auto& event : events) std::visit([&](const auto& e) { on(e); }, event);
-  note_calls();  // calls that ended too: guards against reading a quick call as in hand until the next one
+  actions.clear();
+  for (const auto& event : events) std::visit([&](const auto& typed) { on(typed); }, event);
+  // Calls that ended are recorded too: guards against reading a quick call as open until the next one.
+  record_open_calls();
   make_calls();
   start_queued();
   advertise();
-  return std::move(out);
+  return std::move(actions);
 }
 
+// ---- The public class ----
+
 AdmissionController::AdmissionController(Settings settings, std::uint64_t seed, TimePoint now)
     : impl_(std::make_unique<Impl>(std::move(settings), seed, now)) {}
 AdmissionController::AdmissionController(AdmissionController&&) noexcept = default;
--- a/src/policy/controller_state.h
+++ b/src/policy/controller_state.h
@@ -1,6 +1,7 @@
 // The state of one admission controller and the declarations of its decision steps. Internal to the
 // granitegap library: each step is defined in the src/policy/ file of its concern, and only
-// include/granitegap/policy.h is public.
+// include/granitegap/policy.h is public. Memory is counted in thousandths of a kilobyte, other doubles in
+// the unit that their comment names.
 #pragma once
 
 #include <cstdint>
@@ -24,164 +25,209 @@
   using ClassState = policy::ClassState;
   using TenantState = policy::TenantState;
 
-  Impl(Settings settings, std::uint64_t seed, TimePoint at);
+  Impl(Settings configured, std::uint64_t seed, TimePoint at);
 
-  // ---- Settings, with what an absent one means ----
-  Settings s;
-  TimePoint now, born;
+  // ---- Settings, with the defaults applied ----
+  Settings settings;
+  TimePoint now;
+  TimePoint started_at;
   std::mt19937_64 random;
-  double cores = 1, overload = 1, cold_from = 1, run_factor = 1, servers = 1, configured_callers = 1;
-  double call_share = 0;
-  std::int64_t memory_limit = 0, key_units = 0;
-  Duration update_every{}, slack{}, call_window{}, call_linger{};
+  double cores = 1;
+  double overload_factor = 1;  ///< concurrent requests a core that a warm server survives
+  double cold_speed = 1;       ///< fraction of full speed at a cold start
+  double run_memory_factor = 1;
+  double servers = 1;
+  double configured_callers = 1;
+  double call_quota = 0;  ///< mean concurrent calls
+  std::int64_t memory_limit = 0;
+  std::int64_t entry_memory = 0;  ///< of one cached result
+  Duration update_interval{};
+  Duration answer_slack{};
+  Duration call_window{};
+  Duration abandoned_call_linger{};
   SuspendKind suspend = SuspendKind::none;
-  Downstream below = Downstream::none;
+  Downstream downstream = Downstream::none;
 
+  // ---- Requests, classes, tenants, callers ----
   std::vector<ClassState> classes;
   std::vector<TenantState> tenants;
   std::map<RequestId, Request> requests;
-  std::map<RequestId, TimePoint> cached_results;  // the table of remembered requests and when each expires
-  std::map<std::uint32_t, RequestId> due_timers;
-  std::map<CallerId, TimePoint> callers;
-  std::vector<Action> out;
+  std::map<RequestId, TimePoint> cached_results;  ///< when each entry of the host's table expires
+  std::map<std::uint32_t, RequestId> deadline_timers;
+  std::map<CallerId, TimePoint> caller_last_seen;
+  std::vector<Action> actions;  ///< of the batch that is being handled
   std::uint32_t next_token = 1;
-  double pool = 0, limit = 0, worst_ratio = 0, arrival_ratio = 0, decreases = 0, advertised_credit = -1,
-         core_use = -1;
-  double newest_unread = 0, unread_ratio = 0;  // unread wait over D_t: the newest arrival's, a smoothed one
-  double admitted = 1;               // part of what arrives that is taken, by worth; under 1 in deep overload
-  std::deque<double> recent_values;  // of arrivals, newest last
-  double pace = 1;                   // time on the cores per unit of hinted work
-  TimePoint last_refill, regime_since;
-  bool overloaded = false;
-  std::optional<double> max_wait;        // a bound set by the host
-  double offered = 1;                    // of the credit, set by the host
-  double on_cores = 0, paced_crowd = 0;  // the gauge; its mean over the runs that make up the pace
-  double best_pace = 0;                  // the least that the pace has been
+  TimePoint last_refill;  ///< of the tenants' token buckets
+
+  // ---- The credit pool ----
+  double credit_pool = 0;
+  double run_limit = 0;               ///< running requests
+  double worst_delay_ratio = 0;       ///< oldest wait over the delay target, of the worst class
+  double arrival_delay_ratio = 0;     ///< the same of arrivals since the last update
+  double newest_unread_ratio = 0;     ///< unread wait over the delay target, of the newest arrival
+  double unread_ratio = 0;            ///< its smoothed mean
+  double admitted_fraction = 1;       ///< of the arrivals, by weight; under 1 in deep overload
+  std::deque<double> recent_weights;  ///< of arrivals, newest last
+  double decrease_rate = 0;           ///< fraction of recent updates that decreased the pool
+  double advertised_credit = -1;      ///< negative until one was advertised
+  bool overloaded = false;            ///< as last logged
+  TimePoint overload_change_since;
+  std::optional<double> max_wait_ratio;  ///< see AdmissionLimits
+  double credit_fraction = 1;            ///< see AdmissionLimits
+
+  // ---- Gauges and the pace of the cores ----
+  double core_utilization = -1;  ///< negative until the host reported it
+  double runnable_tasks = 0;
+  double pace = 1;            ///< time on the cores per unit of hinted work
+  double best_pace = 0;       ///< the least that it has been, 0 until it is known
+  double paced_runnable = 0;  ///< mean of runnable_tasks over the runs that make up the pace
   std::size_t paced_runs = 0;
   std::optional<TimePoint> unhealthy_until;
-  std::optional<TimePoint> drain_from, stop_at;
-  std::deque<std::pair<TimePoint, int>> call_history;  // calls in hand from that time on
-  std::deque<TimePoint> lingering;                     // when abandoned calls leave the dependency's hands
-  Duration call_mean{};
+
+  // ---- Drain ----
+  std::optional<TimePoint> drain_started;
+  std::optional<TimePoint> stop_at;
+
+  // ---- Calls to the dependency ----
+  std::deque<std::pair<TimePoint, int>> call_history;  ///< open calls from that time on
+  std::deque<TimePoint> abandoned_calls;               ///< when each stops occupying the dependency
+  Duration mean_call_duration{};
   int calls_ended = 0;
-  double call_best = 0;  // the least mean time of calls so far, s
+  double best_call_seconds = 0;  ///< the least mean so far, 0 until it is known
 
+  // ---- Settings ----
   void read_settings();
+  double read_number(std::optional<double> value, double least, double fallback, const char* name,
+                     std::string& rejected);
+  void read_numbers(std::string& rejected);
+  void read_classes(std::string& rejected);
+  void read_tenants(std::string& rejected);
 
-  // ---- Small helpers ----
+  // ---- Lookups ----
   template <class A>
-  void act(A a) {
-    out.emplace_back(std::move(a));
+  void act(A action) {
+    actions.emplace_back(std::move(action));
   }
-  void log(std::string text);
-
-  ClassState* class_of(const RequestArrived& in);
-  ClassState& cls(const Request& r);
-  bool once(const Request& r);
-  Request* find(RequestId id);
-  void enter(Request& r, Phase phase);
+  void log(std::string message);
+  ClassState* find_class(const RequestArrived& arrival);
+  ClassState& class_of(const Request& request);
+  bool runs_at_most_once(const Request& request);
+  Request* find_request(RequestId id);
+  void enter(Request& request, Phase phase);
   int count(Phase phase) const;
-  int begun() const;
-
-  double warmth() const;
-  double crowd() const;
+  int started_count() const;
+  double warm_speed() const;
+  double survivable_concurrency() const;
 
   // ---- Estimates ----
-  Duration run_time(const RequestArrived& in);
-  Duration target(Request& r);
-  double value(Request& r);
-  double score(Request& r);
-  Duration attained(const Request& r) const;
-  double work_ahead(Request& r);
-  Duration expected_wait(Request& r);
-  Duration time_needed(Request& r);
-
-  // ---- Memory: held + run_factor x running + keys ----
-  double memory_of(bool held_only) const;
+  Duration run_time(const RequestArrived& arrival);
+  Duration delay_target(Request& request);
+  double weight(Request& request);
+  double queue_priority(Request& request);
+  Duration core_time(const Request& request) const;
+  double work_ahead(Request& request);
+  Duration expected_wait(Request& request);
+  Duration time_needed(Request& request);
+
+  // ---- Memory ----
+  double memory_of(bool queued_only) const;
   std::int64_t memory_in_use() const;
-  bool memory_for_run(const Request& r) const;
-
-  bool memory_leaves_a_run(const Request& r, std::int64_t key) const;
+  bool memory_for_run(const Request& request) const;
+  bool memory_leaves_a_run(const Request& request, std::int64_t entry) const;
 
-  // ---- The pool: delay-driven AIMD over the worst class ----
+  // ---- The credit pool ----
   double active_callers() const;
-  double floor_of_pool() const;
-  double ceiling_of_pool() const;
+  double pool_floor() const;
+  double pool_ceiling() const;
   bool cores_idle() const;
-
   double ratio_of_worst_class();
-  static double decrease(double ratio);
-  double weight_of_update(double over) const;
+  static double decrease_factor(double ratio);
+  double update_weight(double window_s) const;
   void update_pool();
-  void update_endpoint_health();
-  double crowding() const;
-  void note_regime();
+  void resize_pool();
+  void update_admitted_fraction();
+  void note_overload();
   bool persistent_overload() const;
   void advertise();
   void forget_quiet_callers();
 
-  // ---- Ending requests: one final answer each ----
-  void forget_entry(Request& r);
-  void refuse(Request& r, bool last, Duration keep_off = {});
-  void fail(Request& r);
-  static bool off_the_cores(const Request& r);
-  void end_answer(Request& r);
-  void reject_or_fail(Request& r, bool last);
-  void stop_work(Request& r);
-
-  // ---- Arrivals ----
-  void on(const RequestArrived& in);
-  bool below_admission_threshold(Request& r);
-  double rank_by_worth(double own);
-  enum class Reason { leaving, no_memory, too_late, waits_too_long, over_share };
-  std::optional<Reason> shed_reason(Request& r);
+  // ---- Health in the endpoint list ----
+  void update_endpoint_health();
+  double expected_slowdown() const;
+
+  // ---- Final answers ----
+  void evict_result(Request& request);
+  void reject(Request& request, bool last, Duration retry_after = {});
+  void fail(Request& request);
+  static bool off_the_cores(const Request& request);
+  void finish_answer(Request& request);
+  void reject_or_fail(Request& request, bool last);
+  void stop_work(Request& request);
+
+  // ---- Admission ----
+  enum class RejectReason { draining, no_memory, too_late, waits_too_long, over_quota };
+  void on(const RequestArrived& arrival);
+  Request& add_request(const RequestArrived& arrival);
+  void admit(Request& request);
+  void reject_arrival(Request& request, RejectReason reason);
+  bool below_admission_threshold(Request& request);
+  double rank_by_weight(double own);
+  std::optional<RejectReason> reject_reason(Request& request);
+  std::optional<RejectReason> wait_reject_reason(Request& request);
+  bool arrives_too_late_for_drain(Request& request);
   double oldest_wait(ClassId id) const;
+
+  // ---- Tenant quotas ----
   bool quota_exhausted(TenantId tenant) const;
   void consume_quota(TenantId tenant);
   void refill_quotas();
 
-  // ---- Repeats ----
-  bool may_reuse(const Request& r);
+  // ---- Duplicates and cached results ----
+  bool may_reuse(const Request& request);
   bool reads_are_shared() const;
-  void reuse(Request& r);
-  void remember(Request& r, Duration keep);
+  void reuse_result(Request& request);
+  void cache_result(Request& request, Duration ttl);
   void drop_expired_entries();
 
-  // ---- Answers by the due time ----
-  void set_due_timer(Request& r);
+  // ---- Deadlines ----
+  void set_deadline_timer(Request& request);
   void answer_due(TimerToken token);
-  TimePoint last_answer() const;
+  TimePoint last_answer_time() const;
 
-  // ---- Runs: order of the hold, run limit ----
-  void update_limit();
+  // ---- The queue and the run limit ----
+  void update_run_limit();
   Request* next_to_run();
   void start_queued();
-  void begin(Request& r);
+  void start_run(Request& request);
   void shed_hopeless();
-  void on(const RunEnded& e);
-  void learn(Request& r);
+  bool hopeless(Request& request);
+  void on(const RunEnded& ended);
+  void run_cancelled(Request& request);
+  void learn_from_run(Request& request);
+  void learn_pace(const Request& request);
   void pause_long_runs();
-
-  // ---- Calls below ----
-  void on(const CallNeeded& e);
-  void on(const CallEnded& e);
-  int calls_in_hand() const;
-  void note_calls();
+  Request* least_valuable_long_run();
+
+  // ---- Calls to the dependency ----
+  void on(const CallNeeded& needed);
+  void on(const CallEnded& ended);
+  void learn_call_duration(Duration duration);
+  int open_calls() const;
+  void record_open_calls();
   void leave_call(bool abandoned);
-  double call_allowance() const;
+  double usable_call_quota() const;
   bool call_allowed();
   void make_calls();
-  void decide_call(Request& r);
-
-  // ---- Callers that leave; drain ----
-  void on(const RequestAbandoned& e);
-  bool takes_work() const;
-  void on(const DrainStarted& e);
+  void decide_call(Request& request);
 
-  void on(const AdmissionLimits& e);
+  // ---- Callers that give up, drain, limits of the host ----
+  void on(const RequestAbandoned& abandoned);
+  bool accepts_work() const;
+  void on(const DrainStarted& drain);
+  void on(const AdmissionLimits& limits);
 
-  // ---- The update ----
-  void on(const TimerFired& e);
+  // ---- The periodic update ----
+  void on(const TimerFired& fired);
   std::vector<Action> start();
   std::vector<Action> handle(TimePoint at, std::span<const Event> events);
 };
--- a/src/policy/deadlines.cpp
+++ b/src/policy/deadlines.cpp
@@ -9,23 +9,23 @@
 
 using namespace policy;  // NOLINT(google-build-using-namespace): this module's own internal names
 
-// ---- Answers by the due time ----
-
-void AdmissionController::Impl::set_due_timer(Request& r) {
-  due_timers[next_token] = r.in.id;
-  act(SetTimer{TimerToken(next_token++), std::max<Duration>(r.due - now, Duration(1))});
+void AdmissionController::Impl::set_deadline_timer(Request& request) {
+  deadline_timers[next_token] = request.arrival.id;
+  act(SetTimer{TimerToken(next_token), std::max<Duration>(request.due - now, Duration(1))});
+  ++next_token;
 }
 
 void AdmissionController::Impl::answer_due(TimerToken token) {
-  const auto it = due_timers.find(std::uint32_t(token));
-  if (it == due_timers.end()) return;
-  auto* r = find(it->second);
-  due_timers.erase(it);
-  if (r && !r->answered && !r->gone) reject_or_fail(*r, false);
+  const auto it = deadline_timers.find(std::uint32_t(token));
+  if (it == deadline_timers.end()) return;
+  auto* request = find_request(it->second);
+  deadline_timers.erase(it);
+  if (request && !request->answered && !request->abandoned) reject_or_fail(*request, false);
 }
 
-TimePoint AdmissionController::Impl::last_answer() const {
-  return *stop_at - std::min<Duration>(2 * slack + update_every, (*stop_at - *drain_from) / 4);
+// While draining: the latest time for a final answer, so that it is out before the process is stopped.
+TimePoint AdmissionController::Impl::last_answer_time() const {
+  return *stop_at - std::min<Duration>(2 * answer_slack + update_interval, (*stop_at - *drain_started) / 4);
 }
 
 }  // namespace granitegap
--- a/src/policy/downstream_calls.cpp
+++ b/src/policy/downstream_calls.cpp
@@ -1,5 +1,5 @@
-// Calls to the dependency below: when a call is made, retried with backoff, skipped, or given up, and the
-// concurrency budget that keeps a fleet from filling a shared dependency.
+// Calls to the dependency: when a call is made, retried with backoff, skipped, or given up, and the
+// concurrency quota that keeps a fleet from filling a shared dependency.
 // Part of the admission controller; see src/policy/controller_state.h and docs/design.md.
 #include <algorithm>
 #include <vector>
@@ -10,99 +10,122 @@
 
 using namespace policy;  // NOLINT(google-build-using-namespace): this module's own internal names
 
-// ---- Calls below ----
+namespace {
+constexpr double kMinWindowSeconds = 0.1;
+}  // namespace
 
-void AdmissionController::Impl::on(const CallNeeded& e) {
-  auto* r = find(e.id);
-  if (!r) return;
-  enter(*r, Phase::at_call);
-  r->call_tries = 0;
-  r->call_may_have_run = false;
-  r->call_again = now;
-  r->stopping = false;
+void AdmissionController::Impl::on(const CallNeeded& needed) {
+  auto* request = find_request(needed.id);
+  if (!request) return;
+  enter(*request, Phase::awaiting_call);
+  request->call_attempts = 0;
+  request->call_may_have_run = false;
+  request->next_call_at = now;
+  request->stopping = false;
 }
 
-void AdmissionController::Impl::on(const CallEnded& e) {
-  auto* r = find(e.id);
-  if (!r || r->phase != Phase::calling) return;
-  leave_call(e.result == CallResult::timed_out);
-  call_mean += dur((sec(e.duration) - sec(call_mean)) * (call_mean.count() ? kPaceGain : 1));
-  if (++calls_ended >= kCallSamples)  // not before: a lucky first call is no yardstick
-    call_best = call_best > 0 ? std::min(call_best, sec(call_mean)) : sec(call_mean);
-  if (e.result == CallResult::ok) {
-    enter(*r, Phase::running);
+void AdmissionController::Impl::on(const CallEnded& ended) {
+  auto* request = find_request(ended.id);
+  if (!request || request->phase != Phase::calling) return;
+  leave_call(ended.result == CallResult::timed_out);
+  learn_call_duration(ended.duration);
+  if (ended.result == CallResult::ok) {
+    enter(*request, Phase::running);
     return;
   }
-  enter(*r, Phase::at_call);
-  const bool never_ran = e.result == CallResult::rejected || e.result == CallResult::unreachable;
-  r->call_may_have_run |= !never_ran;
-  r->call_tries += 1;
-  r->call_again = now + update_every * (1 << std::min(r->call_tries, 5)) / 2;
+  enter(*request, Phase::awaiting_call);
+  const bool never_ran = ended.result == CallResult::rejected || ended.result == CallResult::unreachable;
+  request->call_may_have_run |= !never_ran;
+  request->call_attempts += 1;
+  const int doublings = std::min(request->call_attempts, kMaxBackoffDoublings);
+  request->next_call_at = now + update_interval * (1 << doublings) / 2;
 }
 
-int AdmissionController::Impl::calls_in_hand() const { return count(Phase::calling) + int(lingering.size()); }
+void AdmissionController::Impl::learn_call_duration(Duration duration) {
+  const double smoothing = mean_call_duration.count() ? kSmoothing : 1;
+  mean_call_duration += to_duration((to_seconds(duration) - to_seconds(mean_call_duration)) * smoothing);
+  ++calls_ended;
+  if (calls_ended < kMinCallSamples) return;  // a lucky first call is no baseline
+  const double mean = to_seconds(mean_call_duration);
+  best_call_seconds = best_call_seconds > 0 ? std::min(best_call_seconds, mean) : mean;
+}
+
+int AdmissionController::Impl::open_calls() const {
+  return count(Phase::calling) + int(abandoned_calls.size());
+}
 
-void AdmissionController::Impl::note_calls() {
-  if (below != Downstream::shared) return;  // nothing binds there, and this runs with every batch
-  std::erase_if(lingering, [&](TimePoint t) { return t <= now; });
-  const int n = calls_in_hand();
-  if (call_history.empty() || call_history.back().second != n) call_history.emplace_back(now, n);
+void AdmissionController::Impl::record_open_calls() {
+  if (downstream != Downstream::shared) return;  // no quota applies there, and this runs with every batch
+  std::erase_if(abandoned_calls, [&](TimePoint until) { return until <= now; });
+  const int open = open_calls();
+  if (call_history.empty() || call_history.back().second != open) call_history.emplace_back(now, open);
   const auto from = now - call_window;
   while (call_history.size() > 1 && call_history[1].first <= from) call_history.pop_front();
 }
 
 void AdmissionController::Impl::leave_call(bool abandoned) {
-  if (abandoned && below == Downstream::shared) lingering.push_back(now + call_linger);
+  if (abandoned && downstream == Downstream::shared) abandoned_calls.push_back(now + abandoned_call_linger);
 }
 
-// The part of the share that may be used: less as calls slow down, since the dependency slows long before
-// it falls and others see the same. Guards against a fleet that fills a crowded dependency to the edge.
-double AdmissionController::Impl::call_allowance() const {
-  const double slower = call_best > 0 ? std::max(sec(call_mean) / call_best / kCallSlowdown, 1.0) : 1.0;
-  return kCallShare * call_share / slower;
+// The part of the quota that may be used: less as calls slow down, since the dependency slows long before
+// it fails and others see the same. Guards against a fleet that fills a crowded dependency to the edge.
+double AdmissionController::Impl::usable_call_quota() const {
+  double slowdown = 1;
+  if (best_call_seconds > 0)
+    slowdown = std::max(to_seconds(mean_call_duration) / best_call_seconds / kCallSlowdown, 1.0);
+  return kCallQuotaShare * call_quota / slowdown;
 }
 
-// The mean of calls in hand over the window, were one more begun: one in hand stays as long as is usual, or
+// The mean of open calls over the window, were one more started: an open one stays as long as is usual, or
 // as long again as it has stayed (a hung dependency). A fresh instance has had no window yet, and a fleet
-// of them must not spend a whole one in its first seconds. The call asked for may yet be abandoned.
+// of them must not spend a complete one in its first seconds. The call asked for may yet be abandoned.
 bool AdmissionController::Impl::call_allowed() {
-  if (below != Downstream::shared) return true;
-  const double window = std::max(sec(call_window), 0.1);
-  const TimePoint from = now - dur(window);
-  const double stay = std::min(std::max(2 * sec(call_mean), sec(kCallStay)), window);
-  double area = stay + sec(call_linger) * double(1 + lingering.size());
+  if (downstream != Downstream::shared) return true;
+  const double window = std::max(to_seconds(call_window), kMinWindowSeconds);
+  const TimePoint from = now - to_duration(window);
+  const double stay =
+      std::min(std::max(2 * to_seconds(mean_call_duration), to_seconds(kMinCallStay)), window);
+  double call_seconds = stay + to_seconds(abandoned_call_linger) * double(1 + abandoned_calls.size());
   for (std::size_t i = 0; i < call_history.size(); ++i) {
+    const auto& [since, open] = call_history[i];
     const auto until = i + 1 < call_history.size() ? call_history[i + 1].first : now;
-    area += call_history[i].second * sec(until - std::max(call_history[i].first, from));
+    call_seconds += open * to_seconds(until - std::max(since, from));
   }
-  for (const auto& [id, r] : requests)
-    if (r.phase == Phase::calling) area += std::max(stay, sec(now - r.since));
-  return area <= call_allowance() * std::min(window, sec(now - born) + sec(kCallStart));
+  for (const auto& [id, request] : requests) {
+    if (request.phase == Phase::calling)
+      call_seconds += std::max(stay, to_seconds(now - request.phase_since));
+  }
+  const double granted = std::min(window, to_seconds(now - started_at) + to_seconds(kInitialCallWindow));
+  return call_seconds <= usable_call_quota() * granted;
 }
 
 void AdmissionController::Impl::make_calls() {
   std::vector<Request*> waiting;
-  for (auto& [id, r] : requests)
-    if (r.phase == Phase::at_call && !r.answered && !r.gone) waiting.push_back(&r);
-  std::stable_sort(waiting.begin(), waiting.end(), [&](auto* a, auto* b) { return value(*a) > value(*b); });
-  for (auto* r : waiting) decide_call(*r);
+  for (auto& [id, request] : requests) {
+    if (request.phase == Phase::awaiting_call && !request.answered && !request.abandoned)
+      waiting.push_back(&request);
+  }
+  std::stable_sort(waiting.begin(), waiting.end(),
+                   [&](auto* left, auto* right) { return weight(*left) > weight(*right); });
+  for (auto* request : waiting) decide_call(*request);
 }
 
-void AdmissionController::Impl::decide_call(Request& r) {
-  const auto left = std::min(r.useful_until, r.due) - now;
-  const bool may_skip = cls(r).degraded_weight_fraction > 0;
-  const bool spent = r.call_may_have_run && (once(r) || r.call_tries >= kCallTries);
-  if (spent && !may_skip) return reject_or_fail(r, true);
-  if (may_skip && (spent || left < 2 * run_time(r.in))) {
-    enter(r, Phase::running);
-    return act(SkipCall{r.in.id});
+void AdmissionController::Impl::decide_call(Request& request) {
+  const auto left = std::min(request.useful_until, request.due) - now;
+  const bool may_skip = class_of(request).degraded_weight_fraction > 0;
+  const bool attempts_spent =
+      request.call_may_have_run && (runs_at_most_once(request) || request.call_attempts >= kMaxCallAttempts);
+  if (attempts_spent && !may_skip) return reject_or_fail(request, true);
+  if (may_skip && (attempts_spent || left < 2 * run_time(request.arrival))) {
+    enter(request, Phase::running);
+    return act(SkipCall{request.arrival.id});
   }
-  if (now < r.call_again || !call_allowed()) return;
-  const auto limit_of_call =
-      may_skip ? std::max<Duration>(left - run_time(r.in), milliseconds(10)) : r.due - now;
-  enter(r, Phase::calling);
-  act(Call{r.in.id, std::max<Duration>(limit_of_call, milliseconds(1))});
-  note_calls();
+  if (now < request.next_call_at || !call_allowed()) return;
+  Duration timeout = request.due - now;
+  if (may_skip) timeout = std::max<Duration>(left - run_time(request.arrival), milliseconds(10));
+  enter(request, Phase::calling);
+  act(Call{request.arrival.id, std::max<Duration>(timeout, milliseconds(1))});
+  record_open_calls();
 }
 
 }  // namespace granitegap
--- a/src/policy/drain.cpp
+++ b/src/policy/drain.cpp
@@ -1,4 +1,4 @@
-// Callers that leave, graceful shutdown (drain) and the bounds that a fleet-wide host sets.
+// Callers that give up, graceful shutdown (drain) and the limits that a host sets for the whole fleet.
 // Part of the admission controller; see src/policy/controller_state.h and docs/design.md.
 #include <algorithm>
 #include <cmath>
@@ -9,47 +9,46 @@
 
 using namespace policy;  // NOLINT(google-build-using-namespace): this module's own internal names
 
-// ---- Callers that leave; drain ----
-
-void AdmissionController::Impl::on(const RequestAbandoned& e) {
-  auto* r = find(e.id);
-  if (!r) return;
-  r->gone = true;
-  if (off_the_cores(*r)) {
-    forget_entry(*r);
-    requests.erase(e.id);
+void AdmissionController::Impl::on(const RequestAbandoned& abandoned) {
+  auto* request = find_request(abandoned.id);
+  if (!request) return;
+  request->abandoned = true;
+  if (off_the_cores(*request)) {
+    evict_result(*request);
+    requests.erase(abandoned.id);
   } else {
-    stop_work(*r);
+    stop_work(*request);
   }
 }
 
-// Callers that heed are sent away only as the grace runs out: the successor is cold or not up yet, and
-// until then the others have no room for them. Leaves time for twice a usual run, and for the word to get
-// round.
-bool AdmissionController::Impl::takes_work() const {
-  if (!drain_from) return true;
-  Duration run{};
-  for (const auto& c : classes) run = std::max(run, c.median);
-  return now + kDrainQuiet < *drain_from + s.drain_grace.value_or(Duration{}) &&
-         now + 2 * run < last_answer();
+// Callers that heed credits are sent away only as the grace runs out: the successor is cold or not up yet,
+// and until then the others have no capacity for them. Leaves time for twice a usual run, and for the health
+// change to spread.
+bool AdmissionController::Impl::accepts_work() const {
+  if (!drain_started) return true;
+  Duration longest_run{};
+  for (const auto& request_class : classes) longest_run = std::max(longest_run, request_class.median_run);
+  const TimePoint grace_ends = *drain_started + settings.drain_grace.value_or(Duration{});
+  return now + kDrainQuiet < grace_ends && now + 2 * longest_run < last_answer_time();
 }
 
-void AdmissionController::Impl::on(const DrainStarted& e) {
-  if (drain_from) return;
-  drain_from = now;
-  stop_at = now + e.time_until_stop;
+void AdmissionController::Impl::on(const DrainStarted& drain) {
+  if (drain_started) return;
+  drain_started = now;
+  stop_at = now + drain.time_until_stop;
   log("drain: leaving");
   act(SetHealth{true, false});
-  for (auto& [id, r] : requests)
-    if (!r.answered && r.due > last_answer()) {
-      r.due = last_answer();
-      set_due_timer(r);
-    }
+  for (auto& [id, request] : requests) {
+    if (request.answered || request.due <= last_answer_time()) continue;
+    request.due = last_answer_time();
+    set_deadline_timer(request);
+  }
 }
 
-void AdmissionController::Impl::on(const AdmissionLimits& e) {
-  max_wait = e.max_wait_ratio;
-  offered = std::isfinite(e.credit_fraction) ? std::clamp(e.credit_fraction, 0.0, 1.0) : 1;
+void AdmissionController::Impl::on(const AdmissionLimits& limits) {
+  max_wait_ratio = limits.max_wait_ratio;
+  const double fraction = limits.credit_fraction;
+  credit_fraction = std::isfinite(fraction) ? std::clamp(fraction, 0.0, 1.0) : 1;
 }
 
 }  // namespace granitegap
--- a/src/policy/estimates.cpp
+++ b/src/policy/estimates.cpp
@@ -1,5 +1,5 @@
-// Estimates about requests: run time, target delay (D_t), worth per unit of work, the order of the hold,
-// the wait ahead and the memory held; plus the small lookups that every step uses.
+// Estimates about requests: run time, delay target (the paper's D_t), weight per unit of work, the order of
+// the queue and the wait ahead; plus the lookups that every step uses.
 // Part of the admission controller; see src/policy/controller_state.h and docs/design.md.
 #include <algorithm>
 #include <cstddef>
@@ -10,122 +10,133 @@
 
 using namespace policy;  // NOLINT(google-build-using-namespace): this module's own internal names
 
-// ---- Small helpers ----
+namespace {
+constexpr double kLeastSeconds = 1e-3;  // divisors are no smaller
+constexpr double kLeastSpeed = 1e-2;
+}  // namespace
 
-void AdmissionController::Impl::log(std::string text) { act(Log{std::move(text)}); }
+// ---- Lookups ----
 
-ClassState* AdmissionController::Impl::class_of(const RequestArrived& in) {
-  const auto i = std::size_t(in.class_id);
-  return i < classes.size() ? &classes[i] : nullptr;
+void AdmissionController::Impl::log(std::string message) { act(Log{std::move(message)}); }
+
+ClassState* AdmissionController::Impl::find_class(const RequestArrived& arrival) {
+  const auto index = std::size_t(arrival.class_id);
+  return index < classes.size() ? &classes[index] : nullptr;
 }
 
-ClassState& AdmissionController::Impl::cls(const Request& r) { return classes[std::size_t(r.in.class_id)]; }
+ClassState& AdmissionController::Impl::class_of(const Request& request) {
+  return classes[std::size_t(request.arrival.class_id)];
+}
 
-bool AdmissionController::Impl::once(const Request& r) {
-  return cls(r).idempotency != Idempotency::idempotent;
+bool AdmissionController::Impl::runs_at_most_once(const Request& request) {
+  return class_of(request).idempotency != Idempotency::idempotent;
 }
 
-Request* AdmissionController::Impl::find(RequestId id) {
+Request* AdmissionController::Impl::find_request(RequestId id) {
   const auto it = requests.find(id);
   return it == requests.end() ? nullptr : &it->second;
 }
 
-void AdmissionController::Impl::enter(Request& r, Phase phase) {
-  if (r.phase == Phase::running) r.on_cores += now - r.since;
-  if (r.phase == Phase::at_call || r.phase == Phase::calling) r.at_calls += now - r.since;
-  r.phase = phase;
-  r.since = now;
+void AdmissionController::Impl::enter(Request& request, Phase phase) {
+  const Duration spent = now - request.phase_since;
+  if (request.phase == Phase::running) request.finished_core_time += spent;
+  if (request.phase == Phase::awaiting_call || request.phase == Phase::calling) request.call_time += spent;
+  request.phase = phase;
+  request.phase_since = now;
 }
 
 int AdmissionController::Impl::count(Phase phase) const {
-  return int(
-      std::count_if(requests.begin(), requests.end(), [&](auto& e) { return e.second.phase == phase; }));
+  return int(std::count_if(requests.begin(), requests.end(),
+                           [&](const auto& entry) { return entry.second.phase == phase; }));
 }
 
-// Begun and able to be on the cores, now or unannounced when a call ends.
-int AdmissionController::Impl::begun() const {
-  return count(Phase::running) + count(Phase::at_call) + count(Phase::calling);
+// Started and able to be on the cores, now or unannounced when a call ends.
+int AdmissionController::Impl::started_count() const {
+  return count(Phase::running) + count(Phase::awaiting_call) + count(Phase::calling);
 }
 
-double AdmissionController::Impl::warmth() const {
-  const double part =
-      s.cold.value_or(true) ? sec(now - born) / std::max(sec(s.warm_up.value_or(seconds(60))), 1e-3) : 1;
-  return std::max(cold_from + (1 - cold_from) * std::clamp(part, 0.0, 1.0), 1e-2);
+// Fraction of full speed, during the slow start of a cold server and after it.
+double AdmissionController::Impl::warm_speed() const {
+  double part = 1;
+  if (settings.cold.value_or(true)) {
+    const Duration warm_up = settings.warm_up.value_or(seconds(60));
+    part = to_seconds(now - started_at) / std::max(to_seconds(warm_up), kLeastSeconds);
+  }
+  return std::max(cold_speed + (1 - cold_speed) * std::clamp(part, 0.0, 1.0), kLeastSpeed);
 }
 
-double AdmissionController::Impl::crowd() const { return cores * (1 + (overload - 1) * warmth()); }
+// Requests on the cores at once that the server survives now.
+double AdmissionController::Impl::survivable_concurrency() const {
+  return cores * (1 + (overload_factor - 1) * warm_speed());
+}
 
 // ---- Estimates ----
 
-Duration AdmissionController::Impl::run_time(const RequestArrived& in) {
-  auto& c = *class_of(in);
-  if (in.cost_hint) return dur(sec(*in.cost_hint) * pace);
-  return c.median.count() ? c.median : dur(sec(c.latency_objective) * kGuessAimShare / warmth());
+// Expected core time of a request.
+Duration AdmissionController::Impl::run_time(const RequestArrived& arrival) {
+  const auto& request_class = *find_class(arrival);
+  if (arrival.cost_hint) return to_duration(to_seconds(*arrival.cost_hint) * pace);
+  if (request_class.median_run.count()) return request_class.median_run;
+  return to_duration(to_seconds(request_class.latency_objective) * kGuessObjectiveShare / warm_speed());
 }
 
-Duration AdmissionController::Impl::target(Request& r) {
-  const auto& c = cls(r);
-  const Duration run = c.median.count() ? c.median : run_time(r.in);
-  return std::max<Duration>(
-      std::min(dur(sec(run) * kTargetRuns), dur(sec(c.latency_objective) * kTargetAimShare)),
-      milliseconds(1));
+// The paper's D_t for the request's class.
+Duration AdmissionController::Impl::delay_target(Request& request) {
+  const auto& request_class = class_of(request);
+  const Duration run =
+      request_class.median_run.count() ? request_class.median_run : run_time(request.arrival);
+  const Duration by_runs = to_duration(to_seconds(run) * kTargetRuns);
+  const Duration by_objective =
+      to_duration(to_seconds(request_class.latency_objective) * kTargetObjectiveShare);
+  return std::max<Duration>(std::min(by_runs, by_objective), milliseconds(1));
 }
 
-double AdmissionController::Impl::value(Request& r) {
-  const auto& c = cls(r);
-  double v = c.priority_weight * (r.over_share ? s.over_quota_weight_fraction.value_or(0.05) : 1);
-  if (!s.weight_by_work.value_or(false)) v /= std::max(sec(run_time(r.in)), 1e-3);
-  return now > r.useful_until ? v * c.late_weight_fraction : v;
+// What an answer now would earn, for each second of core time where the settings weigh work.
+double AdmissionController::Impl::weight(Request& request) {
+  const auto& request_class = class_of(request);
+  const double quota_fraction =
+      request.over_quota ? settings.over_quota_weight_fraction.value_or(kOverQuotaWeight) : 1;
+  double earned = request_class.priority_weight * quota_fraction;
+  if (!settings.weight_by_work.value_or(false))
+    earned /= std::max(to_seconds(run_time(request.arrival)), kLeastSeconds);
+  return now > request.useful_until ? earned * request_class.late_weight_fraction : earned;
 }
 
-// The order of the hold: worth for work, growing with the wait in units of the class's own target.
-double AdmissionController::Impl::score(Request& r) {
-  const double aged = sec(attained(r)) / std::max(sec(run_time(r.in)), 1e-3);
-  return value(r) * (kFreshUrgency + sec(now - r.reached) / sec(target(r))) / std::max(1.0, aged);
+// The order of the queue: weight for work, growing with the wait in units of the class's own delay target.
+double AdmissionController::Impl::queue_priority(Request& request) {
+  const double runs_done =
+      to_seconds(core_time(request)) / std::max(to_seconds(run_time(request.arrival)), kLeastSeconds);
+  const double waited = to_seconds(now - request.arrived_at) / to_seconds(delay_target(request));
+  return weight(request) * (kFreshUrgency + waited) / std::max(1.0, runs_done);
 }
 
-Duration AdmissionController::Impl::attained(const Request& r) const {
-  return r.phase == Phase::running ? r.on_cores + (now - r.since) : r.on_cores;
+Duration AdmissionController::Impl::core_time(const Request& request) const {
+  if (request.phase != Phase::running) return request.finished_core_time;
+  return request.finished_core_time + (now - request.phase_since);
 }
 
-double AdmissionController::Impl::work_ahead(Request& r) {
+// Core seconds that run before the request: what is left of the runs, and the queued work of no less weight.
+double AdmissionController::Impl::work_ahead(Request& request) {
   double work = 0;
   for (auto& [id, other] : requests) {
-    const double full = sec(run_time(other.in));
-    if (other.phase == Phase::running)
-      work += std::max(full - sec(attained(other)), full / 4);
-    else if (other.phase == Phase::held && &other != &r &&
-             cls(other).priority_weight >= cls(r).priority_weight)
+    const double full = to_seconds(run_time(other.arrival));
+    if (other.phase == Phase::running) {
+      work += std::max(full - to_seconds(core_time(other)), full / 4);
+    } else if (other.phase == Phase::queued && &other != &request &&
+               class_of(other).priority_weight >= class_of(request).priority_weight) {
       work += full;
+    }
   }
   return work;
 }
 
-Duration AdmissionController::Impl::expected_wait(Request& r) { return dur(work_ahead(r) / limit); }
-
-Duration AdmissionController::Impl::time_needed(Request& r) { return run_time(r.in) + cls(r).call_time; }
-
-// ---- Memory: held + run_factor x running + keys ----
-
-double AdmissionController::Impl::memory_of(bool held_only) const {
-  double sum = double(key_units) * double(cached_results.size());
-  for (const auto& [id, r] : requests) {
-    const bool held = r.phase == Phase::held;
-    if (held || !held_only) sum += double(units(r.in.memory)) * (held ? 1 : run_factor);
-  }
-  return sum;
-}
-
-std::int64_t AdmissionController::Impl::memory_in_use() const { return std::llround(memory_of(false)); }
-
-bool AdmissionController::Impl::memory_for_run(const Request& r) const {
-  return memory_in_use() + std::llround(double(units(r.in.memory)) * (run_factor - 1)) <= memory_limit;
+Duration AdmissionController::Impl::expected_wait(Request& request) {
+  return to_duration(work_ahead(request) / run_limit);
 }
 
-// Guards against a hold so full that nothing held could ever run.
-bool AdmissionController::Impl::memory_leaves_a_run(const Request& r, std::int64_t key) const {
-  const double own_run = double(units(r.in.memory)) * (run_factor - 1);
-  return memory_of(true) + double(key) + own_run <= double(memory_limit);
+// From the start of its run to its end, calls included.
+Duration AdmissionController::Impl::time_needed(Request& request) {
+  return run_time(request.arrival) + class_of(request).mean_call_time;
 }
 
 }  // namespace granitegap
--- a/src/policy/final_answers.cpp
+++ b/src/policy/final_answers.cpp
@@ -1,4 +1,4 @@
-// Ends requests with exactly one final answer each (refuse, fail) and stops work nobody waits for.
+// Ends requests with exactly one final answer each (reject, fail) and stops work that nobody waits for.
 // Part of the admission controller; see src/policy/controller_state.h and docs/design.md.
 
 #include "controller_state.h"
@@ -7,52 +7,56 @@
 
 using namespace policy;  // NOLINT(google-build-using-namespace): this module's own internal names
 
-// ---- Ending requests: one final answer each ----
-
-void AdmissionController::Impl::forget_entry(Request& r) {
-  if (!r.ran && cached_results.erase(r.in.id)) act(EvictResult{r.in.id});
+void AdmissionController::Impl::evict_result(Request& request) {
+  if (request.has_run) return;
+  if (cached_results.erase(request.arrival.id)) act(EvictResult{request.arrival.id});
 }
 
-void AdmissionController::Impl::refuse(Request& r, bool last, Duration keep_off) {
-  act(Reject{r.in.id, last, keep_off});
-  end_answer(r);
+void AdmissionController::Impl::reject(Request& request, bool last, Duration retry_after) {
+  act(Reject{request.arrival.id, last, retry_after});
+  finish_answer(request);
 }
 
-// A request that has run is failed, never refused.
-void AdmissionController::Impl::fail(Request& r) {
-  act(Fail{r.in.id});
-  end_answer(r);
+// A request that has run is failed, never rejected.
+void AdmissionController::Impl::fail(Request& request) {
+  act(Fail{request.arrival.id});
+  finish_answer(request);
 }
 
 // Over with its answer; the host reports the end of all others.
-bool AdmissionController::Impl::off_the_cores(const Request& r) {
-  return r.phase == Phase::held || r.phase == Phase::paused || r.phase == Phase::reusing;
+bool AdmissionController::Impl::off_the_cores(const Request& request) {
+  return request.phase == Phase::queued || request.phase == Phase::paused ||
+         request.phase == Phase::awaiting_result;
 }
 
-void AdmissionController::Impl::end_answer(Request& r) {
-  forget_entry(r);
-  r.answered = true;
-  if (off_the_cores(r))
-    requests.erase(r.in.id);
+// Erases a request that is off the cores: the reference is invalid afterwards.
+void AdmissionController::Impl::finish_answer(Request& request) {
+  evict_result(request);
+  request.answered = true;
+  if (off_the_cores(request))
+    requests.erase(request.arrival.id);
   else
-    stop_work(r);
+    stop_work(request);
 }
 
-void AdmissionController::Impl::reject_or_fail(Request& r, bool last) {
-  if (r.ran || r.phase == Phase::reusing)
-    fail(r);
+void AdmissionController::Impl::reject_or_fail(Request& request, bool last) {
+  if (request.has_run || request.phase == Phase::awaiting_result)
+    fail(request);
   else
-    refuse(r, last);
+    reject(request, last);
 }
 
-// Work nobody waits for leaves the cores where the host can stop it.
-// A keyed run goes on while its aim lasts: its caller's next try reuses it (guards against tries shorter
-// than runs).
-void AdmissionController::Impl::stop_work(Request& r) {
-  if (r.phase != Phase::running || suspend == SuspendKind::none || r.stopping) return;
-  if (cls(r).idempotency == Idempotency::with_key && now < r.reached + cls(r).latency_objective) return;
-  r.stopping = true;
-  act(Suspend{r.in.id});
+// Work that nobody waits for leaves the cores where the host can stop it. A run with an idempotency key goes
+// on while its objective lasts: its caller's next attempt reuses it (guards against attempts shorter than
+// runs).
+void AdmissionController::Impl::stop_work(Request& request) {
+  if (request.phase != Phase::running || suspend == SuspendKind::none || request.stopping) return;
+  const auto& request_class = class_of(request);
+  if (request_class.idempotency == Idempotency::with_key &&
+      now < request.arrived_at + request_class.latency_objective)
+    return;
+  request.stopping = true;
+  act(Suspend{request.arrival.id});
 }
 
 }  // namespace granitegap
--- a/src/policy/settings_defaults.cpp
+++ b/src/policy/settings_defaults.cpp
@@ -1,4 +1,4 @@
-// Reads the settings an instance is given, and replaces missing or unusable values by cautious ones
+// Reads the settings an instance is given, and replaces missing or unusable values by conservative ones
 // that are named once in a Log.
 // Part of the admission controller; see src/policy/controller_state.h and docs/design.md.
 #include <algorithm>
@@ -11,55 +11,88 @@
 
 using namespace policy;  // NOLINT(google-build-using-namespace): this module's own internal names
 
-// ---- Settings, with what an absent one means ----
+namespace {
 
-void AdmissionController::Impl::read_settings() {
-  std::string poor;
-  const auto note = [&](const char* name) { poor += poor.empty() ? name : std::string(" ") + name; };
-  const auto take = [&](std::optional<double> v, double least, double instead, const char* name) {
-    if (v && std::isfinite(*v) && *v >= least) return *v;
-    note(name);
-    return instead;
+constexpr double kUnitsPerKilobyte = 1000;
+
+// Adds a setting's name to the words of the log line.
+void note_rejected(std::string& rejected, const std::string& name) {
+  rejected += rejected.empty() ? name : " " + name;
+}
+
+ClassState class_state(const ClassSettings& configured) {
+  ClassState state;
+  state.deadline = configured.deadline.value_or(configured.latency_objective.value_or(seconds(1)));
+  const Duration least = milliseconds(1);
+  state.latency_objective = std::clamp(configured.latency_objective.value_or(state.deadline), least,
+                                       std::max<Duration>(state.deadline, least));
+  state.idempotency_window = configured.idempotency_window.value_or(seconds(60));
+  state.priority_weight = std::max(configured.priority_weight.value_or(1), 1e-3);
+  state.late_weight_fraction = std::clamp(configured.late_weight_fraction.value_or(0), 0.0, 1.0);
+  state.degraded_weight_fraction = std::clamp(configured.degraded_weight_fraction.value_or(0), 0.0, 1.0);
+  state.objective_stretch = std::max(configured.objective_stretch.value_or(0), 0.0);
+  state.idempotency = configured.idempotency.value_or(Idempotency::none);  // the most conservative reading
+  return state;
+}
+
+}  // namespace
+
+double AdmissionController::Impl::read_number(std::optional<double> value, double least, double fallback,
+                                              const char* name, std::string& rejected) {
+  if (value && std::isfinite(*value) && *value >= least) return *value;
+  note_rejected(rejected, name);
+  return fallback;
+}
+
+void AdmissionController::Impl::read_numbers(std::string& rejected) {
+  const auto read = [&](std::optional<double> value, double least, double fallback, const char* name) {
+    return read_number(value, least, fallback, name, rejected);
   };
-  cores = std::floor(take(s.cores, 1, 1, "cores"));
-  servers = take(s.servers, 1, 1, "servers");
-  configured_callers = std::min(take(s.callers, 1, 1, "callers"), 1e6);
-  overload = take(s.overload_factor, 1, 2, "overload_factor");
-  cold_from = std::clamp(take(s.cold_speed, 0, 0.1, "cold_from"), 0.0, 1.0);
-  run_factor = take(s.run_memory_factor, 1, 16, "run_factor");
-  memory_limit = std::llround(std::min(take(s.memory_kb, 1, 16384, "memory_kb"), 1e12) * 1000 * kMemoryShare);
-  key_units = std::llround(std::min(take(s.table_entry_kb, 0, 256, "key_kb"), 1e9) * 1000);
-  slack = s.answer_slack.value_or(Duration{});
-  suspend = s.suspend.value_or(SuspendKind::none);
-  below = s.downstream.value_or(Downstream::shared);
-  call_window = s.call_window.value_or(seconds(5));
-  call_linger = s.abandoned_call_linger.value_or(milliseconds(200));
-  call_share = std::min(take(s.call_quota, 0, 0, "call_share"), 1e9);
-  update_every =
-      std::max<Duration>(s.tick_interval.value_or(milliseconds(5)) * kUpdateTicks, milliseconds(20));
-  if (s.classes.empty()) note("classes");
-  for (const auto& c : s.classes) {
-    ClassState k;
-    k.deadline = c.deadline.value_or(c.latency_objective.value_or(seconds(1)));
-    k.latency_objective = std::clamp(c.latency_objective.value_or(k.deadline), Duration(milliseconds(1)),
-                                     std::max<Duration>(k.deadline, milliseconds(1)));
-    k.idempotency_window = c.idempotency_window.value_or(seconds(60));
-    k.priority_weight = std::max(c.priority_weight.value_or(1), 1e-3);
-    k.late_weight_fraction = std::clamp(c.late_weight_fraction.value_or(0), 0.0, 1.0);
-    k.degraded_weight_fraction = std::clamp(c.degraded_weight_fraction.value_or(0), 0.0, 1.0);
-    k.objective_stretch = std::max(c.objective_stretch.value_or(0), 0.0);
-    k.idempotency = c.idempotency.value_or(Idempotency::none);  // the most careful reading
-    if (!c.deadline || !c.latency_objective || !c.idempotency) note("class");
-    classes.push_back(k);
+  cores = std::floor(read(settings.cores, 1, 1, "cores"));
+  servers = read(settings.servers, 1, 1, "servers");
+  configured_callers = std::min(read(settings.callers, 1, 1, "callers"), 1e6);
+  overload_factor = read(settings.overload_factor, 1, 2, "overload_factor");
+  cold_speed = std::clamp(read(settings.cold_speed, 0, 0.1, "cold_from"), 0.0, 1.0);
+  run_memory_factor = read(settings.run_memory_factor, 1, 16, "run_factor");
+  const double memory_kb = std::min(read(settings.memory_kb, 1, 16384, "memory_kb"), 1e12);
+  memory_limit = std::llround(memory_kb * kUnitsPerKilobyte * kMemoryShare);
+  const double entry_kb = std::min(read(settings.table_entry_kb, 0, 256, "key_kb"), 1e9);
+  entry_memory = std::llround(entry_kb * kUnitsPerKilobyte);
+  call_quota = std::min(read(settings.call_quota, 0, 0, "call_share"), 1e9);
+}
+
+void AdmissionController::Impl::read_classes(std::string& rejected) {
+  if (settings.classes.empty()) note_rejected(rejected, "classes");
+  for (const auto& configured : settings.classes) {
+    classes.push_back(class_state(configured));
+    if (!configured.deadline || !configured.latency_objective || !configured.idempotency)
+      note_rejected(rejected, "class");
   }
-  for (const auto& t : s.tenants) {
-    const double per_server = take(t.quota_per_s, 0, 1e9, "allowance") / servers;
+}
+
+void AdmissionController::Impl::read_tenants(std::string& rejected) {
+  for (const auto& tenant : settings.tenants) {
+    const double per_server = read_number(tenant.quota_per_s, 0, 1e9, "allowance", rejected) / servers;
     tenants.push_back({per_server, per_server});
   }
-  for (const auto& key : s.invalid_keys) note(key.c_str());
-  last_refill = regime_since = now;
-  pace = 1 / warmth();
-  if (!poor.empty()) log("settings missing or unusable, read with caution: " + poor);
+}
+
+void AdmissionController::Impl::read_settings() {
+  std::string rejected;
+  read_numbers(rejected);
+  answer_slack = settings.answer_slack.value_or(Duration{});
+  suspend = settings.suspend.value_or(SuspendKind::none);
+  downstream = settings.downstream.value_or(Downstream::shared);
+  call_window = settings.call_window.value_or(seconds(5));
+  abandoned_call_linger = settings.abandoned_call_linger.value_or(milliseconds(200));
+  const Duration tick = settings.tick_interval.value_or(milliseconds(5));
+  update_interval = std::max<Duration>(tick * kUpdateTicks, kMinUpdate);
+  read_classes(rejected);
+  read_tenants(rejected);
+  for (const auto& key : settings.invalid_keys) note_rejected(rejected, key);
+  last_refill = overload_change_since = now;
+  pace = 1 / warm_speed();
+  if (!rejected.empty()) log("settings missing or unusable, read with caution: " + rejected);
 }
 
 }  // namespace granitegap
