--- a/include/granitegap/policy.h
+++ b/include/granitegap/policy.h
@@ -98,6 +98,12 @@
   std::optional<double> share;        ///< fraction of the service
 };
 
+/// A setting whose value could not be read.
+struct InvalidSetting {
+  std::string key;
+  std::string value;
+};
+
 /// What an instance is configured with. The controller decides what an absent value means.
 struct Settings {
   std::vector<ClassSettings> classes;
@@ -149,7 +155,7 @@
   std::optional<bool> deep_health_checks;
   std::optional<bool> endpoint_list_follows_health;
 
-  std::vector<std::string> invalid_keys;  ///< keys whose values could not be read; named once in a Log
+  std::vector<InvalidSetting> invalid_settings;  ///< named once in a Log
 };
 
 // ---- Events ----
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -38,8 +38,8 @@
   // With the platform's settings at hand its classes are held against them too.
   if (const char* platform = std::getenv("EDGE_CONFIG")) {
     const auto loaded = config::load(platform);
-    if (const auto* problem = std::get_if<config::Problem>(&loaded)) {
-      std::fprintf(stderr, "granitegap: EDGE_CONFIG %s: %s\n", platform, problem->what.c_str());
+    if (const auto* problem = std::get_if<config::ConfigError>(&loaded)) {
+      std::fprintf(stderr, "granitegap: EDGE_CONFIG %s: %s\n", platform, problem->message().c_str());
       return kUnusable;
     }
     if (const auto errors = operators::resolve_classes(good, std::get<config::Config>(loaded).catalog);
@@ -59,8 +59,8 @@
     return kUnusable;
   }
   auto loaded = config::load(path);
-  if (const auto* problem = std::get_if<config::Problem>(&loaded)) {
-    std::fprintf(stderr, "granitegap: EDGE_CONFIG %s: %s\n", path, problem->what.c_str());
+  if (const auto* problem = std::get_if<config::ConfigError>(&loaded)) {
+    std::fprintf(stderr, "granitegap: EDGE_CONFIG %s: %s\n", path, problem->message().c_str());
     return kUnusable;
   }
   auto& config = std::get<config::Config>(loaded);
--- a/src/policy/settings_defaults.cpp
+++ b/src/policy/settings_defaults.cpp
@@ -89,7 +89,7 @@
   update_interval = std::max<Duration>(tick * kUpdateTicks, kMinUpdate);
   read_classes(rejected);
   read_tenants(rejected);
-  for (const auto& key : settings.invalid_keys) note_rejected(rejected, key);
+  for (const auto& invalid : settings.invalid_settings) note_rejected(rejected, invalid.key);
   last_refill = overload_change_since = now;
   pace = 1 / warm_speed();
   if (!rejected.empty()) log("settings missing or unusable, read with caution: " + rejected);
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -407,10 +407,10 @@
   end_all();
 }
 
-void Server::reload(const std::variant<config::Config, config::Problem>& loaded) {
-  if (const auto* problem = std::get_if<config::Problem>(&loaded))
-    return log_.line("reload: keeping the old configuration: " + problem->what,
-                     {{"event", "reload_refused"}, {"why", problem->what}});
+void Server::reload(const std::variant<config::Config, config::ConfigError>& loaded) {
+  if (const auto* problem = std::get_if<config::ConfigError>(&loaded))
+    return log_.line("reload: keeping the old configuration: " + problem->message(),
+                     {{"event", "reload_refused"}, {"why", problem->message()}});
   const auto& fresh = std::get<config::Config>(loaded);
   boost::system::error_code error;
   const auto kernel = address<asio::ip::tcp>(fresh.kernel, error);
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -47,7 +47,7 @@
   void drain();
   // A new configuration while running: the kernel's and the announce service's addresses are taken over and
   // stop_ms counts from the next notice; what else differs waits for a restart, and is named in a line.
-  void reload(const std::variant<config::Config, config::Problem>& loaded);
+  void reload(const std::variant<config::Config, config::ConfigError>& loaded);
   // A new operator's file while running: calls in flight go on. One that can't be used keeps the old.
   void reload(std::variant<operators::OperatorConfig, operators::Errors> loaded);
   boost::asio::ip::tcp::endpoint local() const { return listener_.local_endpoint(); }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -9,6 +9,7 @@
 namespace granitegap {
 namespace {
 
+/// Values by key.
 using Pairs = std::map<std::string, std::string, std::less<>>;
 constexpr std::size_t kMaxListItems = 4096;
 constexpr double kMaxMilliseconds = 1e12;
@@ -20,8 +21,9 @@
     auto line = text.substr(0, end);
     text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-    const auto eq = line.find('=');
-    if (eq != std::string_view::npos) pairs[std::string(line.substr(0, eq))] = line.substr(eq + 1);
+    const auto equals = line.find('=');
+    if (equals != std::string_view::npos)
+      pairs[std::string(line.substr(0, equals))] = line.substr(equals + 1);
   }
   return pairs;
 }
@@ -52,41 +54,46 @@
 template <class T>
 using Words = std::vector<std::pair<std::string_view, T>>;
 
+// Converts the values of one text and records those that can't be read. An absent key leaves its target
+// alone.
 class Reader {
  public:
-  Reader(const Pairs& pairs, std::vector<std::string>& unusable) : pairs_(pairs), unusable_(unusable) {}
+  Reader(const Pairs& pairs, std::vector<InvalidSetting>& invalid) : pairs_(pairs), invalid_(invalid) {}
 
   std::string_view text(const std::string& key) const {
     const auto it = pairs_.find(key);
     return it == pairs_.end() ? std::string_view{} : std::string_view(it->second);
   }
   void number(const std::string& key, std::optional<double>& to) {
-    read<double>(key, to, [](std::string_view v) {
-      const auto n = to_number(v);
-      return n && *n >= 0 ? n : std::nullopt;
+    read<double>(key, to, [](std::string_view value) {
+      const auto read_value = to_number(value);
+      return read_value && *read_value >= 0 ? read_value : std::nullopt;
     });
   }
   void flag(const std::string& key, std::optional<bool>& to) { read<bool>(key, to, to_bool); }
-  void time(const std::string& key, std::optional<Duration>& to) {
-    read<Duration>(key, to, [](std::string_view v) -> std::optional<Duration> {
-      const auto n = to_number(v);
-      if (!n || *n < 0 || *n > kMaxMilliseconds) return std::nullopt;
-      return Duration(std::llround(*n * 1000.0));
+  void duration(const std::string& key, std::optional<Duration>& to) {
+    read<Duration>(key, to, [](std::string_view value) -> std::optional<Duration> {
+      const auto milliseconds = to_number(value);
+      if (!milliseconds || *milliseconds < 0 || *milliseconds > kMaxMilliseconds) return std::nullopt;
+      return Duration(std::llround(*milliseconds * 1000.0));
     });
   }
   template <class T>
   void word(const std::string& key, std::optional<T>& to, const Words<T>& words) {
-    read<T>(key, to, [&](std::string_view v) -> std::optional<T> {
-      for (const auto& [name, value] : words)
-        if (v == name) return value;
+    read<T>(key, to, [&](std::string_view value) -> std::optional<T> {
+      for (const auto& [name, meaning] : words)
+        if (value == name) return meaning;
       return std::nullopt;
     });
   }
   std::size_t count(const std::string& list) {
+    const std::string key = list + ".count";
     std::optional<double> n;
-    number(list + ".count", n);
-    if (n && *n > double(kMaxListItems)) unusable_.push_back(list + ".count");
-    return n && *n <= double(kMaxListItems) ? std::size_t(*n) : 0;
+    number(key, n);
+    if (!n) return 0;
+    if (*n <= double(kMaxListItems)) return std::size_t(*n);
+    invalid_.push_back({key, std::string(text(key))});
+    return 0;
   }
 
  private:
@@ -96,93 +103,114 @@
     const auto it = pairs_.find(key);
     if (it == pairs_.end()) return;
     to = convert(it->second);
-    if (!to) unusable_.push_back(key);
+    if (!to) invalid_.push_back({key, it->second});
   }
   const Pairs& pairs_;
-  std::vector<std::string>& unusable_;
+  std::vector<InvalidSetting>& invalid_;
 };
 
-void read_classes(Reader& in, Settings& s) {
+void read_classes(Reader& in, Settings& settings) {
   const auto calls = split_list(in.text("specifics.class_calls"));
   const auto skips = split_list(in.text("specifics.degraded_worth"));
-  s.classes.resize(in.count("classes"));
-  for (std::size_t i = 0; i < s.classes.size(); ++i) {
-    auto& c = s.classes[i];
-    const std::string at = "classes." + std::to_string(i) + ".";
-    in.time(at + "aim_ms", c.latency_objective);
-    in.time(at + "deadline_ms", c.deadline);
-    in.time(at + "repeat_window_ms", c.idempotency_window);
-    in.number(at + "worth", c.priority_weight);
-    in.number(at + "late_worth", c.late_weight_fraction);
-    in.number(at + "aim_stretch", c.objective_stretch);
-    in.word<Idempotency>(at + "effect", c.idempotency,
+  settings.classes.resize(in.count("classes"));
+  for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+    auto& configured = settings.classes[i];
+    const std::string prefix = "classes." + std::to_string(i) + ".";
+    in.duration(prefix + "aim_ms", configured.latency_objective);
+    in.duration(prefix + "deadline_ms", configured.deadline);
+    in.duration(prefix + "repeat_window_ms", configured.idempotency_window);
+    in.number(prefix + "worth", configured.priority_weight);
+    in.number(prefix + "late_worth", configured.late_weight_fraction);
+    in.number(prefix + "aim_stretch", configured.objective_stretch);
+    in.word<Idempotency>(prefix + "effect", configured.idempotency,
                          {{"retryable", Idempotency::idempotent},
                           {"dedup", Idempotency::with_key},
                           {"fragile", Idempotency::none}});
-    if (i < calls.size()) c.makes_calls = to_bool(calls[i]);
-    if (i < skips.size()) c.degraded_weight_fraction = to_number(skips[i]);
+    if (i < calls.size()) configured.makes_calls = to_bool(calls[i]);
+    if (i < skips.size()) configured.degraded_weight_fraction = to_number(skips[i]);
   }
 }
 
-}  // namespace
-
-ParsedSettings parse_settings(std::string_view text) {
-  const auto pairs = split_pairs(text);
-  ParsedSettings parsed;
-  auto& s = parsed.settings;
-  Reader in(pairs, s.invalid_keys);
-  read_classes(in, s);
-  s.tenants.resize(in.count("orgs"));
-  for (std::size_t i = 0; i < s.tenants.size(); ++i) {
-    const std::string at = "orgs." + std::to_string(i) + ".";
-    in.number(at + "allowance_per_s", s.tenants[i].quota_per_s);
-    in.number(at + "share", s.tenants[i].share);
+void read_tenants(Reader& in, Settings& settings) {
+  settings.tenants.resize(in.count("orgs"));
+  for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
+    const std::string prefix = "orgs." + std::to_string(i) + ".";
+    in.number(prefix + "allowance_per_s", settings.tenants[i].quota_per_s);
+    in.number(prefix + "share", settings.tenants[i].share);
   }
-  in.number("servers", s.servers);
-  in.number("layer", s.tier);
-  in.number("over_share_worth", s.over_quota_weight_fraction);
-  in.number("prices.origin", s.price_call);
-  in.number("prices.connection", s.price_connection);
-  in.number("prices.waste", s.price_waste);
-  in.number("rules.cold_from", s.cold_speed);
-  in.number("rules.overload_factor", s.overload_factor);
-  in.number("specifics.cpus", s.cores);
-  in.number("specifics.upstreams", s.callers);
-  in.number("specifics.run_factor", s.run_memory_factor);
-  in.number("specifics.call_share", s.call_quota);
-  in.number("specifics.memory_kb", s.memory_kb);
-  in.number("specifics.key_kb", s.table_entry_kb);
-  in.time("rules.answer_slack_ms", s.answer_slack);
-  in.time("rules.cold_ms", s.warm_up);
-  in.time("rules.drain_grace_ms", s.drain_grace);
-  in.time("rules.fall_ms", s.overload_window);
-  in.time("specifics.dep_window_ms", s.call_window);
-  in.time("specifics.linger_ms", s.abandoned_call_linger);
-  in.time("specifics.fresh_ms", s.response_max_age);
-  in.time("specifics.idle_ms", s.idle_connection_timeout);
-  in.time("specifics.heeded_ms", s.advertised_value_ttl);
-  in.time("limits.max_retry_after_ms", s.max_retry_after);
-  in.time("tick_ms", s.tick_interval);
-  in.flag("specifics.cold", s.cold);
-  in.flag("specifics.passes_deadline", s.passes_deadline);
-  in.flag("specifics.tells_gone", s.reports_cancellation);
-  in.flag("specifics.deep_checks", s.deep_health_checks);
-  in.flag("specifics.list_follows", s.endpoint_list_follows_health);
-  in.flag("callers.marks_retry", s.marks_retries);
-  in.flag("limits.retry_after", s.forwards_retry_after);
-  std::string_view by = in.text("worth_by");
-  if (!by.empty()) s.weight_by_work = by == "work";
+}
+
+// Each of the following reads in a fixed order, which is the order in which invalid settings are named.
+void read_numbers(Reader& in, Settings& settings) {
+  in.number("servers", settings.servers);
+  in.number("layer", settings.tier);
+  in.number("over_share_worth", settings.over_quota_weight_fraction);
+  in.number("prices.origin", settings.price_call);
+  in.number("prices.connection", settings.price_connection);
+  in.number("prices.waste", settings.price_waste);
+  in.number("rules.cold_from", settings.cold_speed);
+  in.number("rules.overload_factor", settings.overload_factor);
+  in.number("specifics.cpus", settings.cores);
+  in.number("specifics.upstreams", settings.callers);
+  in.number("specifics.run_factor", settings.run_memory_factor);
+  in.number("specifics.call_share", settings.call_quota);
+  in.number("specifics.memory_kb", settings.memory_kb);
+  in.number("specifics.key_kb", settings.table_entry_kb);
+}
+
+void read_durations(Reader& in, Settings& settings) {
+  in.duration("rules.answer_slack_ms", settings.answer_slack);
+  in.duration("rules.cold_ms", settings.warm_up);
+  in.duration("rules.drain_grace_ms", settings.drain_grace);
+  in.duration("rules.fall_ms", settings.overload_window);
+  in.duration("specifics.dep_window_ms", settings.call_window);
+  in.duration("specifics.linger_ms", settings.abandoned_call_linger);
+  in.duration("specifics.fresh_ms", settings.response_max_age);
+  in.duration("specifics.idle_ms", settings.idle_connection_timeout);
+  in.duration("specifics.heeded_ms", settings.advertised_value_ttl);
+  in.duration("limits.max_retry_after_ms", settings.max_retry_after);
+  in.duration("tick_ms", settings.tick_interval);
+}
+
+void read_flags(Reader& in, Settings& settings) {
+  in.flag("specifics.cold", settings.cold);
+  in.flag("specifics.passes_deadline", settings.passes_deadline);
+  in.flag("specifics.tells_gone", settings.reports_cancellation);
+  in.flag("specifics.deep_checks", settings.deep_health_checks);
+  in.flag("specifics.list_follows", settings.endpoint_list_follows_health);
+  in.flag("callers.marks_retry", settings.marks_retries);
+  in.flag("limits.retry_after", settings.forwards_retry_after);
+}
+
+void read_words(Reader& in, Settings& settings) {
+  const auto weight_by = in.text("worth_by");
+  if (!weight_by.empty()) settings.weight_by_work = weight_by == "work";
   in.word<SuspendKind>(
-      "specifics.halt", s.suspend,
+      "specifics.halt", settings.suspend,
       {{"none", SuspendKind::none}, {"drop", SuspendKind::drop}, {"pause", SuspendKind::pause}});
   in.word<Downstream>(
-      "specifics.downstream", s.downstream,
+      "specifics.downstream", settings.downstream,
       {{"none", Downstream::none}, {"common", Downstream::shared}, {"next_hop", Downstream::next_tier}});
-  in.word<AdvertisedValue>("specifics.say", s.advertised_value,
+  in.word<AdvertisedValue>("specifics.say", settings.advertised_value,
                            {{"none", AdvertisedValue::none},
                             {"tokens", AdvertisedValue::credits},
                             {"min_rank", AdvertisedValue::min_rank},
                             {"bias", AdvertisedValue::accept_probability}});
+}
+
+}  // namespace
+
+ParsedSettings parse_settings(std::string_view text) {
+  const auto pairs = split_pairs(text);
+  ParsedSettings parsed;
+  auto& settings = parsed.settings;
+  Reader in(pairs, settings.invalid_settings);
+  read_classes(in, settings);
+  read_tenants(in, settings);
+  read_numbers(in, settings);
+  read_durations(in, settings);
+  read_flags(in, settings);
+  read_words(in, settings);
   parsed.gauges = split_list(in.text("specifics.gauges"));
   return parsed;
 }
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <istream>
+#include <optional>
 #include <ostream>
 
 #include "settings/settings.h"
@@ -10,6 +11,7 @@
 namespace {
 
 constexpr std::size_t kReadChunk = std::size_t(1) << 20;
+constexpr int kMalformedStatus = 2;
 
 // Reads no more than has arrived, so that a false length costs no memory.
 bool read_exactly(std::istream& in, std::size_t size, std::string& to) {
@@ -27,27 +29,27 @@
 
 }  // namespace
 
+void Adapter::power_on(std::uint16_t id, const wire::PowerOn& power_on, TimePoint now, wire::Reply& reply) {
+  auto parsed = parse_settings(power_on.profile);
+  instances_.erase(id);
+  AdmissionController controller(std::move(parsed.settings), power_on.seed, now);
+  Instance instance{std::move(controller), std::move(parsed.gauges), {}};
+  auto& started = instances_.emplace(id, std::move(instance)).first->second;
+  for (const auto& action : started.controller.start()) reply.add(id, action);
+}
+
+Event Adapter::to_event(const wire::Record& record, const Instance& instance) {
+  if (const auto* timer = std::get_if<wire::TimerWithGauges>(&record.body))
+    return with_gauges(timer->token, timer->gauges, instance.gauges);
+  return std::get<Event>(record.body);
+}
+
 std::string Adapter::answer(const wire::Batch& batch) {
   wire::Reply reply(batch.number);
-  std::vector<std::uint16_t> touched;
-  const auto flush = [&](std::uint16_t id, Instance& instance) {
-    if (instance.pending.empty()) return;
-    for (const auto& action : instance.controller.handle(batch.clock, instance.pending))
-      reply.add(id, action);
-    instance.pending.clear();
-  };
+  std::vector<std::uint16_t> touched;  // in the order of their first event
   for (const auto& record : batch.records) {
-    if (const auto* on = std::get_if<wire::PowerOn>(&record.body)) {
-      auto parsed = parse_settings(on->profile);
-      instances_.erase(record.instance);
-      auto& made =
-          instances_
-              .emplace(record.instance,
-                       Instance{AdmissionController(std::move(parsed.settings), on->seed, batch.clock),
-                                std::move(parsed.gauges),
-                                {}})
-              .first->second;
-      for (const auto& action : made.controller.start()) reply.add(record.instance, action);
+    if (const auto* power = std::get_if<wire::PowerOn>(&record.body)) {
+      power_on(record.instance, *power, batch.clock, reply);
       continue;
     }
     if (std::holds_alternative<wire::Halt>(record.body)) {
@@ -56,14 +58,18 @@
     }
     const auto it = instances_.find(record.instance);
     if (it == instances_.end()) continue;
-    if (it->second.pending.empty()) touched.push_back(record.instance);
-    if (const auto* timer = std::get_if<wire::Gauged>(&record.body))
-      it->second.pending.emplace_back(with_gauges(timer->token, timer->gauges, it->second.gauges));
-    else
-      it->second.pending.push_back(std::get<Event>(record.body));
+    auto& instance = it->second;
+    if (instance.pending.empty()) touched.push_back(record.instance);
+    instance.pending.push_back(to_event(record, instance));
+  }
+  for (const auto id : touched) {
+    const auto it = instances_.find(id);
+    if (it == instances_.end() || it->second.pending.empty()) continue;
+    auto& instance = it->second;
+    for (const auto& action : instance.controller.handle(batch.clock, instance.pending))
+      reply.add(id, action);
+    instance.pending.clear();
   }
-  for (const auto id : touched)
-    if (const auto it = instances_.find(id); it != instances_.end()) flush(id, it->second);
   return reply.finish();
 }
 
@@ -73,20 +79,18 @@
   try {
     while (in.peek() != std::istream::traits_type::eof()) {
       if (!read_exactly(in, wire::kHeaderBytes, bytes))
-        throw wire::Malformed("batch unknown, offset " + std::to_string(bytes.size()) +
-                              ": expected a batch header of 20 bytes");
+        throw wire::MalformedBatch(std::nullopt, bytes.size(), wire::kHeaderExpected);
       const auto header = wire::decode_header(bytes);
       if (!read_exactly(in, header.length, bytes))
-        throw wire::Malformed("batch " + std::to_string(header.number) + ", offset " +
-                              std::to_string(wire::kHeaderBytes + bytes.size()) + ": expected " +
-                              std::to_string(header.length) + " bytes after the header");
+        throw wire::MalformedBatch(header.number, wire::kHeaderBytes + bytes.size(),
+                                   std::to_string(header.length) + " bytes after the header");
       const auto reply = adapter.answer(wire::decode_body(header, bytes));
       out.write(reply.data(), std::streamsize(reply.size()));
       out.flush();
     }
-  } catch (const wire::Malformed& problem) {
-    err << "granitegap_simulator: " << problem.what() << '\n';
-    return 2;
+  } catch (const wire::MalformedBatch& malformed) {
+    err << "granitegap_simulator: " << malformed.what() << '\n';
+    return kMalformedStatus;
   }
   return 0;
 }
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -39,15 +39,32 @@
   kPrint
 };
 constexpr std::size_t kRecordHeaderBytes = 5;
-constexpr std::size_t kMaxText = 65535;
+constexpr std::size_t kMaxLogBytes = 65535;
 constexpr double kMaxMilliseconds = 1e12;
 constexpr Duration kMaxTimer = std::chrono::minutes(71);
 
-[[noreturn]] void malformed(std::uint32_t batch, std::size_t offset, const std::string& expected) {
-  throw Malformed("batch " + std::to_string(batch) + ", offset " + std::to_string(offset) + ": expected " +
-                  expected);
+// Ending codes of runs and calls.
+constexpr std::uint16_t kOk = 10;
+constexpr std::uint16_t kRejected = 30;
+constexpr std::uint16_t kTimedOut = 40;
+constexpr std::uint16_t kUnreachable = 50;
+constexpr std::uint16_t kCancelled = 70;
+constexpr std::uint16_t kMoot = 80;
+constexpr std::uint16_t kError = 20;
+
+// Bits of an arrival's bitmap.
+constexpr unsigned kCostHintValid = 1;
+constexpr unsigned kIsRetry = 2;
+
+constexpr double kMaxMemoryKb = 1e9;
+constexpr double kPerThousand = 1000.0;  // microseconds a millisecond; memory units a kilobyte
+
+std::string describe(std::optional<std::uint32_t> batch, std::size_t offset, const std::string& expected) {
+  return "batch " + (batch ? std::to_string(*batch) : std::string("unknown")) + ", offset " +
+         std::to_string(offset) + ": expected " + expected;
 }
 
+// Reads the fields of one record, or the records of one batch, in order.
 class Cursor {
  public:
   Cursor(std::uint32_t batch, std::string_view bytes, std::size_t base)
@@ -61,14 +78,14 @@
     return value;
   }
   std::string_view take(std::size_t n, const char* what) {
-    if (n > left()) malformed(batch_, offset(), what);
+    if (n > left()) throw MalformedBatch(batch_, offset(), what);
     at_ += n;
     return bytes_.substr(at_ - n, n);
   }
   // NaN, infinite and negative numbers count as absent.
-  Duration time(const char* what) {
+  Duration duration(const char* what) {
     const double ms = get<double>(what);
-    return std::isfinite(ms) && ms > 0 ? Duration(std::llround(std::min(ms, kMaxMilliseconds) * 1000.0))
+    return std::isfinite(ms) && ms > 0 ? Duration(std::llround(std::min(ms, kMaxMilliseconds) * kPerThousand))
                                        : Duration{};
   }
   double number(const char* what) {
@@ -87,11 +104,11 @@
 
 RunResult run_result(std::uint16_t code) {
   switch (code) {
-    case 10:
+    case kOk:
       return RunResult::ok;
-    case 70:
+    case kCancelled:
       return RunResult::cancelled;
-    case 80:
+    case kMoot:
       return RunResult::moot;
     default:
       return RunResult::error;
@@ -100,38 +117,39 @@
 // An unknown outcome counts as one that may have had its effect.
 CallResult call_result(std::uint16_t code) {
   switch (code) {
-    case 10:
+    case kOk:
       return CallResult::ok;
-    case 20:
+    case kError:
       return CallResult::error;
-    case 30:
+    case kRejected:
       return CallResult::rejected;
-    case 40:
+    case kTimedOut:
       return CallResult::timed_out;
-    case 50:
+    case kUnreachable:
       return CallResult::unreachable;
     default:
       return CallResult::connection_lost;
   }
 }
 
-RequestArrived ingress(Cursor& in) {
-  RequestArrived r;
-  r.id = in.id();
-  r.class_id = ClassId(in.get<std::uint8_t>("a class"));
-  r.tenant = TenantId(in.get<std::uint16_t>("a tenant"));
-  r.key = in.get<std::uint64_t>("a key");
-  r.caller_timeout = present(in.time("grace_ms"));
-  const auto hint = in.time("hint_ms");
-  r.memory = MemorySize(std::llround(std::min(in.number("kb"), 1e9) * 1000.0));
-  in.number("prio");
+RequestArrived decode_arrival(Cursor& in) {
+  RequestArrived arrival;
+  arrival.id = in.id();
+  arrival.class_id = ClassId(in.get<std::uint8_t>("a class"));
+  arrival.tenant = TenantId(in.get<std::uint16_t>("a tenant"));
+  arrival.key = in.get<std::uint64_t>("a key");
+  arrival.caller_timeout = present(in.duration("grace_ms"));
+  const auto cost_hint = in.duration("hint_ms");
+  arrival.memory = MemorySize(std::llround(std::min(in.number("kb"), kMaxMemoryKb) * kPerThousand));
+  in.number("prio");  // not used
   const auto bits = in.get<std::uint8_t>("bitmap");
-  if (bits & 1) r.cost_hint = present(hint);
-  r.is_retry = bits & 2;
-  r.caller = CallerId(in.get<std::uint32_t>("who"));
-  r.unread_wait = in.time("queued_for_ms");
-  if (const auto same = in.get<std::uint32_t>("same_as")) r.duplicate_of = RequestId(same);
-  return r;
+  if (bits & kCostHintValid) arrival.cost_hint = present(cost_hint);
+  arrival.is_retry = bits & kIsRetry;
+  arrival.caller = CallerId(in.get<std::uint32_t>("who"));
+  arrival.unread_wait = in.duration("queued_for_ms");
+  if (const auto duplicate_of = in.get<std::uint32_t>("same_as"))
+    arrival.duplicate_of = RequestId(duplicate_of);
+  return arrival;
 }
 
 std::optional<Body> decode(std::uint8_t code, Cursor& in) {
@@ -144,25 +162,25 @@
     case kHalt:
       return Halt{};
     case kIngress:
-      return Event(ingress(in));
+      return Event(decode_arrival(in));
     case kSettled: {
       const auto id = in.id();
       const auto result = run_result(in.get<std::uint16_t>("an outcome"));
-      return Event(RunEnded{id, result, in.time("a duration")});
+      return Event(RunEnded{id, result, in.duration("a duration")});
     }
     case kNeeds:
       return Event(CallNeeded{in.id()});
     case kDownstream: {
       const auto id = in.id();
       const auto result = call_result(in.get<std::uint16_t>("an outcome"));
-      return Event(CallEnded{id, result, in.time("a duration")});
+      return Event(CallEnded{id, result, in.duration("a duration")});
     }
     case kLameDuck:
-      return Event(DrainStarted{in.time("a time of grace")});
+      return Event(DrainStarted{in.duration("a time of grace")});
     case kGone:
       return Event(RequestAbandoned{in.id()});
     case kDeadlineHit: {
-      Gauged timer{TimerToken(in.get<std::uint32_t>("a timer's value")), {}};
+      TimerWithGauges timer{TimerToken(in.get<std::uint32_t>("a timer's value")), {}};
       const std::size_t n = in.get<std::uint8_t>("a count of gauges");
       for (std::size_t i = 0; i < n; ++i) timer.gauges.push_back(in.get<float>("a gauge"));
       return timer;
@@ -179,82 +197,88 @@
   std::memcpy(out.data() + at, &value, sizeof(T));
 }
 void put_ms(std::string& out, Duration d) {
-  put(out, double(std::max<Duration::rep>(d.count(), 0)) / 1000.0);
+  put(out, double(std::max<Duration::rep>(d.count(), 0)) / kPerThousand);
 }
 
+// Appends the fields of an action to `fields` and returns its code.
 struct Encoder {
-  std::uint16_t instance;
   std::string fields;
-  std::uint8_t named(std::uint8_t code, RequestId id) {
+  std::uint8_t with_id(std::uint8_t code, RequestId id) {
     put(fields, std::uint32_t(id));
     return code;
   }
-  std::uint8_t operator()(const Run& a) { return named(kBegin, a.id); }
-  std::uint8_t operator()(const Reject& a) {
-    named(kShed, a.id);
-    put(fields, std::uint8_t(a.do_not_retry_elsewhere));
-    put_ms(fields, a.retry_after);
+  std::uint8_t operator()(const Run& action) { return with_id(kBegin, action.id); }
+  std::uint8_t operator()(const Reject& action) {
+    with_id(kShed, action.id);
+    put(fields, std::uint8_t(action.do_not_retry_elsewhere));
+    put_ms(fields, action.retry_after);
     return kShed;
   }
-  std::uint8_t operator()(const Fail& a) { return named(kGiveUp, a.id); }
-  std::uint8_t operator()(const Suspend& a) { return named(kSuspend, a.id); }
-  std::uint8_t operator()(const Call& a) {
-    named(kGoCall, a.id);
-    put_ms(fields, a.timeout);
+  std::uint8_t operator()(const Fail& action) { return with_id(kGiveUp, action.id); }
+  std::uint8_t operator()(const Suspend& action) { return with_id(kSuspend, action.id); }
+  std::uint8_t operator()(const Call& action) {
+    with_id(kGoCall, action.id);
+    put_ms(fields, action.timeout);
     return kGoCall;
   }
-  std::uint8_t operator()(const SkipCall& a) { return named(kOmit, a.id); }
-  std::uint8_t operator()(const CacheResult& a) {
-    named(kKeep, a.id);
-    put_ms(fields, a.ttl);
+  std::uint8_t operator()(const SkipCall& action) { return with_id(kOmit, action.id); }
+  std::uint8_t operator()(const CacheResult& action) {
+    with_id(kKeep, action.id);
+    put_ms(fields, action.ttl);
     return kKeep;
   }
-  std::uint8_t operator()(const EvictResult& a) { return named(kErase, a.id); }
-  std::uint8_t operator()(const ReuseResult& a) { return named(kEcho, a.id); }
-  std::uint8_t operator()(const SetHealth& a) {
-    put(fields, std::uint8_t(a.answer_from_state));
-    put(fields, std::uint8_t(a.healthy));
+  std::uint8_t operator()(const EvictResult& action) { return with_id(kErase, action.id); }
+  std::uint8_t operator()(const ReuseResult& action) { return with_id(kEcho, action.id); }
+  std::uint8_t operator()(const SetHealth& action) {
+    put(fields, std::uint8_t(action.answer_from_state));
+    put(fields, std::uint8_t(action.healthy));
     return kReadiness;
   }
-  std::uint8_t operator()(const AdvertiseCredit& a) {
-    put(fields, std::isfinite(a.credit) && a.credit > 0 ? float(a.credit) : 0.0F);
+  std::uint8_t operator()(const AdvertiseCredit& action) {
+    put(fields, std::isfinite(action.credit) && action.credit > 0 ? float(action.credit) : 0.0F);
     return kSay;
   }
-  std::uint8_t operator()(const CloseIdleConnections& a) {
-    put_ms(fields, a.idle_for);
+  std::uint8_t operator()(const CloseIdleConnections& action) {
+    put_ms(fields, action.idle_for);
     return kIdle;
   }
-  std::uint8_t operator()(const SetTimer& a) {
-    put_ms(fields, std::min(a.delay, kMaxTimer));
-    put(fields, std::uint32_t(a.token));
+  std::uint8_t operator()(const SetTimer& action) {
+    put_ms(fields, std::min(action.delay, kMaxTimer));
+    put(fields, std::uint32_t(action.token));
     return kSetTimer;
   }
-  std::uint8_t operator()(const Log& a) {
-    const auto text = std::string_view(a.message).substr(0, kMaxText);
-    put(fields, std::uint16_t(text.size()));
-    fields += text;
+  std::uint8_t operator()(const Log& action) {
+    const auto message = std::string_view(action.message).substr(0, kMaxLogBytes);
+    put(fields, std::uint16_t(message.size()));
+    fields += message;
     return kPrint;
   }
 };
 
 }  // namespace
 
+MalformedBatch::MalformedBatch(std::optional<std::uint32_t> batch, std::size_t offset, std::string expected)
+    : std::runtime_error(describe(batch, offset, expected)),
+      batch_(batch),
+      offset_(offset),
+      expected_(std::move(expected)) {}
+
 Header decode_header(std::string_view bytes) {
   Cursor in(0, bytes, 0);
-  Header h;
-  h.number = in.get<std::uint32_t>("a batch header of 20 bytes");
-  h.length = in.get<std::uint32_t>("a batch header of 20 bytes");
-  h.clock_ms = in.get<double>("a batch header of 20 bytes");
-  h.records = in.get<std::uint32_t>("a batch header of 20 bytes");
-  if (!std::isfinite(h.clock_ms) || h.clock_ms < 0 || h.clock_ms > kMaxMilliseconds)
-    malformed(h.number, 8, "a finite clock that is not negative");
-  if (std::uint64_t(h.records) * kRecordHeaderBytes > h.length)
-    malformed(h.number, 16, "a record count that fits the length");
-  return h;
+  Header header;
+  header.number = in.get<std::uint32_t>(kHeaderExpected);
+  header.length = in.get<std::uint32_t>(kHeaderExpected);
+  header.clock_ms = in.get<double>(kHeaderExpected);
+  header.records = in.get<std::uint32_t>(kHeaderExpected);
+  if (!std::isfinite(header.clock_ms) || header.clock_ms < 0 || header.clock_ms > kMaxMilliseconds)
+    throw MalformedBatch(header.number, 8, "a finite clock that is not negative");
+  if (std::uint64_t(header.records) * kRecordHeaderBytes > header.length)
+    throw MalformedBatch(header.number, 16, "a record count that fits the length");
+  return header;
 }
 
 Batch decode_body(const Header& header, std::string_view body) {
-  Batch batch{header.number, TimePoint(Duration(std::llround(header.clock_ms * 1000.0))), {}};
+  Batch batch{header.number, TimePoint(Duration(std::llround(header.clock_ms * kPerThousand))), {}};
   Cursor in(header.number, body, kHeaderBytes);
   for (std::uint32_t i = 0; i < header.records; ++i) {
     const auto code = in.get<std::uint8_t>("a record");
@@ -265,12 +289,12 @@
     const auto instance = fields.get<std::uint16_t>("an instance");
     if (auto decoded = decode(code, fields)) batch.records.push_back({instance, std::move(*decoded)});
   }
-  if (in.left() != 0) malformed(header.number, in.offset(), "the end of the batch");
+  if (in.left() != 0) throw MalformedBatch(header.number, in.offset(), "the end of the batch");
   return batch;
 }
 
 void Reply::add(std::uint16_t instance, const Action& action) {
-  Encoder encoder{instance, {}};
+  Encoder encoder;
   const auto code = std::visit(encoder, action);
   put(body_, code);
   put(body_, std::uint32_t(encoder.fields.size() + sizeof instance));
--- a/tests/server_parts_test.cpp
+++ b/tests/server_parts_test.cpp
@@ -42,8 +42,8 @@
   const auto problem = [](std::string json, const std::string& old, const std::string& instead) {
     json.replace(json.find(old), old.size(), instead);
     const auto parsed = config::parse(json);
-    REQUIRE(std::holds_alternative<config::Problem>(parsed));
-    return std::get<config::Problem>(parsed).what;
+    REQUIRE(std::holds_alternative<config::ConfigError>(parsed));
+    return std::get<config::ConfigError>(parsed).message();
   };
   CHECK(problem(kConfig, "127.0.0.1:7001", "nowhere") == "listen is no address with a port: nowhere");
   CHECK(problem(kConfig, "\"ff\"", "7") == "seed is not a text");
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -21,7 +21,7 @@
   EXPECT_EQ(p.settings.classes[1].degraded_weight_fraction, 0.5);
   EXPECT_EQ(p.settings.tenants.at(0).quota_per_s, 98.0);
   EXPECT_EQ(p.gauges, (std::vector<std::string>{"core_use", "links"}));
-  EXPECT_TRUE(p.settings.invalid_keys.empty());
+  EXPECT_TRUE(p.settings.invalid_settings.empty());
 }
 
 TEST(Settings, NamesWhatItCannotUseAndIgnoresWhatItDoesNotKnow) {
@@ -34,7 +34,7 @@
   EXPECT_FALSE(p.settings.memory_kb);
   EXPECT_FALSE(p.settings.suspend);
   EXPECT_TRUE(p.settings.classes.empty());
-  EXPECT_EQ(p.settings.invalid_keys.size(), 5U);
+  EXPECT_EQ(p.settings.invalid_settings.size(), 5U);
 }
 
 }  // namespace
