--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,3 +1,4 @@
+// The simulator's wire and the loop that serves it.
 #include "simulator/wire.h"
 
 #include <gtest/gtest.h>
@@ -11,21 +12,24 @@
 namespace granitegap {
 namespace {
 
+// Bytes from hexadecimal digits; other characters are skipped.
 std::string hex(std::string_view text) {
   std::string out;
   int high = -1;
   for (const char c : text) {
     const int v = c >= '0' && c <= '9' ? c - '0' : c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
     if (v < 0) continue;
-    if (high < 0)
+    if (high < 0) {
       high = v;
-    else
-      out.push_back(char(high * 16 + v)), high = -1;
+      continue;
+    }
+    out.push_back(char(high * 16 + v));
+    high = -1;
   }
   return out;
 }
 
-TEST(Wire, AnEmptyBatchGetsAnEmptyReply) {
+TEST(Serve, AnswersAnEmptyBatchWithAnEmptyReply) {
   std::istringstream in(hex("0100000000000000 00000000206ec040 00000000"));
   std::ostringstream out, err;
   EXPECT_EQ(serve(in, out, err), 0);
@@ -33,7 +37,7 @@
   EXPECT_EQ(err.str(), "");
 }
 
-TEST(Wire, ACutHeaderEndsWithOnePlainLine) {
+TEST(Serve, ReportsATruncatedHeaderWithItsOffset) {
   std::istringstream in(hex("01000000"));
   std::ostringstream out, err;
   EXPECT_NE(serve(in, out, err), 0);
@@ -41,17 +45,11 @@
   EXPECT_NE(err.str().find("offset 4"), std::string::npos);
 }
 
-}  // namespace
-}  // namespace granitegap
-
-namespace granitegap {
-namespace {
-
 struct Served {
   int status;
   std::string out, err;
 };
-Served fed(const std::string& bytes) {
+Served serve_bytes(const std::string& bytes) {
   std::istringstream in(bytes);
   std::ostringstream out, err;
   const int status = serve(in, out, err);
@@ -68,17 +66,22 @@
 }
 std::string batch(std::uint32_t number, double ms, const std::string& records, std::uint32_t count) {
   std::string b;
-  put(b, number), put(b, std::uint32_t(records.size())), put(b, ms), put(b, count);
+  put(b, number);
+  put(b, std::uint32_t(records.size()));
+  put(b, ms);
+  put(b, count);
   return b + records;
 }
 std::string power_on() {
   const std::string settings = "specifics.cpus=2\nspecifics.say=tokens\n";
   std::string f;
-  put(f, std::uint16_t(3)), put(f, std::uint64_t(42)), put(f, std::uint32_t(settings.size()));
+  put(f, std::uint16_t(3));
+  put(f, std::uint64_t(42));
+  put(f, std::uint32_t(settings.size()));
   return record(1, f + settings);
 }
 
-TEST(Wire, AnArrivalIsDecodedFieldByField) {
+TEST(DecodeBody, ReadsEveryFieldOfAnArrival) {
   const auto bytes =
       hex("02 3a000000 0300 c4913a5d 00 0000 640ad2557c3bf091 0000000000006e40 0000000000002840 0000c441 "
           "0000203f 01 11000000 "
@@ -96,7 +99,7 @@
   EXPECT_EQ(r.duplicate_of, RequestId(0x0e6f2b19));
   EXPECT_FALSE(r.is_retry);
 }
-TEST(Wire, ActionsAreWrittenAsThePageShowsThem) {
+TEST(Reply, EncodesActionsAsSpecified) {
   wire::Reply reply(12);
   reply.add(3, granitegap::Run{RequestId(0x5d3a91c4)});
   reply.add(3, SetTimer{TimerToken(0x4d), std::chrono::milliseconds(500)});
@@ -105,35 +108,40 @@
                                 "0d 0e000000 0300 0000000000407f40 4d000000"
                                 "0e 15000000 0500 1100 74776f2073657276657273206b6e6f776e"));
 }
-TEST(Wire, UnknownEventsInstancesAndRequestsChangeNothing) {
-  const auto out = fed(batch(1, 1, record(99, "abc") + record(7, hex("0900 01000000")) + record(200, ""), 3));
+TEST(Serve, IgnoresUnknownEventsInstancesAndRequests) {
+  const auto out =
+      serve_bytes(batch(1, 1, record(99, "abc") + record(7, hex("0900 01000000")) + record(200, ""), 3));
   EXPECT_EQ(out.status, 0);
   EXPECT_EQ(out.out, hex("01000000 00000000 00000000"));
 }
-TEST(Wire, ARestartUnderTheSameNumberForgetsTheOldLife) {
-  const auto out = fed(batch(1, 1, power_on() + record(9, hex("0300")) + power_on(), 3));
+TEST(Serve, RestartsAnInstanceUnderTheSameNumber) {
+  const auto out = serve_bytes(batch(1, 1, power_on() + record(9, hex("0300")) + power_on(), 3));
   EXPECT_EQ(out.status, 0);
   EXPECT_EQ(out.err, "");
 }
-TEST(Wire, NumbersThatAreNoneNeverReachATimer) {
+TEST(Serve, RejectsAClockThatIsNotANumberAndReadsSuchADurationAsAbsent) {
   std::string f;
-  put(f, std::uint16_t(3)), put(f, std::nan(""));
-  EXPECT_EQ(fed(batch(1, 1, power_on() + record(6, f), 2)).status, 0);
-  EXPECT_NE(fed(batch(1, std::nan(""), "", 0)).status, 0);
+  put(f, std::uint16_t(3));
+  put(f, std::nan(""));
+  EXPECT_EQ(serve_bytes(batch(1, 1, power_on() + record(6, f), 2)).status, 0);
+  EXPECT_NE(serve_bytes(batch(1, std::nan(""), "", 0)).status, 0);
 }
-TEST(Wire, FalseCountsAndLengthsEndWithOnePlainLineAndNoReply) {
+TEST(Serve, ReportsFalseCountsAndLengthsInOneLineWithoutAReply) {
   std::string huge;
-  put(huge, 7U), put(huge, 0xfffffff0U), put(huge, 1.0), put(huge, 1U);
+  put(huge, 7U);
+  put(huge, 0xfffffff0U);
+  put(huge, 1.0);
+  put(huge, 1U);
   for (const auto& bytes :
        {huge, batch(7, 1, "", 1000), batch(7, 1, record(3, "x"), 1), batch(7, 1, record(7, "x") + "y", 1)}) {
-    const auto out = fed(bytes);
+    const auto out = serve_bytes(bytes);
     EXPECT_NE(out.status, 0);
     EXPECT_EQ(out.out, "");
     EXPECT_EQ(out.err.rfind("granitegap_simulator: batch 7, offset ", 0), 0U) << out.err;
     EXPECT_EQ(std::count(out.err.begin(), out.err.end(), '\n'), 1);
   }
 }
-TEST(Wire, DamagedFramesEitherServeOrSayWhy) {
+TEST(Serve, AnswersDamagedFramesOrReportsThem) {
   const auto good = batch(1, 1, power_on(), 1) + batch(2, 30, record(8, hex("0300 00000000 01 0000803f")), 1);
   std::uint32_t state = 1;
   for (int k = 0; k < 3000; ++k) {
@@ -141,7 +149,7 @@
     state = state * 1664525U + 1013904223U;
     bytes[(state >> 8) % bytes.size()] = char(state >> 24);
     if (k % 3 == 0) bytes.resize((state >> 4) % bytes.size());
-    const auto out = fed(bytes);
+    const auto out = serve_bytes(bytes);
     EXPECT_EQ(out.status != 0, !out.err.empty());
     EXPECT_LE(std::count(out.err.begin(), out.err.end(), '\n'), 1);
   }
