--- a/tests/shutdown_race_test.cpp
+++ b/tests/shutdown_race_test.cpp
@@ -13,17 +13,17 @@
 
 using namespace std::chrono_literals;
 using boost::asio::ip::udp;
-using standin::Caller;
+using standin::Client;
 
 constexpr char kShutdownNotice[] = "notice to leave";
 
 TEST(ShutdownRace, ARequestOnAConnectionAcceptedBeforeTheSignalIsAnswered) {
   ServerProcesses server(platform_options());
   server.start_serving();
-  Caller client(server.client_port());
+  Client client(server.client_port());
   server.send_signal(SIGTERM);
   ASSERT_TRUE(server.wait_for_log(kServer, kShutdownNotice));
-  EXPECT_TRUE(client.ask(kTile)) << server.log(kServer);
+  EXPECT_TRUE(client.call(kTile)) << server.log(kServer);
   server.expect_graceful_shutdown(kServer);
 }
 
@@ -31,23 +31,23 @@
   ServerProcesses server(platform_options());
   server.start_serving();
   server.pause(kServer);
-  Caller client(server.client_port());
-  client.tell(kTile);
+  Client client(server.client_port());
+  client.send(kTile);
   server.send_signal(SIGTERM);
   server.resume(kServer);
-  EXPECT_TRUE(client.hear()) << server.log(kServer);
+  EXPECT_TRUE(client.receive()) << server.log(kServer);
   server.expect_graceful_shutdown(kServer);
 }
 
 TEST(ShutdownRace, ARequestHalfSentAtTheSignalIsAnsweredOnceItIsComplete) {
   ServerProcesses server(platform_options());
   server.start_serving();
-  Caller client(server.client_port());
-  client.tell_begin(kTile, 20);
+  Client client(server.client_port());
+  client.send_prefix(kTile, 20);
   server.send_signal(SIGTERM);
   ASSERT_TRUE(server.wait_for_log(kServer, kShutdownNotice));
-  client.tell_rest();
-  EXPECT_TRUE(client.hear()) << server.log(kServer);
+  client.send_remainder();
+  EXPECT_TRUE(client.receive()) << server.log(kServer);
   server.expect_graceful_shutdown(kServer);
 }
 
@@ -56,14 +56,14 @@
   options.run_cost = 300ms;
   ServerProcesses server(options);
   server.start_serving();
-  Caller client(server.client_port());
-  client.tell(keyed_request(kKey, 300));
-  ASSERT_TRUE(server.until([&] { return server.run_count(kServer, kKey) == 1; }, kPatience));
+  Client client(server.client_port());
+  client.send(keyed_request(kKey, 300));
+  ASSERT_TRUE(server.wait_until([&] { return server.run_count(kServer, kKey) == 1; }, kPatience));
   server.pause(kServer);  // so that both signals are pending together
   server.send_signal(SIGHUP);
   server.send_signal(SIGTERM);
   server.resume(kServer);
-  EXPECT_TRUE(is_served(client.hear())) << server.log(kServer);
+  EXPECT_TRUE(is_served(client.receive())) << server.log(kServer);
   server.expect_graceful_shutdown(kServer);
   EXPECT_EQ(server.run_count(kServer, kKey), 1);
 }
@@ -103,13 +103,13 @@
 TEST(ShutdownRace, ReportsReachALateReceiverWhileIdleClientsUseUpTheDescriptors) {
   ReportReceiver receiver;
   auto options = platform_options();
-  options.sockets = 64;
-  options.list_port = receiver.port();
+  options.max_sockets = 64;
+  options.load_report_port = receiver.port();
   ServerProcesses server(options);
   server.start_serving();
-  std::list<Caller> idle_clients;
-  for (int k = 0; k < 100; ++k) idle_clients.emplace_back(server.client_port()).check();
-  EXPECT_TRUE(server.until([&] { return is_served(server.ask()); }, kPatience)) << server.log(kServer);
+  std::list<Client> idle_clients;
+  for (int k = 0; k < 100; ++k) idle_clients.emplace_back(server.client_port()).check_health();
+  EXPECT_TRUE(server.wait_until([&] { return is_served(server.ask()); }, kPatience)) << server.log(kServer);
   receiver.open();
   EXPECT_EQ(receiver.receive(), "announce n0 true");
   server.send_signal(SIGTERM);
