--- a/src/snapshot/persistence_actor.cpp
+++ b/src/snapshot/persistence_actor.cpp
@@ -119,8 +119,8 @@
   auto previous = evaluate_shutdown_record(loaded);
   auto snapshot = select_snapshot(std::move(loaded.newest));
   if (snapshot)
-    previous.clock_behind =
-        std::max(previous.clock_behind, clock_behind(snapshot->taken_at, loaded.loaded_at));
+    previous.clock_setback =
+        std::max(previous.clock_setback, clock_behind(snapshot->taken_at, loaded.loaded_at));
   callbacks_.previous_incarnation_found(previous);
   if (snapshot) handle_snapshot(*std::move(snapshot), loaded.loaded_at);
 }
@@ -131,7 +131,7 @@
                   " can be used: " + error.message(),
               {{"event", "recovery_folder"}, {"why", error.message()}});
   recovery::PreviousIncarnation previous;
-  previous.end_stays = true;
+  previous.shutdown_record_remains = true;
   callbacks_.previous_incarnation_found(previous);
 }
 
@@ -148,8 +148,8 @@
     return {};
   }
   const auto previous = previous_incarnation(*record, loaded.loaded_at);
-  if (previous.ended_in_order) {
-    const auto ago_ms = to_ms(*previous.ended_in_order);
+  if (previous.clean_shutdown_age) {
+    const auto ago_ms = to_ms(*previous.clean_shutdown_age);
     log_.line("recovery: the last life ended in order " + std::to_string(ago_ms) + " ms ago",
               {{"event", "recovery_ended"}, {"ago_ms", ago_ms}});
   }
@@ -160,8 +160,8 @@
   const std::string what = "a snapshot";
   for (const auto& error : newest.errors)
     log_rejected(what, error.path.filename().string() + ": " + error.message());
-  if (newest.snapshot && newest.snapshot->state.by != name_) {
-    log_rejected(what, "it is of " + newest.snapshot->state.by);
+  if (newest.snapshot && newest.snapshot->state.process_name != name_) {
+    log_rejected(what, "it is of " + newest.snapshot->state.process_name);
     return std::nullopt;
   }
   return std::move(newest.snapshot);
@@ -172,7 +172,7 @@
   const auto age_text = age ? std::to_string(to_ms(*age)) + " ms old" : std::string("of no known age");
   log_.line("recovery: a snapshot, " + age_text,
             {{"event", "recovery_snapshot"}, {"age_ms", age ? to_ms(*age) : std::int64_t{-1}}});
-  callbacks_.warm_state_loaded(warm_state::aged(std::move(snapshot.state), age));
+  callbacks_.warm_state_loaded(warm_state::age_by(std::move(snapshot.state), age));
 }
 
 void PersistenceActor::handle_write(const std::optional<StorageError>& error) {
