--- a/src/membership/digest.cpp
+++ b/src/membership/digest.cpp
@@ -8,7 +8,7 @@
 namespace granitegap::membership {
 namespace {
 
-constexpr std::size_t kMembersABucket = 8;
+constexpr std::size_t kMembersPerBucket = 8;
 
 std::uint32_t hash_of(std::uint64_t name, BootId boot_id, Incarnation incarnation, Status status,
                       const MemberMetadata* metadata, std::uint32_t seed) {
@@ -17,7 +17,7 @@
   if (metadata) {
     what[3] |= std::uint64_t(metadata->stage) | std::uint64_t(metadata->conflicting_address.port) << 8 |
                std::uint64_t(metadata->secondary_address.port) << 24;
-    // Not what is offered: it is told in steps, and the last one brings the phase with it.
+    // Without offered_percent: it changes in steps, and the last one comes with a new phase.
     what[6] = std::uint64_t(metadata->recovery_status.phase) |
               std::uint64_t(metadata->recovery_status.donor_port) << 8 |
               std::uint64_t(metadata->recovery_status.full_service_ms) << 24;
@@ -32,7 +32,7 @@
 }  // namespace
 
 std::size_t buckets_for(std::size_t members) {
-  return std::clamp(std::bit_ceil(members / kMembersABucket + 1), kMinBuckets, kMaxBuckets);
+  return std::clamp(std::bit_ceil(members / kMembersPerBucket + 1), kMinBuckets, kMaxBuckets);
 }
 
 std::vector<std::uint32_t> digest_of(const Roster& roster, const Record& own, std::size_t buckets,
--- a/src/membership/digest.h
+++ b/src/membership/digest.h
@@ -1,11 +1,11 @@
-// A summary of what a member holds of the fleet: two of them that are laid beside each other name the few
-// buckets in which views differ, so that an exchange carries those members and not all of them.
+// A summary of one member's view: laid beside another one it shows the few buckets in which two views differ,
+// so that a sync carries those members and not all of them.
 //
-// One sum a bucket: the exclusive or of a hash over each member in it (set reconciliation by hashed buckets,
-// as in anti-entropy; Demers et al. 1987). The hash takes in who lives under the name, in which incarnation,
-// whether it is suspect (halves that meet again tell each other of it that way), and what consumers decide
-// by; not how warm or pressed it is, which changes all the time and is soon told again. Each exchange hashes
-// under a seed of its own: what one sum hides by chance the next one shows.
+// One sum a bucket: the exclusive or of a hash of each member in it (set reconciliation by hashed buckets, as
+// in anti-entropy; Demers et al. 1987). The hash covers the process under the name, its incarnation and
+// status (the sides of a healed partition learn of suspicions that way), and the metadata that consumers
+// decide by; not its load, which changes all the time and is soon gossiped again. Each sync hashes under a
+// seed of its own: two views that collide by chance differ the next time.
 #pragma once
 #include <bitset>
 #include <cstdint>
@@ -18,16 +18,18 @@
 inline constexpr std::size_t kMaxBuckets = 128, kMinBuckets = 8;
 using Buckets = std::bitset<kMaxBuckets>;
 
-// A power of two that leaves about eight members a bucket, within the bounds.
+// The number of buckets for that many members: a power of two within the bounds, for about eight members
+// each.
 std::size_t buckets_for(std::size_t members);
+// The bucket of a member, of `buckets`, a power of two.
 inline std::size_t bucket_of(std::uint64_t name_hash, std::size_t buckets) {
   return std::size_t(name_hash >> 32) & (buckets - 1);
 }
 
-// Of those present; `own` stands for this process. `buckets`: a power of two.
+// The digest of the members present and of `own`, this member's record. `buckets`: a power of two.
 std::vector<std::uint32_t> digest_of(const Roster& roster, const Record& own, std::size_t buckets,
                                      std::uint32_t seed);
-// All of them where the two are not of one size, as with a member that knows nothing yet.
+// The buckets whose sums differ; all where the digests differ in size, as with a member that just joined.
 Buckets differing_buckets(const std::vector<std::uint32_t>& mine, const std::vector<std::uint32_t>& theirs);
 
 }  // namespace granitegap::membership
--- a/src/membership/dissemination_queue.cpp
+++ b/src/membership/dissemination_queue.cpp
@@ -6,9 +6,9 @@
 namespace granitegap::membership {
 namespace {
 
-constexpr std::size_t kCrowd = 64;  // updates that wait, from which on each is sent on less often
+constexpr std::size_t kManyWaiting = 64;  // from this number of updates on each is sent less often
 
-unsigned whole_log(std::size_t fleet) {
+unsigned ceil_log10(std::size_t fleet) {
   return unsigned(std::max(1.0, std::ceil(std::log10(double(fleet) + 1))));
 }
 
@@ -19,7 +19,7 @@
   auto& item = items_[member];
   if (item.order) {
     queue_.erase({item.sent, item.order, member});
-    // Guards against news of a member's state that pushes out what it has told of itself in the same life.
+    // A status without metadata must not displace metadata of the same process that still waits.
     if (!record.metadata && item.record.boot_id == record.boot_id)
       record.metadata = std::move(item.record.metadata);
   }
@@ -35,22 +35,22 @@
   items_.erase(it);
 }
 
-void DisseminationQueue::fill(std::vector<Record>& to, std::size_t room, unsigned times, Duration lasts,
+void DisseminationQueue::fill(std::vector<Record>& to, std::size_t room, unsigned limit, Duration lifetime,
                               TimePoint now) {
-  constexpr std::size_t kLeast = 60;  // no record is smaller
-  constexpr unsigned kMisfits = 4;    // guards against a search of the whole queue for the last few bytes
+  constexpr std::size_t kMinRecordBytes = 60;
+  constexpr unsigned kMaxMisfits = 4;  // bounds the search for one that fits the last few bytes
   unsigned misfits = 0;
   std::vector<Key> taken;
-  for (auto it = queue_.begin(); it != queue_.end() && room >= kLeast;) {
+  for (auto it = queue_.begin(); it != queue_.end() && room >= kMinRecordBytes;) {
     auto& item = items_.at(it->member);
-    if (item.sent > 0 && now - item.added > lasts) {
+    if (item.sent > 0 && now - item.added > lifetime) {
       items_.erase(it->member);
       it = queue_.erase(it);
       continue;
     }
     const bool there = std::any_of(to.begin(), to.end(), [&](auto& r) { return r.name == item.record.name; });
     if (there || item.bytes > room) {
-      if (++misfits >= kMisfits) break;
+      if (++misfits >= kMaxMisfits) break;
       ++it;
       continue;
     }
@@ -63,7 +63,7 @@
   }
   for (auto key : taken) {
     auto& item = items_.at(key.member);
-    if (++item.sent >= times)
+    if (++item.sent >= limit)
       items_.erase(key.member);
     else
       queue_.insert({item.sent, item.order, key.member});
@@ -71,12 +71,12 @@
 }
 
 Duration dissemination_time(const Options& options, std::size_t fleet) {
-  return options.period * std::int64_t(options.retransmit_multiplier * whole_log(fleet));
+  return options.period * std::int64_t(options.retransmit_multiplier * ceil_log10(fleet));
 }
 
 unsigned retransmit_limit(const Options& options, std::size_t fleet, std::size_t waiting) {
-  const auto times = options.retransmit_multiplier * whole_log(fleet);
-  return waiting <= kCrowd ? times : std::max(2u, unsigned(times * kCrowd / waiting));
+  const auto times = options.retransmit_multiplier * ceil_log10(fleet);
+  return waiting <= kManyWaiting ? times : std::max(2u, unsigned(times * kManyWaiting / waiting));
 }
 
 }  // namespace granitegap::membership
--- a/src/membership/local_health.cpp
+++ b/src/membership/local_health.cpp
@@ -6,10 +6,10 @@
 namespace granitegap::membership {
 namespace {
 
-constexpr double kFailsGain = 0.05;  // weight of the newest probe in the usual share of failures
-constexpr double kFailsMost = 0.5;   // a share over this is a fault, not usual loss
-constexpr double kEvidence = 9;      // as a natural logarithm: one in 8,000 by chance
-constexpr unsigned kMinInARow = 3;   // failures before 'unheard', however rare they are
+constexpr double kFailureShareGain = 0.05;       // weight of the newest probe in the usual share of failures
+constexpr double kMaxFailureShare = 0.5;         // a greater share is a fault, not usual loss
+constexpr double kMinEvidence = 9;               // as a natural logarithm: one in 8,000 by chance
+constexpr unsigned kMinConsecutiveFailures = 3;  // before outbound_broken, however rare failures are
 
 }  // namespace
 
@@ -25,52 +25,53 @@
   return "?";
 }
 
-LocalHealth::LocalHealth(const Options& options, TimePoint now) : options_(options), heard_at_(now) {}
+LocalHealth::LocalHealth(const Options& options, TimePoint now) : options_(options), last_received_at_(now) {}
 
-void LocalHealth::worse(unsigned by) { worse_ = std::min(worse_ + by, options_.max_health_multiplier); }
+void LocalHealth::raise_score(unsigned by) { score_ = std::min(score_ + by, options_.max_health_multiplier); }
 
-std::optional<Duration> LocalHealth::woke(TimePoint now, TimePoint due) {
+std::optional<Duration> LocalHealth::detect_pause(TimePoint now, TimePoint due) {
   if (options_.baseline_mode || now - due <= options_.period / 2) return std::nullopt;
   const auto late = now - due;
   const auto periods = late / options_.period;
-  worse(unsigned(std::clamp<std::int64_t>(periods, 1, 3)));
-  // What waits in the socket is heard in the meantime: two periods bring at least one probe of somebody's.
+  raise_score(unsigned(std::clamp<std::int64_t>(periods, 1, 3)));
+  // Time to receive what waits in the socket: within two periods at least one probe of another member comes.
   if (periods >= 1) {
-    listen_until_ = std::max(listen_until_, now + 2 * options_.period);
-    heard_at_ = std::max(heard_at_, now);  // silence during a pause is nobody's
+    grace_period_until_ = std::max(grace_period_until_, now + 2 * options_.period);
+    last_received_at_ = std::max(last_received_at_, now);  // silence during a pause proves nothing
     evidence_ = 0;
-    in_a_row_ = 0;
+    consecutive_failures_ = 0;
   }
   return late;
 }
 
-void LocalHealth::probe_answered() {
-  fails_ += (0 - fails_) * kFailsGain;
-  in_a_row_ = 0;
+void LocalHealth::probe_succeeded() {
+  usual_failure_share_ += (0 - usual_failure_share_) * kFailureShareGain;
+  consecutive_failures_ = 0;
   evidence_ = 0;
-  if (worse_) --worse_;
+  if (score_) --score_;
   if (local_connectivity_ == LocalConnectivity::outbound_broken) local_connectivity_ = LocalConnectivity::ok;
 }
 
-// Whoever is silent itself says nothing of my own path: guards against the smaller part of a fleet that was
-// cut in two taking itself for unheard.
+// A target that is silent itself proves nothing of the own outbound path: the minority side of a partition
+// must not conclude that its outbound path is broken.
 void LocalHealth::probe_failed(bool helpers_silent, bool target_heard) {
-  if (helpers_silent) worse(1);
-  ++in_a_row_;
-  if (target_heard) evidence_ -= std::log(std::clamp(fails_, 0.02, kFailsMost));
-  fails_ = std::min(kFailsMost, fails_ + (1 - fails_) * kFailsGain);
+  if (helpers_silent) raise_score(1);
+  ++consecutive_failures_;
+  if (target_heard) evidence_ -= std::log(std::clamp(usual_failure_share_, 0.02, kMaxFailureShare));
+  usual_failure_share_ =
+      std::min(kMaxFailureShare, usual_failure_share_ + (1 - usual_failure_share_) * kFailureShareGain);
 }
 
 void LocalHealth::refutation_lost() {
-  if (in_a_row_ > 0) evidence_ += kEvidence / 3;
+  if (consecutive_failures_ > 0) evidence_ += kMinEvidence / 3;
 }
 
-void LocalHealth::judge(TimePoint now, std::size_t others) {
+void LocalHealth::update(TimePoint now, std::size_t others) {
   if (options_.baseline_mode || others == 0) return void(local_connectivity_ = LocalConnectivity::ok);
-  if (now - heard_at_ > options_.inbound_silence_timeout())
+  if (now - last_received_at_ > options_.inbound_silence_timeout())
     return void(local_connectivity_ = LocalConnectivity::inbound_broken);
   if (local_connectivity_ == LocalConnectivity::inbound_broken) local_connectivity_ = LocalConnectivity::ok;
-  if (in_a_row_ >= kMinInARow && evidence_ >= kEvidence)
+  if (consecutive_failures_ >= kMinConsecutiveFailures && evidence_ >= kMinEvidence)
     local_connectivity_ = LocalConnectivity::outbound_broken;
 }
 
--- /dev/null
+++ b/src/membership/member_suspicion.cpp
@@ -0,0 +1,75 @@
+// From suspect to dead (SWIM section 4.2, Lifeguard section IV-B).
+#include <algorithm>
+
+#include "membership/member.h"
+
+namespace granitegap::membership {
+
+void Member::suspect(Index i) {
+  auto record = roster_.record_of(i, false);
+  if (record.status == Status::alive) ++counters_.suspicions;
+  record.status = Status::suspect;
+  record.suspected_by = own_hash_;
+  apply(record, true);
+  if (!options_.baseline_mode) send_about(i, Ping{nonce(), roster_.at(i).name, {}});
+}
+
+void Member::set_suspicion_deadline(Index i) {
+  auto& e = roster_.at(i);
+  const auto times = suspicion_times(options_, roster_.present() + 1);
+  auto time = suspicion_time(times, e.confirmations.confirmed(), options_.confirmations);
+  // A member whose own health is poor gives others more time.
+  if (!options_.baseline_mode) time *= local_health_.multiplier();
+  e.suspicion_deadline = e.status_since + time;
+}
+
+bool Member::may_declare_dead() const {
+  if (options_.baseline_mode) return true;
+  if (!partition_detector_.has_quorum() || partition_detector_.uncertain()) return false;
+  if (local_health_.local_connectivity() != LocalConnectivity::ok) return false;
+  if (local_health_.in_grace_period(now_)) return false;
+  return now_ - partition_detector_.certain_since() >= options_.period;
+}
+
+void Member::judge_suspects() {
+  std::erase_if(suspects_,
+                [&](Index i) { return !roster_.at(i).known || roster_.at(i).status != Status::suspect; });
+  if (!may_declare_dead()) return;
+  const auto suspects = suspects_;
+  for (const auto i : suspects) {
+    auto& e = roster_.at(i);
+    if (e.status != Status::suspect || now_ < e.suspicion_deadline) continue;
+    if (e.final_probe_sent || options_.baseline_mode) {
+      declare_dead(i);
+      continue;
+    }
+    e.final_probe_sent = true;
+    e.suspicion_deadline = now_ + std::max(2 * probe_timeout(e), options_.period / 4);
+    const auto ping_nonce = nonce();
+    send_about(i, Ping{ping_nonce, e.name, {}});
+    ping_via_secondary(i, ping_nonce);
+  }
+}
+
+void Member::declare_dead(Index i) {
+  ++counters_.deaths;
+  auto record = roster_.record_of(i, false);
+  record.status = Status::dead;
+  record.suspected_by = own_hash_;
+  apply(record, true);
+}
+
+// This member found itself cut off: members that nobody else suspects are alive again.
+void Member::withdraw_own_suspicions() {
+  partition_detector_.discard_silences();
+  for (const auto i : std::vector<Index>(suspects_)) {
+    auto& e = roster_.at(i);
+    if (e.status != Status::suspect) continue;
+    if (e.confirmations.first() != own_hash_ || e.confirmations.confirmed()) continue;
+    roster_.set_status(i, Status::alive, now_);
+    dissemination_queue_.drop(e.hash);
+    update_certain_status(i);
+  }
+}
+
+}  // namespace granitegap::membership
--- a/src/membership/options.h
+++ b/src/membership/options.h
@@ -9,23 +9,35 @@
 namespace granitegap::membership {
 
 struct Options {
-  Duration period = std::chrono::milliseconds(500);  // one probe of the round each
+  // The protocol period (SWIM section 3.1): one probe of the round each.
+  Duration period = std::chrono::milliseconds(500);
   Duration min_probe_timeout = std::chrono::milliseconds(20);
-  unsigned indirect_probes = 3;     // members asked to probe for one that did not answer
-  double suspicion_multiplier = 2;  // periods times the decimal logarithm of the fleet's size: the least time
-  double max_suspicion_multiplier = 5;  // times that, while nobody confirms
-  unsigned confirmations = 3;           // from others, which bring the time down to the least
-  unsigned max_health_multiplier = 8;   // bound of the local health multiplier
-  unsigned retransmit_multiplier = 4;   // times the logarithm: how often one update is sent on
-  double mass_failure_fraction =
-      0.3;  // of the agreed fleet silent within mass_within(): the fault may be mine
-  Duration quorum_shrink_delay = std::chrono::seconds(30);  // a majority's dead leave the agreed fleet
+  // Members asked to probe one that did not answer ("k" in SWIM section 3.1).
+  unsigned indirect_probes = 3;
+  // The minimal suspicion timeout, in periods times the decimal logarithm of the fleet's size (Lifeguard's
+  // alpha).
+  double suspicion_multiplier = 2;
+  // The maximal timeout, without confirmation, in minimal ones (Lifeguard's beta).
+  double max_suspicion_multiplier = 5;
+  // Confirmations by others that shorten it to the minimum (Lifeguard's K).
+  unsigned confirmations = 3;
+  // Bound of the local health score (Lifeguard section IV-A).
+  unsigned max_health_multiplier = 8;
+  // How often one update is sent, times the logarithm of the fleet's size (lambda in SWIM section 4.1).
+  unsigned retransmit_multiplier = 4;
+  // Share of the quorum base silent within mass_failure_window() that makes the view uncertain.
+  double mass_failure_fraction = 0.3;
+  // After how long a dead member leaves the quorum base, while there is a quorum.
+  Duration quorum_shrink_delay = std::chrono::seconds(30);
+  // How long a dead member or one that left is remembered.
   Duration tombstone_ttl = std::chrono::seconds(120);
-  Duration max_message_age = std::chrono::seconds(20);  // older datagrams and updates change nothing
+  // Older datagrams and updates are rejected.
+  Duration max_message_age = std::chrono::seconds(20);
   std::size_t max_members = 10000, max_tombstones = 2000;
-  std::size_t min_fleet_size = 0;  // the fleet's least size, where the operator knows it
+  // The least size of the fleet, where the operator knows it; 0: unknown.
+  std::size_t min_fleet_size = 0;
   std::vector<Address> seeds;
-  // Fixed timeouts, direct probes, no refutation: only to measure what the rest is worth.
+  // Fixed timeouts, direct probes, no refutation: only to measure what the rest achieves.
   bool baseline_mode = false;
 
   Duration mass_failure_window() const { return 8 * period; }
--- a/src/membership/partition_detector.cpp
+++ b/src/membership/partition_detector.cpp
@@ -5,15 +5,15 @@
 
 namespace granitegap::membership {
 
-void PartitionDetector::silent(std::uint64_t member, TimePoint now) {
-  if (silent_.emplace(member, now).second) newest_ = now;
+void PartitionDetector::report_silent(std::uint64_t member, TimePoint now) {
+  if (silent_.emplace(member, now).second) last_silence_at_ = now;
 }
 
-void PartitionDetector::judge(TimePoint now, Counts counts, bool cut_off, Duration patience) {
-  const auto size = std::max(counts.fleet_size, options_.min_fleet_size);
-  has_quorum_ = options_.baseline_mode || (!cut_off && counts.seen * 2 > size);
+void PartitionDetector::update(TimePoint now, Counts counts, bool cut_off, Duration settle_time) {
+  const auto size = std::max(counts.quorum_base, options_.min_fleet_size);
+  has_quorum_ = options_.baseline_mode || (!cut_off && counts.alive * 2 > size);
   if (options_.baseline_mode) return;
-  // One alone is never a mass; and in a fleet of two nobody can tell whose fault a silence is.
+  // One member alone is no mass failure; and in a fleet of two a silence can be the fault of either.
   const auto many =
       std::max<std::size_t>(2, std::size_t(std::ceil(options_.mass_failure_fraction * double(size))));
   if (!uncertain_) {
@@ -24,12 +24,12 @@
     return;
   }
   if (cut_off || now - uncertain_since_ < options_.min_uncertain_duration()) return;
-  const bool heard_again = silent_.size() < many;
-  const bool settled = now - newest_ >= patience;
-  if (!heard_again && !(has_quorum_ && settled)) return;
+  const bool few_silent = silent_.size() < many;
+  const bool settled = now - last_silence_at_ >= settle_time;
+  if (!few_silent && !(has_quorum_ && settled)) return;
   uncertain_ = false;
   certain_since_ = now;
-  silent_.clear();  // judged once: they don't make the view uncertain a second time
+  silent_.clear();  // counted once: they don't make the view uncertain again
 }
 
 }  // namespace granitegap::membership
--- a/src/membership/partition_detector.h
+++ b/src/membership/partition_detector.h
@@ -1,14 +1,18 @@
-// Whether a silence of many is theirs or mine, and whether this process is on the side of most.
+// Tells the failure of many members from a partition or a fault of this member's own network, and counts
+// the quorum.
 //
-//               a declared share of the agreed fleet silent within a short time
-//   certain ---------------------------------------------------------------------> uncertain: nobody is
-//   removed
-//      ^                                                                              |
-//      +---- most of the agreed fleet is seen, and nobody else has fallen silent -----+
-//      +---- they are heard again ----------------------------------------------------+
+//           mass_failure_fraction of the quorum base silent within mass_failure_window()
+//   certain ----------------------------------------------------------------------------> uncertain: nobody
+//   is
+//      ^                                                                                  declared dead
+//      |                                                                                  |
+//      +---- a quorum is alive, and no further member has fallen silent for a while ------+
+//      +---- they are heard again --------------------------------------------------------+
 //
-// Without a majority it never ends by itself: from one side of a cut, the others' death and their being cut
+// Without a quorum it stays uncertain: from one side of a partition, death of the others and their being cut
 // off look the same.
+//
+// Threads: one. No errors.
 #pragma once
 #include <unordered_map>
 
@@ -21,29 +25,33 @@
   // `options` must outlive it, and may change.
   explicit PartitionDetector(const Options& options) : options_(options) {}
 
-  void silent(std::uint64_t member, TimePoint now);
-  void heard(std::uint64_t member) { silent_.erase(member); }
-  // The fault was mine: nothing that fell silent meanwhile counts.
-  void excuse() { silent_.clear(); }
+  // `member` (name_hash()) became a suspect.
+  void report_silent(std::uint64_t member, TimePoint now);
+  // `member` is alive, or has left.
+  void report_heard(std::uint64_t member) { silent_.erase(member); }
+  // The fault was this member's own: silences reported so far don't count.
+  void discard_silences() { silent_.clear(); }
+  // Members that the quorum is counted of, and those of them alive, this one included.
   struct Counts {
-    std::size_t fleet_size = 1,
-                seen = 1;  // members of the agreed fleet; those of them alive, this one included
+    std::size_t quorum_base = 1, alive = 1;
   };
-  // `cut_off`: this process knows itself unheard or deaf. `patience`: how long nobody more may have fallen
-  // silent before those that have are judged.
-  void judge(TimePoint now, Counts counts, bool cut_off, Duration patience);
+  // Brings the view's certainty and the quorum up to date. `cut_off`: this member is cut off from the others.
+  // `settle_time`: how long no further member may have fallen silent before those that have may be declared
+  // dead.
+  void update(TimePoint now, Counts counts, bool cut_off, Duration settle_time);
 
   bool uncertain() const { return uncertain_; }
   TimePoint uncertain_since() const { return uncertain_since_; }
+  // Whether more than half of the fleet is alive.
   bool has_quorum() const { return has_quorum_; }
-  // The moment it last became certain.
+  // When it last became certain.
   TimePoint certain_since() const { return certain_since_; }
   bool recently_silent(std::uint64_t member) const { return silent_.contains(member); }
 
  private:
   const Options& options_;
   std::unordered_map<std::uint64_t, TimePoint> silent_;
-  TimePoint uncertain_since_{}, newest_{}, certain_since_{};
+  TimePoint uncertain_since_{}, last_silence_at_{}, certain_since_{};
   bool uncertain_ = false, has_quorum_ = true;
 };
 
--- a/src/membership/roster.cpp
+++ b/src/membership/roster.cpp
@@ -32,7 +32,7 @@
   count(e, -1);
   e.status = status;
   e.status_since = now;
-  // Whoever leaves in order is no loss to the fleet: it shrinks at once.
+  // A graceful leave is no failure: the quorum base shrinks at once.
   if (status == Status::left) e.counts_for_quorum = false;
   count(e, 1);
   if (status != Status::suspect) {
@@ -89,75 +89,89 @@
 MergeResult Roster::merge(const Record& r, TimePoint now, Index& where) {
   where = find(r.name);
   if (where == kNoMember) {
-    // Guards against a replayed or late word that would raise one who is forgotten: nobody is met as dead.
+    // Nobody is met as dead: a replayed or late update must not bring back a member that was removed.
     if (r.status == Status::dead || r.status == Status::left) return MergeResult::ignored;
     if (index_.size() >= options_.max_members || index_.contains(name_hash(r.name)))
       return MergeResult::roster_full;
-    if (free_.empty()) {
-      where = Index(entries_.size());
-      entries_.emplace_back();
-    } else {
-      where = free_.back();
-      free_.pop_back();
-    }
-    auto& e = entries_[where];
-    e.name = r.name;
-    e.hash = name_hash(r.name);
-    e.address = r.address;
-    e.boot_id = r.boot_id;
-    e.incarnation = r.incarnation;
-    e.status = r.status;
-    e.known = true;
-    e.status_since = e.last_heard_at = now;
-    if (r.metadata) e.metadata = *r.metadata;
-    index_[e.hash] = where;
-    count(e, 1);
-    link(where);
+    where = add(r, now);
     return MergeResult::joined;
   }
   auto& e = entries_[where];
-  if (r.boot_id != e.boot_id) {
-    // An earlier life's word, however late, or the lesser of two that live under one name.
-    if (r.incarnation <= e.incarnation) return MergeResult::ignored;
-    set_status(where, Status::alive, now);
-    e.status_since = e.last_heard_at = now;
-    e.boot_id = r.boot_id;
-    e.incarnation = r.incarnation;
-    e.address = r.address;
-    e.metadata = r.metadata.value_or(MemberMetadata{});
-    e.round_trip = {};
-    e.clock_offset_ms = 0;
-    e.last_timely_at = {};
-    e.link_fault_count = 0;
-    e.link_broken = false;
-    if (r.status != Status::alive) set_status(where, r.status, now);
-    return r.status == Status::dead ? MergeResult::died
-                                    : (r.status == Status::left ? MergeResult::left : MergeResult::restarted);
-  }
-  bool fresh_told = false;
-  if (r.metadata && r.metadata->version > e.metadata.version) {
-    e.metadata = *r.metadata;
-    fresh_told = true;
+  if (r.boot_id != e.boot_id) return merge_other_process(where, r, now);
+  const bool newer_metadata = r.metadata && r.metadata->version > e.metadata.version;
+  if (newer_metadata) e.metadata = *r.metadata;
+  const auto merged = merge_status(where, r, now);
+  if (merged == MergeResult::ignored && newer_metadata) return MergeResult::metadata_updated;
+  return merged;
+}
+
+Index Roster::add(const Record& r, TimePoint now) {
+  Index i = 0;
+  if (free_.empty()) {
+    i = Index(entries_.size());
+    entries_.emplace_back();
+  } else {
+    i = free_.back();
+    free_.pop_back();
   }
-  const auto otherwise = fresh_told ? MergeResult::metadata_updated : MergeResult::ignored;
-  if (r.incarnation < e.incarnation) return otherwise;
+  auto& e = entries_[i];
+  e.name = r.name;
+  e.hash = name_hash(r.name);
+  e.address = r.address;
+  e.boot_id = r.boot_id;
+  e.incarnation = r.incarnation;
+  e.status = r.status;
+  e.known = true;
+  e.status_since = now;
+  e.last_heard_at = now;
+  if (r.metadata) e.metadata = *r.metadata;
+  index_[e.hash] = i;
+  count(e, 1);
+  link(i);
+  return i;
+}
+
+// The process with the higher incarnation wins: the other one is superseded, or loses a name conflict.
+MergeResult Roster::merge_other_process(Index i, const Record& r, TimePoint now) {
+  auto& e = entries_[i];
+  if (r.incarnation <= e.incarnation) return MergeResult::ignored;
+  set_status(i, Status::alive, now);
+  e.status_since = now;
+  e.last_heard_at = now;
+  e.boot_id = r.boot_id;
+  e.incarnation = r.incarnation;
+  e.address = r.address;
+  e.metadata = r.metadata.value_or(MemberMetadata{});
+  e.round_trip = {};
+  e.clock_offset_ms = 0;
+  e.last_timely_at = {};
+  e.link_fault_count = 0;
+  e.link_broken = false;
+  if (r.status != Status::alive) set_status(i, r.status, now);
+  if (r.status == Status::dead) return MergeResult::died;
+  if (r.status == Status::left) return MergeResult::left;
+  return MergeResult::restarted;
+}
+
+// A higher incarnation wins; within one incarnation the status of higher precedence (SWIM section 4.2).
+MergeResult Roster::merge_status(Index i, const Record& r, TimePoint now) {
+  auto& e = entries_[i];
+  if (r.incarnation < e.incarnation) return MergeResult::ignored;
+  const bool both_suspect = r.status == Status::suspect && e.status == Status::suspect;
   if (r.incarnation == e.incarnation && r.status <= e.status) {
-    if (r.status == Status::suspect && e.status == Status::suspect && e.confirmations.add(r.suspected_by))
-      return MergeResult::suspicion_confirmed;
-    return otherwise;
+    const bool confirmed = both_suspect && e.confirmations.add(r.suspected_by);
+    return confirmed ? MergeResult::suspicion_confirmed : MergeResult::ignored;
   }
-  const auto before = e.status;
-  const bool moved = e.address != r.address;
+  if (e.address != r.address) e.round_trip = {};
   e.incarnation = r.incarnation;
   e.address = r.address;
-  if (moved) e.round_trip = {};
-  if (before == Status::suspect && r.status == Status::suspect) {  // of a higher incarnation: begins anew
+  if (both_suspect) {  // in a higher incarnation: the suspicion starts anew
     e.confirmations.clear();
     e.confirmations.add(r.suspected_by);
     e.status_since = now;
     return MergeResult::suspected;
   }
-  set_status(where, r.status, now);
+  set_status(i, r.status, now);
   switch (r.status) {
     case Status::alive:
       return MergeResult::refuted;
@@ -169,7 +183,7 @@
     case Status::left:
       return MergeResult::left;
   }
-  return otherwise;
+  return MergeResult::ignored;
 }
 
 }  // namespace granitegap::membership
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -1,7 +1,9 @@
-// How long a silent member may stay a suspect before it is held dead (Lifeguard, section IV-B).
+// How long a suspect has to refute before it is declared dead (Lifeguard, section IV-B).
 //
-// Nobody else has found it silent: most. Each independent confirmation brings the time down, by a logarithm,
-// to least once there are enough. Both grow with the logarithm of the fleet's size, as news needs that long.
+// Without confirmation by others: the maximum. Each independent confirmation shortens it logarithmically,
+// down to the minimum. Both grow with the logarithm of the fleet's size, as gossip takes that long.
+//
+// Threads: one. No errors.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -11,25 +13,28 @@
 namespace granitegap::membership {
 
 struct SuspicionTimes {
-  Duration least{}, most{};
+  Duration min{}, max{};
 };
+// The bounds for a fleet of that many members.
 SuspicionTimes suspicion_times(const Options& options, std::size_t fleet);
-Duration suspicion_time(const SuspicionTimes& times, unsigned confirmed, unsigned wanted);
+// The timeout within `times` after `confirmed` of `required` confirmations.
+Duration suspicion_time(const SuspicionTimes& times, unsigned confirmed, unsigned required);
 
-// Those who found one member silent, each once.
+// The members that suspect one member, each once, by name_hash().
 class SuspicionConfirmations {
  public:
   static constexpr std::size_t kMax = 6;
-  // True where it is a new one and there is room: worth being passed on.
+  // True where it is a new one and there is room: worth being gossiped.
   bool add(std::uint64_t suspected_by);
   void clear() { count_ = 0; }
-  // Beyond the first.
+  // The number beyond the first.
   unsigned confirmed() const { return count_ ? unsigned(count_ - 1) : 0; }
-  std::uint64_t first() const { return count_ ? by_[0] : 0; }
+  // The first one; 0: nobody.
+  std::uint64_t first() const { return count_ ? suspected_by_[0] : 0; }
   bool has(std::uint64_t suspected_by) const;
 
  private:
-  std::array<std::uint64_t, kMax> by_{};
+  std::array<std::uint64_t, kMax> suspected_by_{};
   std::uint8_t count_ = 0;
 };
 
--- a/src/membership/views.cpp
+++ b/src/membership/views.cpp
@@ -7,13 +7,13 @@
 namespace granitegap::membership {
 namespace {
 
-constexpr double kWiden = 8;  // windows' growth while all are missing
+constexpr double kMaxWindowGrowth = 8;  // of the backoff window, while all are missing
 
-// What the chosen prober says of it; null where that is this one, or it says nothing.
-const EndpointHealth* word_of_prober(const View& v, std::uint64_t endpoint) {
-  const auto prober = health_checker_of(v, endpoint);
+// What the health checker reports of it; null where that is this member, or it reports nothing.
+const EndpointHealth* report_of_health_checker(const View& v, std::uint64_t endpoint) {
+  const auto checker = health_checker_of(v, endpoint);
   for (const auto& p : v.peers)
-    if (p.hash == prober)
+    if (p.hash == checker)
       for (const auto& f : p.metadata.endpoint_health)
         if (f.endpoint == endpoint) return &f;
   return nullptr;
@@ -52,14 +52,15 @@
 }
 
 double missing_fraction(const View& v) {
-  const auto there = 1 + std::count_if(v.peers.begin(), v.peers.end(),
+  const auto alive = 1 + std::count_if(v.peers.begin(), v.peers.end(),
                                        [](const auto& p) { return p.status == Status::alive; });
-  return std::clamp(1 - double(there) / double(std::max<std::size_t>(v.fleet_size, 1)), 0.0, 1.0);
+  return std::clamp(1 - double(alive) / double(std::max<std::size_t>(v.fleet_size, 1)), 0.0, 1.0);
 }
 
-Duration jittered_backoff(Duration base, Duration most, double missing, double random) {
-  if (base.count() <= 0 || base >= most || missing <= 0) return base;
-  const auto window = std::min(double((most - base).count()), double(base.count()) * kWiden * missing);
+Duration jittered_backoff(Duration base, Duration max, double missing, double random) {
+  if (base.count() <= 0 || base >= max || missing <= 0) return base;
+  const auto window =
+      std::min(double((max - base).count()), double(base.count()) * kMaxWindowGrowth * missing);
   return base + Duration(std::int64_t(window * std::clamp(random, 0.0, 1.0)));
 }
 
@@ -76,13 +77,13 @@
 
 bool should_health_check(const View& v, std::uint64_t endpoint) {
   if (!is_reliable(v)) return true;
-  const auto* word = word_of_prober(v, endpoint);
-  return !word || !word->unavailable;  // back for the prober: now each sees for itself
+  const auto* report = report_of_health_checker(v, endpoint);
+  return !report || !report->unavailable;  // recovered for the checker: each member checks for itself now
 }
 
 bool reported_recovered(const View& v, std::uint64_t endpoint) {
-  const auto* word = is_reliable(v) ? word_of_prober(v, endpoint) : nullptr;
-  return word && !word->unavailable;
+  const auto* report = is_reliable(v) ? report_of_health_checker(v, endpoint) : nullptr;
+  return report && !report->unavailable;
 }
 
 }  // namespace granitegap::membership
--- a/src/membership/views.h
+++ b/src/membership/views.h
@@ -1,8 +1,8 @@
-// What the rest of the program sees of the fleet: a read-only picture, and the decisions of its consumers.
+// What the rest of the program sees of the fleet: a read-only view, and the decisions that rest on it.
 //
-// Two pictures stand beside each other: `present` as it is held now, and `certain` as it was when it was last
-// beyond doubt. While they differ `uncertain` is set; a consumer that must not act on a doubt takes the
-// certain one, and nothing where there is no majority.
+// Each member has two statuses: `status` as of now, and `certain_status` as of the last certain view. While
+// many members fell silent at once `uncertain` is set; consumers that must not act on a doubt use the certain
+// status, and act on nothing without a quorum.
 #pragma once
 #include <memory>
 #include <string>
@@ -13,50 +13,50 @@
 
 namespace granitegap::membership {
 
+// A snapshot of one member's view.
 struct View {
   struct Peer {
     std::string name;
-    std::uint64_t hash = 0;
+    std::uint64_t hash = 0;  // name_hash()
     Status status{}, certain_status{};
     MemberMetadata metadata;
     Address address;
     BootId boot_id{};
   };
   std::uint64_t own_hash = 0;
-  std::vector<Peer> peers;     // without this one
-  std::size_t fleet_size = 1;  // the agreed fleet, this one included
+  std::vector<Peer> peers;     // without this member
+  std::size_t fleet_size = 1;  // Member::fleet_size()
   bool has_quorum = true, uncertain = false;
   LocalConnectivity local_connectivity = LocalConnectivity::ok;
-  bool name_conflict = false;  // another process lives under this one's name
+  bool name_conflict = false;  // another process uses this member's name
   TimePoint at{};
 };
 View make_view(const Member& member, TimePoint now);
 
-// The part of the agreed fleet that is not there, 0 to 1, by the present view: who is missing takes no load.
+// The share of the fleet that is not alive, 0 to 1: members that are missing take no load.
 double missing_fraction(const View& view);
 
-// How long a caller is kept off, drawn evenly from a window that widens with the part of the fleet that is
-// missing: guards against the callers of a lost zone returning together. Never under `base` and never over
-// `most`. `random`: in [0, 1).
-Duration jittered_backoff(Duration base, Duration most, double missing, double random);
+// The backoff told to a caller, drawn evenly from a window that widens with the share of the fleet that is
+// missing, so that the callers of a lost zone don't return all at once. Never under `base` and never over
+// `max`. `random`: in [0, 1).
+Duration jittered_backoff(Duration base, Duration max, double missing, double random);
 
-// Whether decisions for the whole fleet may rest on it.
+// Whether decisions for the whole fleet may rest on the view.
 bool is_reliable(const View& view);
-// Takes its part of what one does for all: alive in both pictures, and serving or warming up.
+// Whether it may take work for the fleet: alive in both views, and serving or warming up.
 bool is_available(const View::Peer& peer);
-// Rendezvous hashing (Thaler and Ravishankar 1998): of several members the one with the highest score does
-// it.
+// Rendezvous hashing (Thaler and Ravishankar 1998): of several members the one with the highest score owns
+// `key`.
 std::uint64_t rendezvous_score(std::uint64_t member, std::uint64_t key);
 
-// Who probes an endpoint for all while its dependency is out: the highest rendezvous_score() over this one
-// and those that serve or warm up, alive in the certain and the present view. Every member of one view names
-// the same, and when one goes only what it probed moves. `endpoint`: name_hash() of dependency and address.
+// Which member makes the health checks of an endpoint for the whole fleet while its dependency is
+// unavailable: the highest rendezvous_score() of this one and the available ones. Members of equal views
+// agree, and when one goes only its endpoints move. `endpoint`: name_hash() of dependency and address.
 std::uint64_t health_checker_of(const View& view, std::uint64_t endpoint);
-// Whether this one is to probe it: as the chosen one; or because nobody who could be relied on does, as
-// without a majority, or where the chosen one does not say that it probes (it may see no outage, or have no
-// traffic).
+// Whether this member is to check it itself: as the health checker; or because the view is not reliable, or
+// the health checker does not report that it checks (it may see no outage, or have no traffic).
 bool should_health_check(const View& view, std::uint64_t endpoint);
-// The chosen one, not this one, has found it back.
+// Whether the health checker, another member, reports that the endpoint recovered.
 bool reported_recovered(const View& view, std::uint64_t endpoint);
 
 }  // namespace granitegap::membership
