--- a/src/membership_udp/actor.cpp
+++ b/src/membership_udp/actor.cpp
@@ -8,6 +8,8 @@
 #include <boost/asio/use_awaitable.hpp>
 #include <cstring>
 
+#include "membership/milliseconds.h"
+
 namespace granitegap::membership_udp {
 namespace {
 
@@ -17,9 +19,9 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-constexpr std::size_t kAtOnce = 64;  // datagrams before others get their turn
+constexpr std::size_t kMaxBatch = 64;  // datagrams before other work gets its turn
 constexpr int kSocketBuffer = 256 * 1024;
-constexpr Duration kBadTold = std::chrono::seconds(10);
+constexpr Duration kMinLogInterval = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -31,19 +33,20 @@
 Address address_of(const udp::endpoint& e) { return address_of(e.address(), e.port()); }
 
 Actor::Actor(const asio::any_io_executor& executor, Settings settings, std::string name,
-             std::uint64_t boot_id, Incarnation first, std::uint64_t seed, Hooks hooks, Logger& log)
+             std::uint64_t boot_id, Incarnation first_incarnation, std::uint64_t seed, Hooks hooks,
+             Logger& log)
     : settings_(std::move(settings)),
       hooks_(std::move(hooks)),
       log_(log),
       member_(settings_.options,
               Identity{std::move(name), settings_.zone, settings_.advertise, settings_.secondary_advertise,
-                       BootId(boot_id), first, settings_.cache_fill_port},
+                       BootId(boot_id), first_incarnation, settings_.cache_fill_port},
               seed, hooks_.clock()),
       socket_(executor),
       secondary_socket_(executor),
       timer_(executor) {
-  open(socket_, settings_.bind);
-  if (settings_.secondary_bind) open(secondary_socket_, settings_.secondary_bind);
+  open_socket(socket_, settings_.bind);
+  if (settings_.secondary_bind) open_socket(secondary_socket_, settings_.secondary_bind);
   log_.line("membership: cluster " + settings_.cluster + ", bound to " + text_of(settings_.bind) +
                 ", reached at " + text_of(settings_.advertise),
             {{"event", "membership"}, {"cluster", settings_.cluster}});
@@ -53,24 +56,24 @@
               {{"event", "membership_second"}});
 }
 
-void Actor::open(udp::socket& socket, const Address& at) {
+void Actor::open_socket(udp::socket& socket, const Address& at) {
   const auto bind = endpoint_of(at);
   socket.open(bind.protocol());
   if (at.v6) socket.set_option(asio::ip::v6_only(true));
   socket.bind(bind);
   socket.non_blocking(true);
-  error_code ignored;  // a smaller buffer only loses more
+  error_code ignored;  // with a smaller buffer only more is lost
   socket.set_option(asio::socket_base::receive_buffer_size(kSocketBuffer), ignored);
   socket.set_option(asio::socket_base::send_buffer_size(kSocketBuffer), ignored);
 }
 
-// What waits is taken in before anything is judged by the clock: after a pause it first hears.
-asio::awaitable<void> Actor::receive(udp::socket& socket) {
+// What waits is received before anything is decided by the clock: after a pause this comes first.
+asio::awaitable<void> Actor::receive_from(udp::socket& socket) {
   for (;;) {
     error_code error;
     co_await socket.async_wait(udp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
     if (error) co_return;
-    take_waiting(socket);
+    receive_pending(socket);
     dispatch_outputs();
     co_await asio::post(asio::use_awaitable);
   }
@@ -84,8 +87,8 @@
     co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, woken));
     if (!socket_.is_open()) co_return;
     if (woken) continue;  // a datagram has moved the wake-up
-    take_waiting(socket_);
-    if (has_secondary()) take_waiting(secondary_socket_);
+    receive_pending(socket_);
+    if (has_secondary()) receive_pending(secondary_socket_);
     if (hooks_.local_state && !leaving_) {
       auto own = hooks_.local_state();
       member_.update_metadata(own.stage, own.warmup_percent, own.pressure_percent,
@@ -97,30 +100,30 @@
   }
 }
 
-void Actor::take_waiting(udp::socket& socket) {
-  for (std::size_t k = 0; k < kAtOnce; ++k) {
+void Actor::receive_pending(udp::socket& socket) {
+  for (std::size_t k = 0; k < kMaxBatch; ++k) {
     error_code error;
-    const auto bytes = socket.receive_from(asio::buffer(buffer_), from_, 0, error);
-    if (error) return;  // nothing more; or an error of one datagram, which is over with it
-    take(bytes, socket);
+    const auto bytes = socket.receive_from(asio::buffer(buffer_), sender_, 0, error);
+    if (error) return;  // none waits; or an error of one datagram, which is over with it
+    handle(bytes, socket);
   }
 }
 
-void Actor::take(std::size_t bytes, udp::socket& from) {
+void Actor::handle(std::size_t bytes, udp::socket& from) {
   const auto decoded = decode({buffer_.data(), bytes}, settings_.cluster);
-  if (const auto* bad = std::get_if<DecodeError>(&decoded)) return count(*bad);
+  if (const auto* error = std::get_if<DecodeError>(&decoded)) return count_decode_error(*error);
   if (const auto* query = std::get_if<StatusQuery>(&decoded)) return answer(*query, from);
   if (const auto* datagram = std::get_if<Datagram>(&decoded)) member_.receive(*datagram, bytes, now());
 }
 
-void Actor::count(DecodeError bad) {
-  ++bad_[std::size_t(bad)];
+void Actor::count_decode_error(DecodeError error) {
+  ++decode_errors_[std::size_t(error)];
   const auto at = now();
-  if (bad_told_ != TimePoint{} && at - bad_told_ < kBadTold) return;
-  bad_told_ = at;
-  log_.line(std::string("membership: datagrams left unread, the newest as ") + text_of(bad) + ": " +
-                std::to_string(bad_[std::size_t(bad)]) + " so far",
-            {{"event", "membership_bad_datagram"}, {"why", text_of(bad)}});
+  if (decode_error_logged_at_ != TimePoint{} && at - decode_error_logged_at_ < kMinLogInterval) return;
+  decode_error_logged_at_ = at;
+  log_.line(std::string("membership: datagrams left unread, the newest as ") + text_of(error) + ": " +
+                std::to_string(decode_errors_[std::size_t(error)]) + " so far",
+            {{"event", "membership_bad_datagram"}, {"why", text_of(error)}});
 }
 
 void Actor::dispatch_outputs() {
@@ -128,17 +131,17 @@
     send(s.via_secondary ? secondary_socket_ : socket_, endpoint_of(s.to),
          encode(s.datagram, settings_.cluster));
   const auto changes = member_.take_changes();
-  for (const auto& change : changes) metadata(change);
-  if (!changes.empty() || std::exchange(changed_, false))
+  for (const auto& change : changes) log_change(change);
+  if (!changes.empty() || std::exchange(view_due_, false))
     if (hooks_.view) hooks_.view(std::make_shared<const View>(make_view(member_, now())));
   timer_.cancel();
 }
 
-// Never waits: a full buffer loses it, as the network might.
+// Never waits: a full buffer loses the datagram, as the network might.
 void Actor::send(udp::socket& by, const udp::endpoint& to, const std::string& bytes) {
   error_code error;
   by.send_to(asio::buffer(bytes), to, 0, error);
-  if (error) ++unsent_;
+  if (error) ++unsent_datagrams_;
 }
 
 void Actor::change(Settings fresh) {
@@ -166,7 +169,7 @@
   dispatch_outputs();
 }
 
-void Actor::metadata(const Change& c) {
+void Actor::log_change(const Change& c) {
   const auto line = [&](std::string text, std::string_view event) {
     log_.line("membership: " + text, {{"event", event}, {"subject", c.name}});
   };
@@ -216,88 +219,104 @@
   }
 }
 
-// ---- The question of `granitegap members` ----
+// ---- Status queries of `granitegap members` and `granitegap recovery` ----
 
-bool Actor::is_authorized(const asio::ip::address& who) const {
-  if (who.is_loopback()) return true;
+bool Actor::is_authorized(const asio::ip::address& host) const {
+  if (host.is_loopback()) return true;
   const auto& roster = member_.roster();
   for (Index i = 0; i < roster.slot_count(); ++i)
-    if (roster.at(i).known && endpoint_of(roster.at(i).address).address() == who) return true;
+    if (roster.at(i).known && endpoint_of(roster.at(i).address).address() == host) return true;
   return false;
 }
 
-MemberStatusLine Actor::line_of(Index i) const {
+std::string Actor::name_of(std::uint64_t hash) const {
+  if (hash == name_hash(member_.self().name)) return member_.self().name;
   const auto& roster = member_.roster();
-  MemberStatusLine l;
-  const MemberMetadata* t = nullptr;
-  if (i == kNoMember) {
-    l.name = member_.self().name;
-    l.address = text_of(member_.self().address);
-    l.incarnation = member_.incarnation();
-    l.status = l.certain_status = leaving_ ? Status::left : Status::alive;
-    t = &member_.metadata();
-  } else {
-    const auto& e = roster.at(i);
-    l.name = e.name;
-    l.address = text_of(e.address);
-    l.incarnation = e.incarnation;
-    l.status = e.status;
-    l.certain_status = e.certain_status;
-    l.reachable = e.reachable && (e.status == Status::alive);
-    l.since_ms = std::uint64_t(
-        std::max<std::int64_t>(std::chrono::duration_cast<milliseconds>(now() - e.status_since).count(), 0));
-    t = &e.metadata;
-  }
-  l.zone = t->zone;
-  l.stage = t->stage;
-  l.warmup_percent = t->warmup_percent;
-  l.pressure_percent = t->pressure_percent;
-  l.recovery_status = t->recovery_status;
-  if (t->conflicting_address) l.conflicting_address = text_of(t->conflicting_address);
-  for (const auto& fault : t->links) {
-    std::string peer;
-    if (fault.peer == name_hash(member_.self().name)) peer = member_.self().name;
-    for (Index k = 0; k < roster.slot_count() && peer.empty(); ++k)
-      if (roster.at(k).known && roster.at(k).hash == fault.peer) peer = roster.at(k).name;
-    if (!peer.empty()) (fault.inbound ? l.unheard_from : l.not_reaching).push_back(peer);
+  for (Index i = 0; i < roster.slot_count(); ++i)
+    if (roster.at(i).known && roster.at(i).hash == hash) return roster.at(i).name;
+  return {};
+}
+
+MemberStatusLine Actor::own_status_line() const {
+  MemberStatusLine line;
+  line.name = member_.self().name;
+  line.address = text_of(member_.self().address);
+  line.incarnation = member_.incarnation();
+  line.status = leaving_ ? Status::left : Status::alive;
+  line.certain_status = line.status;
+  add_metadata(line, member_.metadata());
+  return line;
+}
+
+MemberStatusLine Actor::status_line_of(const MemberState& e) const {
+  MemberStatusLine line;
+  line.name = e.name;
+  line.address = text_of(e.address);
+  line.incarnation = e.incarnation;
+  line.status = e.status;
+  line.certain_status = e.certain_status;
+  line.reachable = e.reachable && e.status == Status::alive;
+  line.since_ms = std::uint64_t(std::max<std::int64_t>(to_milliseconds(now() - e.status_since), 0));
+  add_metadata(line, e.metadata);
+  return line;
+}
+
+void Actor::add_metadata(MemberStatusLine& line, const MemberMetadata& metadata) const {
+  line.zone = metadata.zone;
+  line.stage = metadata.stage;
+  line.warmup_percent = metadata.warmup_percent;
+  line.pressure_percent = metadata.pressure_percent;
+  line.recovery_status = metadata.recovery_status;
+  if (metadata.conflicting_address) line.conflicting_address = text_of(metadata.conflicting_address);
+  for (const auto& fault : metadata.links) {
+    auto peer = name_of(fault.peer);
+    if (peer.empty()) continue;
+    (fault.inbound ? line.unheard_from : line.not_reaching).push_back(std::move(peer));
   }
-  return l;
+}
+
+StatusReply Actor::status_header(const StatusQuery& query) const {
+  StatusReply reply;
+  reply.nonce = query.nonce;
+  reply.cluster = settings_.cluster;
+  reply.name = member_.self().name;
+  reply.incarnation = member_.incarnation();
+  reply.stage = member_.metadata().stage;
+  reply.local_connectivity = member_.local_connectivity();
+  reply.has_quorum = member_.has_quorum();
+  reply.uncertain = member_.uncertain();
+  reply.fleet_size = std::uint32_t(member_.fleet_size());
+  return reply;
 }
 
 void Actor::answer(const StatusQuery& query, udp::socket& by) {
-  if (!is_authorized(from_.address())) return;
-  StatusReply r;
-  r.nonce = query.nonce;
-  r.cluster = settings_.cluster;
-  r.name = member_.self().name;
-  r.incarnation = member_.incarnation();
-  r.stage = member_.metadata().stage;
-  r.local_connectivity = member_.local_connectivity();
-  r.has_quorum = member_.has_quorum();
-  r.uncertain = member_.uncertain();
-  r.fleet_size = std::uint32_t(member_.fleet_size());
+  if (!is_authorized(sender_.address())) return;
+  auto reply = status_header(query);
   if (query.recovery_report) {
-    if (hooks_.recovery_report) r.recovery_report = hooks_.recovery_report();
-    r.last = true;
-    while (r.recovery_report && encode(r).size() > kMaxDatagram && !r.recovery_report->sources.empty())
-      r.recovery_report->sources.pop_back();
-    return send(by, from_, encode(r));
+    if (hooks_.recovery_report) reply.recovery_report = hooks_.recovery_report();
+    reply.last = true;
+    while (reply.recovery_report && encode(reply).size() > kMaxDatagram &&
+           !reply.recovery_report->sources.empty())
+      reply.recovery_report->sources.pop_back();
+    return send(by, sender_, encode(reply));
   }
-  // By place, so that a list which changes between two questions names nobody twice.
+  // This member first, then the others by slot, so that a list that changes between two queries names nobody
+  // twice.
   const auto& roster = member_.roster();
   auto next = query.from;
   for (; next <= roster.slot_count(); ++next) {
-    if (next > 0 && !roster.at(next - 1).known) continue;
-    r.members.push_back(line_of(next == 0 ? kNoMember : next - 1));
-    r.next = next + 1;
-    if (encode(r).size() > kMaxDatagram) {
-      r.members.pop_back();
+    const bool own = next == 0;
+    if (!own && !roster.at(next - 1).known) continue;
+    reply.members.push_back(own ? own_status_line() : status_line_of(roster.at(next - 1)));
+    reply.next = next + 1;
+    if (encode(reply).size() > kMaxDatagram) {
+      reply.members.pop_back();
       break;
     }
   }
-  r.next = next;
-  r.last = next > roster.slot_count();
-  send(by, from_, encode(r));
+  reply.next = next;
+  reply.last = next > roster.slot_count();
+  send(by, sender_, encode(reply));
 }
 
 }  // namespace granitegap::membership_udp
--- a/src/membership_udp/codec.h
+++ b/src/membership_udp/codec.h
@@ -1,4 +1,5 @@
-// Datagrams as bytes: protobuf inside an envelope with a format version and a checksum. No socket.
+// Membership datagrams as bytes: protobuf (membership.proto) inside an envelope with a format version and a
+// checksum. No socket, no thread, no state. Errors: DecodeError.
 #pragma once
 #include <array>
 #include <boost/asio/ip/address.hpp>
@@ -15,42 +16,56 @@
 namespace granitegap::membership_udp {
 
 // Why bytes are not a datagram of this cluster. Each is counted; none changes anything.
-enum class DecodeError : std::uint8_t { oversized, foreign, checksum, other_cluster, malformed };
+enum class DecodeError : std::uint8_t {
+  oversized,      // over kMaxDatagram
+  foreign,        // without the envelope of this format
+  checksum,       // damaged
+  other_cluster,  // of another cluster
+  malformed       // no protobuf message, or a field out of its bounds
+};
 inline constexpr std::size_t kDecodeErrorCount = 5;
-const char* text_of(DecodeError bad);
+// The enumerator as it is printed.
+const char* text_of(DecodeError error);
 
-// What `granitegap members` asks and gets.
+// The request of `granitegap members` and `granitegap recovery`.
 struct StatusQuery {
-  std::uint32_t nonce = 0, from = 0;
-  bool recovery_report = false;  // only how it comes back, as `granitegap recovery` asks
+  std::uint32_t nonce = 0;
+  std::uint32_t from = 0;        // the first member wanted: StatusReply::next of the reply before
+  bool recovery_report = false;  // only the recovery report
 };
+// The state of a process' recovery. Percentages of 100, times in milliseconds.
 struct RecoveryReport {
   std::string phase, kind;
   std::uint64_t since_ms = 0, left_ms = 0, keyed_wait_ms = 0;
   std::uint8_t offered = 100, proven = 100;
   bool bounded = false;
   std::uint32_t recoveries = 0;
-  // First answer, good health, half, 0.95, full, and the guess of full; -1: not yet.
+  // First answer, good health, half, 0.95, full, and the estimate of full; -1: not yet.
   std::array<std::int64_t, 6> reached_ms{-1, -1, -1, -1, -1, -1};
+  // A donor of warm state, and the age of what it sent.
   struct Source {
     std::string name;
     std::uint64_t age_ms = 0;
   };
   std::vector<Source> sources;
 };
+// One member in a StatusReply.
 struct MemberStatusLine {
   std::string name, address, zone, conflicting_address;
   membership::Incarnation incarnation = 0;
   membership::Stage stage{};
   membership::Status status{}, certain_status{};
   bool reachable = true;
-  std::uint64_t since_ms = 0;
+  std::uint64_t since_ms = 0;  // in this status
   std::uint8_t warmup_percent = 0, pressure_percent = 0;
   membership::RecoveryStatus recovery_status;
-  std::vector<std::string> unheard_from, not_reaching;
+  std::vector<std::string> unheard_from;  // members whose datagrams don't arrive at it directly
+  std::vector<std::string> not_reaching;  // members at which its datagrams don't arrive directly
 };
+// The view of one process, or a part of it: as many members as one datagram takes.
 struct StatusReply {
-  std::uint32_t nonce = 0, next = 0;
+  std::uint32_t nonce = 0;
+  std::uint32_t next = 0;  // StatusQuery::from of the next part
   bool last = false;
   std::string cluster, name;
   membership::Incarnation incarnation = 0;
@@ -62,14 +77,15 @@
   std::optional<RecoveryReport> recovery_report;
 };
 
+// The bytes of one UDP datagram.
 std::string encode(const membership::Datagram& datagram, std::string_view cluster);
 std::string encode(const StatusQuery& query);
 std::string encode(const StatusReply& reply);
 using Decoded = std::variant<DecodeError, membership::Datagram, StatusQuery, StatusReply>;
-// A datagram only of this cluster; queries and replies belong to none.
+// Accepts datagrams of this cluster only; queries and replies belong to none.
 Decoded decode(std::string_view bytes, std::string_view cluster);
 
-// The same bytes with the checksum that fits them: for tests that damage what lies behind it.
+// The same bytes with a valid checksum: for tests that change what lies behind it.
 std::string reseal(std::string bytes);
 
 // "127.0.0.1:9101", "[::1]:9101".
--- a/src/membership_udp/status_client.cpp
+++ b/src/membership_udp/status_client.cpp
@@ -18,6 +18,12 @@
 
 namespace {
 
+namespace asio = boost::asio;
+using asio::ip::udp;
+using boost::system::error_code;
+using Clock = std::chrono::steady_clock;
+
+constexpr auto kRetryAfter = std::chrono::milliseconds(250);
 constexpr const char* kReached[] = {"first_answer_ms", "good_health_ms", "half_ms",
                                     "most_ms",         "full_ms",        "guess_ms"};
 
@@ -27,52 +33,69 @@
   return out.str();
 }
 
+// Sends one query and waits for its reply.
+class QuerySocket {
+ public:
+  explicit QuerySocket(const Address& address) : to_(endpoint_of(address)), socket_(io_, to_.protocol()) {}
+
+  // Absent where no reply came until then.
+  std::optional<StatusReply> query(std::uint32_t from, bool recovery_report, Clock::time_point until) {
+    const StatusQuery query{std::uint32_t(random_()) | 1, from, recovery_report};
+    error_code ignored;  // a port that nobody listens on may be bound a moment later
+    socket_.send_to(asio::buffer(encode(query)), to_, 0, ignored);
+    while (Clock::now() < until) {
+      const auto bytes = receive(until);
+      auto decoded = decode({buffer_.data(), bytes}, "");
+      auto* reply = std::get_if<StatusReply>(&decoded);
+      if (reply && reply->nonce == query.nonce) return std::move(*reply);
+    }
+    return std::nullopt;
+  }
+
+ private:
+  // The size of the next datagram; 0 after an error, or where none came until then.
+  std::size_t receive(Clock::time_point until) {
+    std::size_t received = 0;
+    socket_.async_receive(asio::buffer(buffer_), [&](const error_code& error, std::size_t bytes) {
+      if (!error) received = bytes;
+    });
+    io_.restart();
+    io_.run_until(until);
+    if (!io_.stopped()) {
+      error_code ignored;
+      socket_.cancel(ignored);
+      io_.run();
+    }
+    return received;
+  }
+
+  asio::io_context io_;
+  udp::endpoint to_;
+  udp::socket socket_;
+  std::mt19937 random_{std::random_device{}()};
+  std::array<char, 2048> buffer_{};
+};
+
 }  // namespace
 
-std::optional<StatusReply> query_status(const Address& address, std::chrono::milliseconds within,
+std::optional<StatusReply> query_status(const Address& address, std::chrono::milliseconds timeout,
                                         bool recovery_report) {
-  namespace asio = boost::asio;
-  using asio::ip::udp;
-  using Clock = std::chrono::steady_clock;
-  const auto end = Clock::now() + within;
-  asio::io_context io;
-  const auto to = endpoint_of(address);
-  udp::socket socket(io, to.protocol());
-  std::mt19937 random(std::random_device{}());
-  StatusReply whole;
+  const auto deadline = Clock::now() + timeout;
+  QuerySocket socket(address);
+  StatusReply complete;
   std::uint32_t from = 0;
-  std::array<char, 2048> buffer{};
-  while (Clock::now() < end) {
-    const StatusQuery query{std::uint32_t(random()) | 1, from, recovery_report};
-    boost::system::error_code error;
-    socket.send_to(asio::buffer(encode(query)), to, 0, error);
-    std::optional<StatusReply> got;
-    // Asked again where an answer is lost; a port that nobody listens on is told by the system, and may be
-    // bound a moment later.
-    const auto again = std::min(end, Clock::now() + std::chrono::milliseconds(250));
-    while (!got && Clock::now() < again) {
-      std::size_t bytes = 0;
-      socket.async_receive(asio::buffer(buffer), [&](const boost::system::error_code& e, std::size_t n) {
-        if (!e) bytes = n;
-      });
-      io.restart();
-      io.run_until(again);
-      if (!io.stopped()) {
-        socket.cancel(error);
-        io.run();
-      }
-      auto decoded = decode({buffer.data(), bytes}, "");
-      if (auto* reply = std::get_if<StatusReply>(&decoded); reply && reply->nonce == query.nonce)
-        got = std::move(*reply);
-    }
-    if (!got) continue;
-    auto lines = std::move(whole.members);
-    whole = std::move(*got);
-    lines.insert(lines.end(), whole.members.begin(), whole.members.end());
-    whole.members = std::move(lines);
-    if (whole.last) return whole;
-    if (whole.next <= from) return std::nullopt;
-    from = whole.next;
+  while (Clock::now() < deadline) {
+    // Retried where a reply is lost.
+    const auto retry_at = std::min(deadline, Clock::now() + kRetryAfter);
+    auto part = socket.query(from, recovery_report, retry_at);
+    if (!part) continue;
+    auto members = std::move(complete.members);
+    members.insert(members.end(), part->members.begin(), part->members.end());
+    complete = std::move(*part);
+    complete.members = std::move(members);
+    if (complete.last) return complete;
+    if (complete.next <= from) return std::nullopt;
+    from = complete.next;
   }
   return std::nullopt;
 }
--- a/src/membership_udp/status_client.h
+++ b/src/membership_udp/status_client.h
@@ -1,5 +1,5 @@
-// `granitegap members` and `granitegap recovery`: ask a process for its view of the fleet, and for how it
-// comes back.
+// The client of `granitegap members` and `granitegap recovery`: queries a process for its view of the fleet
+// or its recovery, and prints the reply. Blocking; owns its socket for the time of the call.
 #pragma once
 #include <chrono>
 #include <optional>
@@ -9,13 +9,13 @@
 
 namespace granitegap::membership_udp {
 
-// All lines in one Reply; absent where no whole answer came in time.
-std::optional<StatusReply> query_status(const membership::Address& address, std::chrono::milliseconds within,
+// All members in one reply; absent where no complete reply came within `timeout`.
+std::optional<StatusReply> query_status(const membership::Address& address, std::chrono::milliseconds timeout,
                                         bool recovery_report = false);
-// One object, or a table for a reader.
+// The view as one JSON object, and as a table.
 std::string to_json(const StatusReply& reply);
 std::string to_text(const StatusReply& reply);
-// The same of how it comes back.
+// The recovery report as one JSON object, and as text.
 std::string recovery_json(const StatusReply& reply);
 std::string recovery_text(const StatusReply& reply);
 
--- /dev/null
+++ b/src/membership_udp/wire_reader.h
@@ -0,0 +1,48 @@
+// Protobuf messages as values of the membership protocol: the reading half of the codec. Private to it.
+//
+// Every field is checked against its bounds. The first one out of bounds invalidates the whole message: the
+// values read are then meaningless, and valid() is false.
+#pragma once
+#include "membership.pb.h"
+#include "membership_udp/codec.h"
+
+namespace granitegap::membership_udp {
+
+class WireReader {
+ public:
+  // Whether all that was read so far is within its bounds.
+  bool valid() const { return valid_; }
+
+  membership::Datagram read_datagram(const membership::wire::Packet& packet);
+  StatusReply read(const membership::wire::StatusReply& reply);
+
+ private:
+  void require(bool condition) { valid_ = valid_ && condition; }
+  std::uint8_t percent(std::uint32_t value);
+  std::uint16_t port(std::uint32_t value);
+  template <class Enum>
+  Enum enumerator(std::uint32_t value, Enum last) {
+    require(value <= std::uint32_t(last));
+    return Enum(value);
+  }
+  // Printable ASCII without spaces.
+  std::string text(const std::string& value, std::size_t max_bytes);
+  std::string name(const std::string& value);
+  std::string optional_name(const std::string& value);
+  membership::Incarnation incarnation(std::uint64_t value);
+
+  membership::Address read(const membership::wire::Address& address);
+  membership::RecoveryStatus read(const membership::wire::RecoveryStatus& status);
+  membership::MemberMetadata read(const membership::wire::MemberMetadata& metadata);
+  membership::Record read(const membership::wire::Record& record);
+  membership::Sender read(const membership::wire::Sender& sender);
+  membership::SyncRequest read(const membership::wire::SyncRequest& request);
+  membership::SyncChunk read(const membership::wire::SyncChunk& chunk);
+  membership::Body read_body(const membership::wire::Packet& packet);
+  MemberStatusLine read(const membership::wire::MemberStatusLine& member);
+  RecoveryReport read(const membership::wire::RecoveryReport& report);
+
+  bool valid_ = true;
+};
+
+}  // namespace granitegap::membership_udp
