--- a/tests/admin_process_test.cpp
+++ b/tests/admin_process_test.cpp
@@ -9,15 +9,15 @@
 namespace granitegap::fleet {
 namespace {
 
-using standin::Caller;
+using standin::Client;
 
 TEST(AdminProcess, RepliesWhileDescriptorsAreUsedUpAndCallersAreIdle) {
   auto options = hot_restart_options();
-  options.sockets = 96;
+  options.max_sockets = 96;
   ServerProcesses server(options);
   server.start_healthy();
-  std::list<Caller> idle_clients;
-  for (int k = 0; k < 120; ++k) idle_clients.emplace_back(server.client_port()).check();
+  std::list<Client> idle_clients;
+  for (int k = 0; k < 120; ++k) idle_clients.emplace_back(server.client_port()).check_health();
   boost::asio::io_context io;
   std::list<boost::asio::ip::tcp::socket> idle_callers;
   for (int k = 0; k < 40; ++k) {
@@ -26,51 +26,51 @@
     const bool sends_half_a_line = k % 2 != 0;
     if (sends_half_a_line) boost::asio::write(caller, boost::asio::buffer("heal", 4));
   }
-  EXPECT_EQ(server.admin(kServer, "health"), "OK serving");
+  EXPECT_EQ(server.admin_command(kServer, "health"), "OK serving");
   for (const auto* line : {"", "Health", "health now", "\x01\xff", "quiescent"})
-    EXPECT_TRUE(server.admin(kServer, line).starts_with("ERR ")) << line;
-  EXPECT_EQ(server.admin(kServer, std::string(5000, 'x')), "ERR line too long");
-  EXPECT_EQ(server.admin(kServer, "health\r"), "OK serving");  // rejected lines changed nothing
+    EXPECT_TRUE(server.admin_command(kServer, line).starts_with("ERR ")) << line;
+  EXPECT_EQ(server.admin_command(kServer, std::string(5000, 'x')), "ERR line too long");
+  EXPECT_EQ(server.admin_command(kServer, "health\r"), "OK serving");  // rejected lines changed nothing
 }
 
 TEST(AdminProcess, QuiesceFailsHealthChecksAndStillServes) {
   ServerProcesses server(hot_restart_options());
   server.start_healthy();
-  Caller checks(server.client_port()), requests(server.client_port());
-  EXPECT_EQ(checks.check(), true);
+  Client checks(server.client_port()), requests(server.client_port());
+  EXPECT_EQ(checks.check_health(), true);
   for (int time = 0; time < 2; ++time) {
-    EXPECT_EQ(server.admin(kServer, "quiesce"), "OK quiesced");
-    EXPECT_EQ(checks.check(), false);
-    EXPECT_TRUE(is_served(requests.ask(kTile)));
+    EXPECT_EQ(server.admin_command(kServer, "quiesce"), "OK quiesced");
+    EXPECT_EQ(checks.check_health(), false);
+    EXPECT_TRUE(is_served(requests.call(kTile)));
     EXPECT_TRUE(is_served(server.ask()));
   }
-  EXPECT_EQ(server.admin(kServer, "health"), "OK quiesced");
+  EXPECT_EQ(server.admin_command(kServer, "health"), "OK quiesced");
 }
 
 TEST(AdminProcess, AReloadKeepsTheQuiescedStateAndResumeEndsIt) {
   ServerProcesses server(hot_restart_options());
   server.start_healthy();
-  Caller checks(server.client_port());
-  EXPECT_EQ(server.admin(kServer, "quiesce"), "OK quiesced");
-  EXPECT_EQ(checks.check(), false);
+  Client checks(server.client_port());
+  EXPECT_EQ(server.admin_command(kServer, "quiesce"), "OK quiesced");
+  EXPECT_EQ(checks.check_health(), false);
   server.send_signal(SIGHUP);
   ASSERT_TRUE(server.wait_for_log(kServer, "reload: kernel at"));
-  EXPECT_EQ(checks.check(), false);
-  EXPECT_EQ(server.admin(kServer, "resume"), "OK serving");
-  EXPECT_EQ(server.admin(kServer, "resume"), "OK serving");
-  EXPECT_EQ(checks.check(), true);
+  EXPECT_EQ(checks.check_health(), false);
+  EXPECT_EQ(server.admin_command(kServer, "resume"), "OK serving");
+  EXPECT_EQ(server.admin_command(kServer, "resume"), "OK serving");
+  EXPECT_EQ(checks.check_health(), true);
 }
 
 TEST(AdminProcess, ADrainingProcessCanNotBeResumed) {
   ServerProcesses server(hot_restart_options());
   server.start_healthy();
-  EXPECT_EQ(server.admin(kServer, "quiesce"), "OK quiesced");
-  Caller client(server.client_port());
-  server.end(kServer);
+  EXPECT_EQ(server.admin_command(kServer, "quiesce"), "OK quiesced");
+  Client client(server.client_port());
+  server.terminate(kServer);
   ASSERT_TRUE(server.wait_for_log(kServer, "notice to leave"));
-  EXPECT_EQ(server.admin(kServer, "resume"), "ERR stopping: nothing leads back");
-  EXPECT_EQ(server.admin(kServer, "health"), "ERR stopping");
-  EXPECT_EQ(client.check(), false);
+  EXPECT_EQ(server.admin_command(kServer, "resume"), "ERR stopping: nothing leads back");
+  EXPECT_EQ(server.admin_command(kServer, "health"), "ERR stopping");
+  EXPECT_EQ(client.check_health(), false);
   server.expect_graceful_shutdown(kServer);
 }
 
--- a/tests/membership_failure_detection_test.cpp
+++ b/tests/membership_failure_detection_test.cpp
@@ -140,7 +140,7 @@
   f.form();
   Rule r;
   r.delay = 3s;
-  r.shape = standin::Shape::even;
+  r.distribution = standin::LatencyDistribution::uniform;
   r.spread = 0.3;
   const auto id = f.fault_injector().add(r);
   f.run_for(30s);
--- a/tests/membership_simulation.h
+++ b/tests/membership_simulation.h
@@ -55,7 +55,7 @@
     r.from = std::move(from);
     r.to = std::move(to);
     r.both = both;
-    r.cut = true;
+    r.blocked = true;
     return fault_injector().add(r);
   }
   standin::FaultInjector::RuleId loss(double share) {
