--- a/tests/recovery_process_test.cpp
+++ b/tests/recovery_process_test.cpp
@@ -253,7 +253,7 @@
       s.taken_at.since_boot -= 1h;
       s.taken_at.unix_us -= 3'600'000'000;
     }
-    s.state.by = "n0";
+    s.state.process_name = "n0";
     s.state.endpoints = {{"e.example.org", "127.0.0.1", 9, 30s, 2, 80ms, 0s}};
     ASSERT_FALSE(snapshot::write_snapshot(f.state_folder("n0"), snapshot::encode(s)));
     f.up();
