--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -173,7 +173,7 @@
   config.parsed = parse_settings(config.settings_text);
   check_classes(config);
   for (const auto& request_class : config.parsed.settings.classes)
-    config.catalog.keyed.push_back(request_class.idempotency == Idempotency::with_key);
+    config.catalog.key_required.push_back(request_class.idempotency == Idempotency::with_key);
 }
 
 Config read(const Json& json) {
--- a/src/frames/frame_encoder.h
+++ b/src/frames/frame_encoder.h
@@ -10,10 +10,10 @@
 namespace granitegap::frames {
 
 // The response to a request, on the request's stream.
-void encode(const edge::Answer& answer, std::string& out);
+void encode(const edge::Response& answer, std::string& out);
 
 // The response to a health check, on the check's stream.
-void encode(const edge::HealthAnswer& answer, std::string& out);
+void encode(const edge::HealthResponse& answer, std::string& out);
 
 // An error of the connection as a whole, on stream 0. `reason`: for people.
 void encode_error(std::string_view reason, std::string& out);
--- a/src/net/outgoing_message.h
+++ b/src/net/outgoing_message.h
@@ -30,6 +30,6 @@
 // Tells the client to send no new requests on this connection.
 struct GoAway {};
 
-using OutgoingMessage = std::variant<edge::Answer, edge::HealthAnswer, ConnectionError, GoAway>;
+using OutgoingMessage = std::variant<edge::Response, edge::HealthResponse, ConnectionError, GoAway>;
 
 }  // namespace granitegap::net
--- a/tests/frame_decoder_test.cpp
+++ b/tests/frame_decoder_test.cpp
@@ -37,7 +37,7 @@
   decoder.add(std::string_view("\x00\x00\x00\x06\x06\x00\x00\x00\x02\x00", 10));
   const auto check = decoder.next();
   REQUIRE(check);
-  CHECK(std::get<edge::HealthCheck>(*check).from.stream == 2);
+  CHECK(std::get<edge::HealthCheck>(*check).reply_to.stream == 2);
 }
 
 std::string field(const std::string& name, const std::string& value) {
--- a/tests/kernel_line_codec_test.cpp
+++ b/tests/kernel_line_codec_test.cpp
@@ -20,10 +20,10 @@
     }
     REQUIRE(got.size() == 4);  // nothing is read past a malformed line
     CHECK(got[0].sequence == 7);
-    CHECK(std::get<edge::RunReport>(got[0].content).result == "\r\nx\n");
-    CHECK(std::get<edge::RunReport>(got[0].content).took == 1500us);
+    CHECK(std::get<edge::RunReport>(got[0].content).body == "\r\nx\n");
+    CHECK(std::get<edge::RunReport>(got[0].content).duration == 1500us);
     CHECK(std::get<kernel::SystemInfo>(got[1].content).gauges.values == std::vector<float>{0.5F, 2});
-    CHECK(std::get<edge::KernelStarted>(got[2].content).ago == 12ms);
+    CHECK(std::get<edge::KernelStarted>(got[2].content).uptime == 12ms);
     const auto& error = std::get<kernel::DecodeError>(got[3].content);
     CHECK(error.code == kernel::DecodeErrorCode::malformed_notice);
     CHECK(error.line == "WHAT");
