--- a/src/deps/scatter_gather_fleet.cpp
+++ b/src/deps/scatter_gather_fleet.cpp
@@ -185,7 +185,9 @@
     const bool is_useful = response.age < loaded_->max_useful_age(entry.dependency);
     if (!warm_state::is_within_limits(response) || !is_useful) continue;
     bytes += warm_state::size_of(response);
-    if (bytes > warm_state::kMaxCachedResponseBytes || to.cached_responses.size() >= warm_state::kMaxCachedResponses) break;
+    if (bytes > warm_state::kMaxCachedResponseBytes ||
+        to.cached_responses.size() >= warm_state::kMaxCachedResponses)
+      break;
     to.cached_responses.push_back(std::move(response));
   }
 }
@@ -218,7 +220,8 @@
 // The number of endpoints taken over: 0 or 1.
 std::size_t ScatterGather::restore_endpoint(const warm_state::Endpoint& endpoint, TimePoint now) {
   const EndpointSpec address{endpoint.host, endpoint.port};
-  const EndpointStats stats{endpoint.ejected_for, endpoint.latency, endpoint.latency_age, endpoint.consecutive_ejections};
+  const EndpointStats stats{endpoint.ejected_for, endpoint.latency, endpoint.latency_age,
+                            endpoint.consecutive_ejections};
   std::size_t restored = 0;
   for (auto& dependency : dependencies_) {
     if (dependency.spec.name != endpoint.dependency) continue;
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -73,21 +73,21 @@
   void carry_out(edge::CancelDependencyCall&& drop);
   void carry_out(edge::StateTransferRequested&& ask);
   void carry_out(edge::CacheFillReply&& answer);
-  boost::asio::awaitable<void> leave();
-  void end_all();
+  boost::asio::awaitable<void> drain_and_stop();
+  void stop();
   boost::asio::awaitable<void> hand_over(std::chrono::milliseconds within);
-  std::chrono::milliseconds time_to_hand_over() const;
-  void share_door();
+  std::chrono::milliseconds hand_over_time_limit() const;
+  void open_lease_table();
   admin::Reply answer(admin::Command call);
-  void join_fleet();
-  void learn_from_others();
-  warm_state::WarmState collect() const;
+  void create_membership_actor();
+  void create_state_transfer_actor();
+  warm_state::WarmState collect_warm_state() const;
   std::optional<membership_udp::RecoveryReport> recovery_report() const;
-  void keep_learned(const operators::OperatorConfig::Recovery& recovery);
+  void create_persistence_actor(const operators::OperatorConfig::Recovery& recovery);
 
   static edge::Edge make_edge(const config::Config& config, const Options& options, TimePoint started);
-  static std::size_t sockets_for_door(const Options& options);
-  static std::size_t sockets_for_peers(const config::Config& config, const Options& options);
+  static std::size_t cache_fill_descriptors(const Options& options);
+  static std::size_t client_descriptors(const config::Config& config, const Options& options);
 
   boost::asio::io_context& context_;
   config::Config config_;
@@ -97,15 +97,15 @@
   kernel::Link link_;
   load_report::LoadReporter load_reporter_;
   net::Listener listener_;
-  std::optional<deps_http::DependencyClient> caller_;
+  std::optional<deps_http::DependencyClient> dependency_client_;
   std::unique_ptr<membership_udp::Actor> fleet_;             // only where it is declared
   std::unique_ptr<snapshot::PersistenceActor> persistence_;  // the same
-  std::unique_ptr<state_transfer::Actor> learning_;
+  std::unique_ptr<state_transfer::Actor> state_transfer_;
   std::unique_ptr<cache_fill_http::CacheFillServer> cache_fill_server_;
   std::unique_ptr<admin::AdminServer> admin_;
-  std::optional<hot_restart::SharedLeaseTable> shared_;  // only where the door is shared
+  std::optional<hot_restart::SharedLeaseTable> lease_table_;  // only where the door is shared
   edge::EdgeActor::Clocks clocks_;
-  bool leaving_ = false;
+  bool draining_ = false;
 };
 
 }  // namespace granitegap
