--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -16,6 +16,7 @@
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cstdio>
+#include <exception>
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <sstream>
@@ -167,7 +168,9 @@
 }  // namespace
 }  // namespace granitegap::bench
 
-int main(int argc, char** argv) {
+namespace {
+
+int run_main(int argc, char** argv) {
   using namespace granitegap::bench;
   CLI::App app("Membership between real processes.", "granitegap_bench_membership");
   std::string file = SCENARIOS "/membership_loss.cue";
@@ -195,4 +198,16 @@
     std::fprintf(stderr, "granitegap_bench_membership: %s\n", error.what());
     return 1;
   }
+  return 0;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  try {
+    return run_main(argc, argv);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "granitegap_bench_membership: %s\n", error.what());
+    return 1;
+  }
 }
--- a/bench/membership_sim.cpp
+++ b/bench/membership_sim.cpp
@@ -12,6 +12,7 @@
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
+#include <exception>
 #include <nlohmann/json.hpp>
 
 #include "fleet/health_check_simulation.h"
@@ -231,7 +232,9 @@
 }  // namespace
 }  // namespace granitegap::bench
 
-int main(int argc, char** argv) {
+namespace {
+
+int run_main(int argc, char** argv) {
   using namespace granitegap::bench;
   RunOptions options;
   CLI::App app("Membership in a simulated fleet.", "granitegap_bench_membership_sim");
@@ -246,4 +249,16 @@
   CLI11_PARSE(app, argc, argv);
   const auto out = options.scenario == "probers" ? run_outage(options) : Run(options).execute();
   std::printf("%s\n", out.dump().c_str());
+  return 0;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  try {
+    return run_main(argc, argv);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "granitegap_bench_membership_sim: %s\n", error.what());
+    return 1;
+  }
 }
--- a/bench/micro.cpp
+++ b/bench/micro.cpp
@@ -8,6 +8,8 @@
 #include <benchmark/benchmark.h>
 #include <stdlib.h>
 
+#include <exception>
+
 #if defined(__GNUC__) && !defined(__clang__)
 #pragma GCC diagnostic ignored "-Wmismatched-new-delete"  // both are malloc and free here
 #endif
@@ -30,6 +32,8 @@
 namespace {
 std::atomic<std::size_t> allocations = 0;
 }
+// The replaced allocation functions own nothing: they count and pass on.
+// NOLINTBEGIN(cppcoreguidelines-owning-memory)
 void* operator new(std::size_t size) {
   ++allocations;
   if (void* p = std::malloc(size)) return p;
@@ -37,6 +41,7 @@
 }
 void operator delete(void* p) noexcept { std::free(p); }
 void operator delete(void* p, std::size_t) noexcept { std::free(p); }
+// NOLINTEND(cppcoreguidelines-owning-memory)
 
 namespace granitegap::deps {
 namespace {
@@ -339,7 +344,9 @@
 }  // namespace
 }  // namespace granitegap::deps
 
-int main(int argc, char** argv) {
+namespace {
+
+int run_main(int argc, char** argv) {
   using namespace granitegap::deps;
   benchmark::Initialize(&argc, argv);
   for (int i = 1; i + 1 < argc; i += 2) {
@@ -359,4 +366,16 @@
   Collect reporter;
   benchmark::RunSpecifiedBenchmarks(&reporter);
   std::printf("%s\n", figures.dump().c_str());
+  return 0;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  try {
+    return run_main(argc, argv);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "granitegap_bench_micro: %s\n", error.what());
+    return 1;
+  }
 }
--- a/bench/recovery.cpp
+++ b/bench/recovery.cpp
@@ -23,6 +23,7 @@
 #include <atomic>
 #include <cmath>
 #include <cstdio>
+#include <exception>
 #include <fstream>
 #include <future>
 #include <nlohmann/json.hpp>
@@ -246,6 +247,7 @@
   // Where each serves; looked up once a life, as a list would tell it.
   std::mutex mutex;
   std::vector<std::uint16_t> ports;
+  ports.reserve(names.size());
   for (const auto& n : names) ports.push_back(f.port(n));
   LoadGenerator load(c, size, [&](std::size_t n) {
     const std::lock_guard lock(mutex);
@@ -375,9 +377,9 @@
 std::variant<Scenario, std::vector<typed_config::Error>> read(const std::string& path) {
   const auto document = typed_config::load(path);
   if (const auto* error = std::get_if<typed_config::Error>(&document)) return std::vector{*error};
-  static const auto schema =
+  static const auto kSchema =
       std::get<typed_config::Document>(typed_config::parse(kRecoverySchema, "recovery.schema.cue"));
-  auto checked = typed_config::validate(std::get<typed_config::Document>(document), schema, "#Scenario");
+  auto checked = typed_config::validate(std::get<typed_config::Document>(document), kSchema, "#Scenario");
   if (auto* errors = std::get_if<std::vector<typed_config::Error>>(&checked)) return std::move(*errors);
   const auto& v = std::get<typed_config::Value>(checked);
   Scenario s;
@@ -406,7 +408,9 @@
 }  // namespace
 }  // namespace granitegap::bench
 
-int main(int argc, char** argv) {
+namespace {
+
+int run_main(int argc, char** argv) {
   using namespace granitegap::bench;
   CLI::App app("Coming back after a mass restart.", "granitegap_bench_recovery");
   std::string file = SCENARIOS "/recovery_most.cue", program = PROGRAM;
@@ -452,4 +456,16 @@
     std::fprintf(stderr, "granitegap_bench_recovery: %s\n", e.what());
     return 1;
   }
+  return 0;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  try {
+    return run_main(argc, argv);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "granitegap_bench_recovery: %s\n", error.what());
+    return 1;
+  }
 }
--- a/bench/recovery_sim.cpp
+++ b/bench/recovery_sim.cpp
@@ -11,6 +11,7 @@
 // The last line is one JSON object. `stayed_down`: plays of `seeds` in which the fleet never came back.
 #include <CLI/CLI.hpp>
 #include <cstdio>
+#include <exception>
 #include <nlohmann/json.hpp>
 
 #include "fleet/recovery_simulation.h"
@@ -65,7 +66,9 @@
 }  // namespace
 }  // namespace granitegap
 
-int main(int argc, char** argv) {
+namespace {
+
+int run_main(int argc, char** argv) {
   using granitegap::fleet::RecoverySimulationOptions;
   RecoverySimulationOptions o;
   std::uint64_t seeds = 1;
@@ -117,4 +120,16 @@
                                         {"worth", series}};
   }
   std::printf("%s\n", out.dump().c_str());
+  return 0;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  try {
+    return run_main(argc, argv);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "granitegap_bench_recovery_sim: %s\n", error.what());
+    return 1;
+  }
 }
--- a/src/common/overloaded.h
+++ b/src/common/overloaded.h
@@ -8,5 +8,8 @@
 struct Overloaded : Cases... {
   using Cases::operator()...;
 };
+// Clang before 17 does not deduce the arguments of an aggregate without it.
+template <class... Cases>
+Overloaded(Cases...) -> Overloaded<Cases...>;
 
 }  // namespace granitegap
--- a/src/deps/response_cache.cpp
+++ b/src/deps/response_cache.cpp
@@ -105,7 +105,7 @@
   index_.erase(entry.key.low, i);
   entry.body.reset();
   entry.path = {};
-  entry.segment = free_slot;
+  entry.segment = kFreeSlot;
   free_.push_back(i);
 }
 
@@ -130,11 +130,11 @@
   sketch_.record(key);
   const auto i = lookup(key);
   if (i == kNone) return std::nullopt;
-  move_to(i, entries_[i].segment == window_segment ? window_segment : protected_segment);
+  move_to(i, entries_[i].segment == kWindowSegment ? kWindowSegment : kProtectedSegment);
   // What exceeds the protected segment's share goes back on probation, oldest first.
   const auto max_protected_bytes = std::size_t(double(max_bytes_) * kProtectedShare);
-  while (lists_[protected_segment].bytes > max_protected_bytes && lists_[protected_segment].oldest != i)
-    move_to(lists_[protected_segment].oldest, probation_segment);
+  while (lists_[kProtectedSegment].bytes > max_protected_bytes && lists_[kProtectedSegment].oldest != i)
+    move_to(lists_[kProtectedSegment].oldest, kProbationSegment);
   const auto& entry = entries_[i];
   return Hit{entry.body, std::max(now - entry.stored_at, Duration{})};
 }
@@ -147,7 +147,7 @@
 
 std::vector<ResponseCache::HotEntry> ResponseCache::hottest(std::size_t max_entries) const {
   std::vector<std::pair<std::uint32_t, Index>> by_frequency;
-  for (const auto segment : {protected_segment, probation_segment, window_segment})
+  for (const auto segment : {kProtectedSegment, kProbationSegment, kWindowSegment})
     for (auto i = lists_[segment].newest; i != kNone && by_frequency.size() < max_entries;
          i = entries_[i].older)
       by_frequency.push_back({sketch_.estimate(entries_[i].key), i});
@@ -177,7 +177,7 @@
     bytes_ += charge(entry);
     ++size_;
     index_.put(key.low, i);
-    push_newest(i, window_segment);
+    push_newest(i, kWindowSegment);
   }
   evict_to_capacity();
 }
@@ -198,9 +198,9 @@
 void ResponseCache::evict_to_capacity() {
   const auto max_window_bytes = std::max(std::size_t(double(max_bytes_) * kWindowShare),
                                          std::min(max_bytes_, kEntryOverheadBytes + kTypicalBodyBytes));
-  while (lists_[window_segment].bytes > max_window_bytes && lists_[window_segment].oldest != kNone) {
-    const auto candidate = lists_[window_segment].oldest;
-    move_to(candidate, probation_segment);
+  while (lists_[kWindowSegment].bytes > max_window_bytes && lists_[kWindowSegment].oldest != kNone) {
+    const auto candidate = lists_[kWindowSegment].oldest;
+    move_to(candidate, kProbationSegment);
     admit_or_evict(candidate);
   }
   while (bytes_ > max_bytes_) {
@@ -214,8 +214,8 @@
 // key has been asked for more often.
 void ResponseCache::admit_or_evict(Index candidate) {
   while (bytes_ > max_bytes_) {
-    auto victim = lists_[probation_segment].oldest;
-    if (victim == candidate) victim = lists_[protected_segment].oldest;
+    auto victim = lists_[kProbationSegment].oldest;
+    if (victim == candidate) victim = lists_[kProtectedSegment].oldest;
     if (victim == kNone) return erase(candidate);
     const bool is_admitted =
         sketch_.estimate(entries_[candidate].key) > sketch_.estimate(entries_[victim].key);
@@ -225,7 +225,7 @@
 }
 
 ResponseCache::Index ResponseCache::oldest_entry() const {
-  for (const auto segment : {probation_segment, protected_segment, window_segment})
+  for (const auto segment : {kProbationSegment, kProtectedSegment, kWindowSegment})
     if (lists_[segment].oldest != kNone) return lists_[segment].oldest;
   return kNone;
 }
--- a/src/deps/response_cache.h
+++ b/src/deps/response_cache.h
@@ -86,7 +86,7 @@
   using Index = std::uint32_t;
   static constexpr Index kNone = ~Index(0);
   static constexpr std::size_t kSegments = 3;
-  enum Segment : std::uint8_t { window_segment, probation_segment, protected_segment, free_slot };
+  enum Segment : std::uint8_t { kWindowSegment, kProbationSegment, kProtectedSegment, kFreeSlot };
   struct Entry {
     CacheKey key;
     SharedBody body;
@@ -94,7 +94,7 @@
     TimePoint stored_at{};
     std::uint32_t dependency = 0;
     Index newer = kNone, older = kNone;  // neighbours in the segment's list
-    Segment segment = free_slot;
+    Segment segment = kFreeSlot;
   };
   struct List {
     Index newest = kNone, oldest = kNone;
--- a/src/deps_http/dependency_client.cpp
+++ b/src/deps_http/dependency_client.cpp
@@ -123,6 +123,8 @@
       max_connections_(max_connections),
       on_completed_(std::move(on_completed)) {}
 
+// Sockets are closed with error codes; the check follows overloads that throw.
+// NOLINTNEXTLINE(bugprone-exception-escape)
 DependencyClient::~DependencyClient() { close_all(); }
 
 void DependencyClient::close_all() {
--- a/src/deps_http/dependency_client.h
+++ b/src/deps_http/dependency_client.h
@@ -32,7 +32,7 @@
                    CompletionCallback on_completed);
   DependencyClient(const DependencyClient&) = delete;
   DependencyClient& operator=(const DependencyClient&) = delete;
-  ~DependencyClient();
+  ~DependencyClient();  // NOLINT(bugprone-exception-escape): as at its definition
 
   void start(edge::DependencyCall request);
   // Closes the call's connection, as a half-read one cannot carry another call. No effect on unknown ids.
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -187,7 +187,7 @@
   Duration spread_retry_after(Duration advised);
   void finish_follower(RequestId id, IdempotencyTable::RunState state, const PayloadPtr& payload);
   // Ends the request; its followers get the payload.
-  void close_request(RequestId id, IdempotencyTable::RunState state, PayloadPtr payload);
+  void close_request(RequestId id, IdempotencyTable::RunState state, const PayloadPtr& payload);
 
   // ---- Runs: edge_runs.cpp ----
   void enter_stage(OpenRequest& open, RequestStage stage);
@@ -195,7 +195,7 @@
   bool refuse_run(RequestId id, OpenRequest& open);  // true: it must not run, and is closed
   bool acquire_key_lease(const Request& request);
   std::optional<RequestId> find_running(const std::string& rid);
-  void finish_run(RequestId id, RunResult result, Duration duration, PayloadPtr payload);
+  void finish_run(RequestId id, RunResult result, Duration duration, const PayloadPtr& payload);
   void finish_preemption(RequestId id, OpenRequest& open, Duration duration);
   void discard_run(RequestId id, const OpenRequest& open);
   Duration latency_objective(ClassId cls) const;
--- a/src/edge/edge_recovery.cpp
+++ b/src/edge/edge_recovery.cpp
@@ -98,7 +98,7 @@
 
 void Edge::log_recovery() {
   for (const auto& event : recovery_->take_events()) {
-    if (event.type == recovery::RecoveryEvent::pause_detected)
+    if (event.type == recovery::RecoveryEvent::Type::pause_detected)
       outputs_.emplace_back(StateTransferRequested{});
     outputs_.emplace_back(describe(event, *recovery_, now_.steady));
   }
--- a/src/edge/edge_requests.cpp
+++ b/src/edge/edge_requests.cpp
@@ -201,7 +201,7 @@
 
 // ---- The end ----
 
-void Edge::close_request(RequestId id, IdempotencyTable::RunState state, PayloadPtr payload) {
+void Edge::close_request(RequestId id, IdempotencyTable::RunState state, const PayloadPtr& payload) {
   const auto open = open_.remove(id);
   keys_.record_end(open.request, id, state, payload);
   keys_.remove_queued(open.request, id);
--- a/src/edge/edge_runs.cpp
+++ b/src/edge/edge_runs.cpp
@@ -106,7 +106,7 @@
   open.stage = kernel_can_pause ? RequestStage::paused : RequestStage::queued;
 }
 
-void Edge::finish_run(RequestId id, RunResult result, Duration duration, PayloadPtr payload) {
+void Edge::finish_run(RequestId id, RunResult result, Duration duration, const PayloadPtr& payload) {
   auto& open = open_.at(id);
   const bool succeeded = result == RunResult::ok;
   events_.emplace_back(RunEnded{id, result, duration});
@@ -118,7 +118,7 @@
   }
   respond(open, succeeded ? Outcome::served : Outcome::failed, payload);
   const auto state = succeeded ? IdempotencyTable::RunState::succeeded : IdempotencyTable::RunState::failed;
-  close_request(id, state, std::move(payload));
+  close_request(id, state, payload);
 }
 
 // The kernel's protocol names no way to make a call for a run: the request is given up at once, and the
--- a/src/edge/recovery_log.cpp
+++ b/src/edge/recovery_log.cpp
@@ -59,16 +59,16 @@
 
 LogEvent describe(const RecoveryEvent& event, const RecoveryController& recovery, TimePoint now) {
   switch (event.type) {
-    case RecoveryEvent::phase_changed:
+    case RecoveryEvent::Type::phase_changed:
       return phase_changed(event, recovery, now);
-    case RecoveryEvent::scope_changed:
+    case RecoveryEvent::Type::scope_changed:
       return {std::string("recovery: this start is ") + scope_text(event.scope), "recovery_kind",
               recovery::text_of(event.scope)};
-    case RecoveryEvent::entered_service:
+    case RecoveryEvent::Type::entered_service:
       return recovered(recovery);
-    case RecoveryEvent::pause_detected:
+    case RecoveryEvent::Type::pause_detected:
       return {"recovery: this process stood still for long: what it remembers is old", "recovery_paused", {}};
-    case RecoveryEvent::overload_guard_changed:
+    case RecoveryEvent::Type::overload_guard_changed:
       break;
   }
   return wait_bound_changed(event.overload_guard);
--- a/src/kernel/link.cpp
+++ b/src/kernel/link.cpp
@@ -210,7 +210,8 @@
 
 // No notice may be dropped: while the mailbox is full the link stops reading, and the kernel waits with it.
 asio::awaitable<void> Link::forward(edge::Input input) {
-  while (!inputs_.post(std::move(input))) {
+  // A mailbox that does not take a message leaves it where it is.
+  while (!inputs_.post(std::move(input))) {  // NOLINT(bugprone-use-after-move)
     if (inputs_.closed()) co_return;
     asio::steady_timer pause(executor_, kFullMailboxPause);
     error_code ignored;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -8,6 +8,7 @@
 #include <exception>
 #include <functional>
 #include <thread>
+#include <variant>
 
 #include "membership_udp/status_client.h"
 #include "net/inherited_socket.h"
@@ -26,14 +27,14 @@
   bool plain = false, plain_membership = false;
 };
 
-int tell(const operators::Errors& errors) {
+int print(const operators::Errors& errors) {
   for (const auto& e : errors) std::fprintf(stderr, "%s\n", e.text().c_str());
   return kUnusable;
 }
 
 int check(const std::string& path) {
   auto declared = operators::load(path);
-  if (const auto* errors = std::get_if<operators::Errors>(&declared)) return tell(*errors);
+  if (const auto* errors = std::get_if<operators::Errors>(&declared)) return print(*errors);
   auto& good = std::get<operators::OperatorConfig>(declared);
   // With the platform's settings at hand its classes are held against them too.
   if (const char* platform = std::getenv("EDGE_CONFIG")) {
@@ -44,96 +45,122 @@
     }
     if (const auto errors = operators::resolve_classes(good, std::get<config::Config>(loaded).catalog);
         !errors.empty())
-      return tell(errors);
+      return print(errors);
   }
   std::fputs(typed_config::print(good.values).c_str(), stdout);
   return 0;
 }
 
-int serve(const Options& options) {
-  std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGHUP, SIG_IGN);  // until it can be heeded: unhandled it would end the process
-  const char* path = std::getenv("EDGE_CONFIG");
-  if (!path) {
-    std::fputs("granitegap: EDGE_CONFIG is not set\n", stderr);
-    return kUnusable;
-  }
-  auto loaded = config::load(path);
-  if (const auto* problem = std::get_if<config::ConfigError>(&loaded)) {
-    std::fprintf(stderr, "granitegap: EDGE_CONFIG %s: %s\n", path, problem->message().c_str());
-    return kUnusable;
+int report(const std::string& problem) {
+  std::fprintf(stderr, "granitegap: %s\n", problem.c_str());
+  return kUnusable;
+}
+
+// A Server's options, or the exit status once an error has been printed.
+using ServerOptions = std::variant<Server::Options, int>;
+
+// What the operator file declares, checked against the platform's settings. Empty where no file is named.
+std::variant<std::optional<operators::OperatorConfig>, int> read_operator_file(const std::string& path,
+                                                                               const config::Config& config) {
+  if (path.empty()) return std::optional<operators::OperatorConfig>{};
+  auto loaded = operators::load(path);
+  if (const auto* errors = std::get_if<operators::Errors>(&loaded)) return print(*errors);
+  auto& declared = std::get<operators::OperatorConfig>(loaded);
+  if (const auto errors = operators::resolve_classes(declared, config.catalog); !errors.empty())
+    return print(errors);
+  return std::optional(std::move(declared));
+}
+
+// The admin address; the environment wins over the file, as two processes may share one file.
+// Empty where none is configured.
+std::variant<std::optional<config::Endpoint>, int> read_admin_address(const config::Config& config) {
+  auto admin = config.admin;
+  if (const char* text = std::getenv("EDGE_ADMIN_ADDR"); text && *text) {
+    admin = config::read_endpoint(text);
+    if (!admin) return report(std::string("EDGE_ADMIN_ADDR is no address with a port: ") + text);
   }
-  auto& config = std::get<config::Config>(loaded);
+  if (!admin) return admin;
+  boost::system::error_code error;
+  boost::asio::ip::make_address(admin->host, error);
+  if (error) return report("the operators' door: not a numeric address: " + admin->host);
+  return admin;
+}
+
+// Without calls allowed, a request that gathers would wait until its deadline for a permission to call.
+bool gathers_without_calls(const operators::OperatorConfig& declared, const config::Config& config) {
+  const auto& settings = config.parsed.settings;
+  const bool calls_allowed = settings.downstream == Downstream::none || settings.call_quota.value_or(0) > 0;
+  return !declared.spec.gathers.empty() && !calls_allowed;
+}
+
+ServerOptions read_server_options(const Options& options, const config::Config& config) {
   Server::Options server_options;
   server_options.log = options.log;
   server_options.protect_calls = !options.plain;
-  if (!options.operator_file.empty()) {
-    auto declared = operators::load(options.operator_file);
-    if (const auto* errors = std::get_if<operators::Errors>(&declared)) return tell(*errors);
-    server_options.declared = std::get<operators::OperatorConfig>(std::move(declared));
-    if (const auto errors = operators::resolve_classes(*server_options.declared, config.catalog);
-        !errors.empty())
-      return tell(errors);
-  }
-  const auto refuse = [](const std::string& what) {
-    std::fprintf(stderr, "granitegap: %s\n", what.c_str());
-    return kUnusable;
-  };
-  // The environment wins over the file: of two processes on one file it alone tells them apart.
-  server_options.admin = config.admin;
-  if (const char* text = std::getenv("EDGE_ADMIN_ADDR"); text && *text) {
-    server_options.admin = config::read_endpoint(text);
-    if (!server_options.admin)
-      return refuse(std::string("EDGE_ADMIN_ADDR is no address with a port: ") + text);
-  }
-  if (server_options.admin) {
-    boost::system::error_code error;
-    boost::asio::ip::make_address(server_options.admin->host, error);
-    if (error) return refuse("the operators' door: not a numeric address: " + server_options.admin->host);
-  }
+  auto declared = read_operator_file(options.operator_file, config);
+  if (const auto* status = std::get_if<int>(&declared)) return *status;
+  server_options.declared = std::get<std::optional<operators::OperatorConfig>>(std::move(declared));
+  auto admin = read_admin_address(config);
+  if (const auto* status = std::get_if<int>(&admin)) return *status;
+  server_options.admin = std::get<std::optional<config::Endpoint>>(std::move(admin));
   if (const char* text = std::getenv("EDGE_FD"); text && *text) {
     auto listener = net::adopt_inherited_listener(text);
     if (const auto* error = std::get_if<net::InheritedSocketError>(&listener))
-      return refuse("EDGE_FD " + error->text());
+      return report("EDGE_FD " + error->text());
     server_options.inherited_listener = std::get<net::FileDescriptor>(std::move(listener));
     if (const char* folder = std::getenv("TMPDIR")) server_options.lease_folder = folder;
   }
   if (server_options.declared && server_options.declared->membership)
     server_options.declared->membership->options.baseline_mode = options.plain_membership;
-  // Guards against gathers that wait until they are due for a leave that the module can never give.
-  const auto& settings = config.parsed.settings;
-  if (server_options.declared && !server_options.declared->spec.gathers.empty() &&
-      settings.downstream != Downstream::none && settings.call_quota.value_or(0) <= 0) {
-    std::fprintf(stderr,
-                 "granitegap: %s: the platform's settings allow no calls: expected downstream none, or a "
-                 "call_share above 0\n",
-                 options.operator_file.c_str());
-    return kUnusable;
-  }
+  if (server_options.declared && gathers_without_calls(*server_options.declared, config))
+    return report(
+        options.operator_file +
+        ": the platform's settings allow no calls: expected downstream none, or a call_share above 0");
+  return server_options;
+}
+
+// Runs a server until SIGTERM has been answered. Throws where an address can't be had.
+void run_server(const char* config_path, config::Config config, const std::string& operator_file,
+                Server::Options server_options) {
+  boost::asio::io_context context(1);
+  // Before the listener opens: a signal must not kill a process that has connections in its backlog.
+  boost::asio::signal_set stop_signals(context, SIGTERM, SIGINT);
+  boost::asio::signal_set reload_signal(context, SIGHUP);
+  Server server(context, std::move(config), std::move(server_options));
+  stop_signals.async_wait([&](const boost::system::error_code& error, int) {
+    if (!error) server.drain();
+  });
+  std::function<void(const boost::system::error_code&, int)> reload = [&](const auto& error, int) {
+    if (error) return;
+    reload_signal.async_wait(reload);
+    server.reload(config::load(config_path));
+    if (!operator_file.empty()) server.reload(operators::load(operator_file));
+  };
+  reload_signal.async_wait(reload);
+  server.start();
+  context.run();
+  // All is answered: a thread that waits for a hung disk must not hold the process until the kill.
+  if (server.has_blocked_disk_thread()) std::_Exit(0);
+}
+
+int serve(const Options& options) {
+  std::signal(SIGPIPE, SIG_IGN);
+  std::signal(SIGHUP, SIG_IGN);  // until it can be handled: unhandled it would end the process
+  const char* path = std::getenv("EDGE_CONFIG");
+  if (!path) return report("EDGE_CONFIG is not set");
+  auto loaded = config::load(path);
+  if (const auto* error = std::get_if<config::ConfigError>(&loaded))
+    return report(std::string("EDGE_CONFIG ") + path + ": " + error->message());
+  auto& config = std::get<config::Config>(loaded);
+  auto server_options = read_server_options(options, config);
+  if (const auto* status = std::get_if<int>(&server_options)) return *status;
   try {
-    boost::asio::io_context context(1);
-    // Before the door opens: guards against a notice that kills what already has connections in its backlog.
-    boost::asio::signal_set notice(context, SIGTERM, SIGINT);
-    boost::asio::signal_set fresh_config(context, SIGHUP);
-    Server server(context, std::move(config), std::move(server_options));
-    notice.async_wait([&](const boost::system::error_code& error, int) {
-      if (!error) server.drain();
-    });
-    std::function<void(const boost::system::error_code&, int)> reload = [&](const auto& error, int) {
-      if (error) return;
-      fresh_config.async_wait(reload);
-      server.reload(config::load(path));
-      if (!options.operator_file.empty()) server.reload(operators::load(options.operator_file));
-    };
-    fresh_config.async_wait(reload);
-    server.start();
-    context.run();
-    // Guards against an end that waits for a disk that hangs: all is answered, and the kill would come.
-    if (server.has_blocked_disk_thread()) std::_Exit(0);
-  } catch (const AddressError& e) {
-    return refuse(e.what());
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "granitegap: %s\n", e.what());
+    run_server(path, std::move(config), options.operator_file,
+               std::get<Server::Options>(std::move(server_options)));
+  } catch (const AddressError& error) {
+    return report(error.what());
+  } catch (const std::exception& error) {
+    report(error.what());
     return 1;
   }
   return 0;
@@ -229,4 +256,11 @@
 }  // namespace
 }  // namespace granitegap
 
-int main(int argc, char** argv) { return granitegap::run(argc, argv); }
+int main(int argc, char** argv) {
+  try {
+    return granitegap::run(argc, argv);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "granitegap: %s\n", error.what());
+    return 1;
+  }
+}
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -97,8 +97,8 @@
       ++k;
       continue;
     }
-    const auto ended = std::move(probe);
-    probes_[k] = std::move(probes_.back());
+    const auto ended = probe;
+    probes_[k] = probes_.back();
     probes_.pop_back();
     finish_probe(ended);
   }
--- a/src/membership/member_probe.cpp
+++ b/src/membership/member_probe.cpp
@@ -59,7 +59,7 @@
   probe.late_at = options_.baseline_mode ? kNever : now_ + probe_timeout(e);
   probe.ends_at = now_ + options_.period * (options_.baseline_mode ? 1u : local_health_.multiplier());
   send_about(target, Ping{probe.nonce, e.name, {}});
-  probes_.push_back(std::move(probe));
+  probes_.push_back(probe);
   // Where the direct link is known to be broken the other ways are tried at once.
   if (!e.link_broken) return;
   ping_via_secondary(target, probes_.back().nonce);
--- a/src/membership_udp/actor.cpp
+++ b/src/membership_udp/actor.cpp
@@ -170,7 +170,7 @@
 }
 
 void Actor::log_change(const Change& c) {
-  const auto line = [&](std::string text, std::string_view event) {
+  const auto line = [&](const std::string& text, std::string_view event) {
     log_.line("membership: " + text, {{"event", event}, {"subject", c.name}});
   };
   const auto i = member_.roster().find(c.name);
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -9,6 +9,7 @@
 #include <cerrno>
 #include <utility>
 
+#include "common/overloaded.h"
 #include "frames/frame_encoder.h"
 
 namespace granitegap::net {
@@ -41,13 +42,6 @@
   return ::recv(socket.native_handle(), nullptr, kDiscardBytes, MSG_TRUNC | MSG_DONTWAIT);
 }
 
-template <class... Handlers>
-struct Overloaded : Handlers... {
-  using Handlers::operator()...;
-};
-template <class... Handlers>
-Overloaded(Handlers...) -> Overloaded<Handlers...>;
-
 }  // namespace
 
 std::string ConnectionError::reason() const {
--- a/src/operators/operator_config.cpp
+++ b/src/operators/operator_config.cpp
@@ -72,9 +72,9 @@
 }
 
 const typed_config::Document& schema() {
-  static const auto document =
+  static const auto kDocument =
       std::get<typed_config::Document>(typed_config::parse(kOperatorSchema, "operator.schema.cue"));
-  return document;
+  return kDocument;
 }
 
 std::optional<deps::EndpointSpec> parse_endpoint(const std::string& text) {
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -38,7 +38,7 @@
 Request& AdmissionController::Impl::add_request(const RequestArrived& arrival) {
   Request fresh;
   fresh.arrival = arrival;
-  auto& request = requests.emplace(arrival.id, std::move(fresh)).first->second;
+  auto& request = requests.emplace(arrival.id, fresh).first->second;
   const auto& request_class = class_of(request);
   request.phase_since = now;
   request.arrived_at = now - std::clamp(arrival.unread_wait, Duration{}, kMaxUnreadWait);
--- a/src/recovery/recovery_controller.cpp
+++ b/src/recovery/recovery_controller.cpp
@@ -49,7 +49,7 @@
   phase_ = phase;
   phase_since_ = now;
   step_ = {.began = now};
-  report(RecoveryEvent::phase_changed);
+  report(RecoveryEvent::Type::phase_changed);
   if (phase != Phase::slow_start) return;
   calm_since_ = now;
   timeline_.estimated_in_service = elapsed(now) + remaining(now);
@@ -66,7 +66,7 @@
 void RecoveryController::set_overload_guard(bool active) {
   if (overload_guard_ == active) return;
   overload_guard_ = active;
-  report(RecoveryEvent::overload_guard_changed);
+  report(RecoveryEvent::Type::overload_guard_changed);
 }
 
 void RecoveryController::on_fleet_status(const FleetStatus& status, TimePoint now) {
@@ -115,7 +115,7 @@
   scope_lower_since_.reset();
   if (observed == RestartScope::unknown || observed == scope_) return;
   scope_ = observed;
-  report(RecoveryEvent::scope_changed);
+  report(RecoveryEvent::Type::scope_changed);
 }
 
 void RecoveryController::on_state_transferred(std::size_t donors, TimePoint now) {
@@ -185,7 +185,7 @@
 }
 
 void RecoveryController::on_pause(TimePoint now) {
-  report(RecoveryEvent::pause_detected);
+  report(RecoveryEvent::Type::pause_detected);
   if (!kernel_ready_) return;
   advertised_share_ = verified_share_ =
       std::max(options_.initial_share, verified_share_ * kShareKeptAfterPause);
@@ -206,7 +206,7 @@
   const auto since = elapsed(now) - (calm ? options_.calm_period : Duration{});
   timeline_.in_service = std::max(timeline_.nearly_full_share.value_or(Duration{}), since);
   enter(Phase::in_service, now);
-  report(RecoveryEvent::entered_service);
+  report(RecoveryEvent::Type::entered_service);
 }
 
 // Rejections without a break on a process in service: the same metastable state can be reached without a
--- a/src/recovery/recovery_controller.h
+++ b/src/recovery/recovery_controller.h
@@ -70,7 +70,7 @@
 
 // A change for the log, with the state at that moment.
 struct RecoveryEvent {
-  enum Type : std::uint8_t {
+  enum class Type : std::uint8_t {
     phase_changed,
     scope_changed,
     entered_service,
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 namespace asio = boost::asio;
-constexpr std::size_t kMaxComposed = 200 * 1024;  // well inside a frame
+constexpr std::size_t kMaxComposed = std::size_t{200} * 1024;  // well inside a frame
 
 }  // namespace
 
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -13,7 +13,7 @@
 
 namespace granitegap::snapshot {
 
-inline constexpr std::size_t kMaxSnapshotBytes = 256 * 1024;  // encoded, with the envelope
+inline constexpr std::size_t kMaxSnapshotBytes = std::size_t{256} * 1024;  // encoded, with the envelope
 
 struct Snapshot {
   ClockStamp taken_at;
--- a/src/warm_state/warm_state.cpp
+++ b/src/warm_state/warm_state.cpp
@@ -124,6 +124,7 @@
     return std::pair(b.holders, a.best_position) < std::pair(a.holders, b.best_position);
   });
   std::vector<CachedResponse> responses;
+  responses.reserve(order.size());
   for (const auto& entry : order) responses.push_back(*entry.youngest);
   return responses;
 }
--- a/src/warm_state/warm_state.h
+++ b/src/warm_state/warm_state.h
@@ -26,9 +26,9 @@
 inline constexpr std::size_t kMaxEndpoints = 1024;
 inline constexpr std::size_t kMaxMembers = 512;
 inline constexpr std::size_t kMaxCachedResponses = 512;
-inline constexpr std::size_t kMaxPathLength = 1024;                 // bytes
-inline constexpr std::size_t kMaxBodyBytes = 16 * 1024;             // of one cached response
-inline constexpr std::size_t kMaxCachedResponseBytes = 128 * 1024;  // of all of them together
+inline constexpr std::size_t kMaxPathLength = 1024;                              // bytes
+inline constexpr std::size_t kMaxBodyBytes = std::size_t{16} * 1024;             // of one cached response
+inline constexpr std::size_t kMaxCachedResponseBytes = std::size_t{128} * 1024;  // of all of them together
 inline constexpr Duration kCachedResponseLifetime = std::chrono::hours(24);
 inline constexpr Duration kLatencyLifetime = std::chrono::seconds(60);
 inline constexpr Duration kMembersLifetime = std::chrono::hours(24);
--- a/tests/admission_controller_test.cpp
+++ b/tests/admission_controller_test.cpp
@@ -555,22 +555,23 @@
   void serve(int requests, Duration took, Duration unread, double on_cores,
              Duration update = milliseconds(20), double core_use = 1.0) {
     for (int k = 0; k < requests; ++k) {
-      auto r = request(++last, 0, seconds(4));
+      auto r = request(++last_, 0, seconds(4));
       r.unread_wait = unread;
-      host.at(at, {r});
-      const auto until = at + took;
-      for (; at < until; at += update) host.at(at, {TimerFired{TimerToken{0}, core_use, on_cores, {}, {}}});
-      host.at(at, {RunEnded{RequestId(last), RunResult::ok, took}});
+      host_.at(at_, {r});
+      const auto until = at_ + took;
+      for (; at_ < until; at_ += update)
+        host_.at(at_, {TimerFired{TimerToken{0}, core_use, on_cores, {}, {}}});
+      host_.at(at_, {RunEnded{RequestId(last_), RunResult::ok, took}});
     }
   }
   std::vector<bool> health() {
     std::vector<bool> reported;
-    for (const auto& h : ControllerHarness::actions_of<SetHealth>(host.all)) reported.push_back(h.healthy);
+    for (const auto& h : ControllerHarness::actions_of<SetHealth>(host_.all)) reported.push_back(h.healthy);
     return reported;
   }
-  ControllerHarness host{settings()};
-  Duration at = milliseconds(0);
-  std::uint32_t last = 0;
+  ControllerHarness host_{settings()};
+  Duration at_ = milliseconds(0);
+  std::uint32_t last_ = 0;
 };
 TEST_F(EndpointHealthTest, LeavesTheEndpointListAndReturns) {
   serve(40, milliseconds(100), milliseconds(0), 1);
@@ -581,12 +582,12 @@
   serve(4, milliseconds(800), milliseconds(1200), 1);
   ASSERT_FALSE(health().empty());
   EXPECT_FALSE(health().back());
-  host.update_until(at, at + seconds(7), 0.1);
+  host_.update_until(at_, at_ + seconds(7), 0.1);
   EXPECT_TRUE(health().back());
 }
 TEST_F(EndpointHealthTest, StaysListedWhenOnlyWaitsOrOnlyConcurrencyGrow) {
   serve(40, milliseconds(100), milliseconds(0), 1);
-  serve(8, milliseconds(100), milliseconds(1400), 1);  // late, at its usual pace
+  serve(8, milliseconds(100), milliseconds(1400), 1);  // late, at_ its usual pace
   serve(8, milliseconds(800), milliseconds(0), 8);     // slow, with four tasks a core
   serve(8, milliseconds(800), milliseconds(1200), 8);
   const auto reported = health();
--- a/tests/admission_property_test.cpp
+++ b/tests/admission_property_test.cpp
@@ -22,7 +22,7 @@
   int skipped = 0;
 };
 
-Totals sweep(Settings base, Scenario scenario, int seeds) {
+Totals sweep(const Settings& base, Scenario scenario, int seeds) {
   Totals t;
   for (int seed = 1; seed <= seeds; ++seed) {
     Settings s = base;
--- a/tests/dependency_client_test.cpp
+++ b/tests/dependency_client_test.cpp
@@ -80,7 +80,8 @@
                                                         {FaultKind::hang_body, CallOutcome::limit_exceeded},
                                                         {FaultKind::too_long, CallOutcome::limit_exceeded},
                                                         {FaultKind::garbage, CallOutcome::error}};
-  for (const auto& [fault, outcome] : expected) {
+  for (const auto& [kind, outcome] : expected) {
+    const auto fault = kind;  // clang before 16 can't capture a structured binding
     CAPTURE(int(fault));
     Bench b(fault);
     CHECK(b.one().outcome == outcome);
@@ -92,7 +93,8 @@
   const std::pair<FaultKind, CallOutcome> expected[] = {{FaultKind::error, CallOutcome::error},
                                                         {FaultKind::no_data, CallOutcome::not_found},
                                                         {FaultKind::busy, CallOutcome::overloaded}};
-  for (const auto& [fault, outcome] : expected) {
+  for (const auto& [kind, outcome] : expected) {
+    const auto fault = kind;  // clang before 16 can't capture a structured binding
     CAPTURE(int(fault));
     Bench b(fault);
     const auto report = b.one();
--- a/tests/endpoint_set_test.cpp
+++ b/tests/endpoint_set_test.cpp
@@ -43,7 +43,8 @@
   EXPECT_TRUE(set.is_ejected(0));
   int first_share = 0;
   for (int i = 0; i < 400; ++i) {
-    const auto at = *set.pick(now - milliseconds(999), (i % 20) / 20.0, (i / 20) / 20.0);
+    const int row = i / 20;
+    const auto at = *set.pick(now - milliseconds(999), (i % 20) / 20.0, row / 20.0);
     first_share += at == 1;
   }
   EXPECT_LT(first_share, 40);
--- a/tests/fake_host.h
+++ b/tests/fake_host.h
@@ -31,7 +31,7 @@
 
 class FakeHost {
  public:
-  FakeHost(Settings settings, Scenario scenario)
+  FakeHost(const Settings& settings, Scenario scenario)
       : s_(settings),
         scenario_(scenario),
         random_(scenario.seed),
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -207,9 +207,9 @@
   const auto connect_pair = [&](edge::PeerId id) {
     tcp::acceptor acceptor(fixture.io, {asio::ip::address_v4::loopback(), 0});
     fixture.clients.emplace_back(fixture.io).connect(acceptor.local_endpoint());
-    static const std::optional<double> hint;
+    static const std::optional<double> kNoHint;
     auto peer = std::make_shared<net::ClientConnection>(acceptor.accept(), id, fixture.catalog,
-                                                        fixture.mailbox, hint, fixture.log);
+                                                        fixture.mailbox, kNoHint, fixture.log);
     asio::co_spawn(
         fixture.io, [peer]() -> asio::awaitable<void> { co_await peer->run(); }, asio::detached);
     fixture.run_until([] { return true; });
--- a/tests/membership_codec_test.cpp
+++ b/tests/membership_codec_test.cpp
@@ -111,7 +111,11 @@
   for (int k = 0; k < 10000; ++k) {
     auto bytes = encode(make.datagram(), "c");
     const auto kind = make.upto(2);
-    if (kind == 0) bytes[make.upto(bytes.size() - 1)] ^= char(1 << make.upto(7));
+    if (kind == 0) {
+      const int flipped_bit = 1 << make.upto(7);
+      auto& damaged = bytes[make.upto(bytes.size() - 1)];
+      damaged = char(damaged ^ flipped_bit);
+    }
     if (kind == 1) bytes.resize(make.upto(bytes.size() - 1));
     if (kind == 2) bytes += std::string(1 + make.upto(40), 'x');
     ASSERT_TRUE(std::holds_alternative<DecodeError>(decode(bytes, "c")));
--- a/tests/membership_process_test.cpp
+++ b/tests/membership_process_test.cpp
@@ -415,6 +415,7 @@
     std::mutex mutex;
     std::multiset<std::int64_t> metadata;
     std::vector<std::thread> callers;
+    callers.reserve(48);
     for (int k = 0; k < 48; ++k)
       callers.emplace_back([&, k] {
         standin::Client caller(f.port("n0"), 1 + k);
--- a/tests/membership_simulation.h
+++ b/tests/membership_simulation.h
@@ -16,7 +16,7 @@
 using namespace std::chrono_literals;
 
 struct Fleet : SimulatedFleet {
-  explicit Fleet(std::size_t n, std::uint64_t seed = 1, Options options = {})
+  explicit Fleet(std::size_t n, std::uint64_t seed = 1, const Options& options = {})
       : SimulatedFleet(options, seed, n) {
     on_change = [this](Node who, const Change& c) {
       if (c.detected_locally && c.kind == ChangeKind::died) declared_dead_by[c.name].insert(who);
--- a/tests/scatter_gather_load_test.cpp
+++ b/tests/scatter_gather_load_test.cpp
@@ -55,10 +55,10 @@
     auto v = std::make_shared<membership::View>();
     for (int k = 0; k < alive + dead; ++k) {
       auto& p = v->peers.emplace_back();
-      p.hash = std::uint64_t(k + 1);
+      p.hash = std::uint64_t(k) + 1;
       p.status = p.certain_status = k < alive ? membership::Status::alive : membership::Status::dead;
     }
-    v->fleet_size = std::size_t(1 + alive + dead);
+    v->fleet_size = 1 + std::size_t(alive) + std::size_t(dead);
     v->has_quorum = majority;
     w.scatter_gather.on_membership_view(v, w.now);
   };
--- a/tests/server_process.h
+++ b/tests/server_process.h
@@ -68,7 +68,7 @@
   }
   // Starts a new process beside the first one, waits until it serves, and returns its name here.
   std::string start_successor() {
-    const auto successor = start_duplicate(kServer);
+    auto successor = start_duplicate(kServer);
     wait_until_healthy(successor);
     return successor;
   }
--- a/tools/fleet/clock_shift.cpp
+++ b/tools/fleet/clock_shift.cpp
@@ -20,9 +20,8 @@
 }  // namespace
 
 extern "C" int clock_gettime(clockid_t clock, timespec* time) noexcept {
-  static const auto system_clock_gettime =
-      reinterpret_cast<ClockGettime>(::dlsym(RTLD_NEXT, "clock_gettime"));
-  const int status = system_clock_gettime(clock, time);
+  static const auto kSystemClockGettime = reinterpret_cast<ClockGettime>(::dlsym(RTLD_NEXT, "clock_gettime"));
+  const int status = kSystemClockGettime(clock, time);
   if (status != 0 || clock != CLOCK_REALTIME) return status;
   const auto nanos = time->tv_sec * kNanosPerSecond + time->tv_nsec + shift_ms() * kNanosPerMilli;
   time->tv_sec = time_t(nanos / kNanosPerSecond);
--- a/tools/fleet/process_fleet.cpp
+++ b/tools/fleet/process_fleet.cpp
@@ -239,7 +239,7 @@
 }
 
 std::string ProcessFleet::start_duplicate(const std::string& name, bool kernel_boots) {
-  const auto alias = name + "'";
+  auto alias = name + "'";
   on_io([&] {
     add_process(alias, name, processes_.size());
     at(alias).kernel->hold_boot(!kernel_boots);
@@ -285,8 +285,8 @@
   on_io([&] { network_->fault_injector().clear(); });
 }
 
-void ProcessFleet::inject(const std::string& from, const std::string& to, std::string bytes) {
-  on_io([&] { network_->inject(from, to, std::move(bytes)); });
+void ProcessFleet::inject(const std::string& from, const std::string& to, const std::string& bytes) {
+  on_io([&] { network_->inject(from, to, bytes); });
 }
 
 standin::FaultInjector::Counters ProcessFleet::network_counters() const {
--- a/tools/fleet/process_fleet.h
+++ b/tools/fleet/process_fleet.h
@@ -98,7 +98,7 @@
   // Removes all rules.
   void heal_all();
   // Sends a datagram to `to` with the source address of `from`.
-  void inject(const std::string& from, const std::string& to, std::string bytes);
+  void inject(const std::string& from, const std::string& to, const std::string& bytes);
   // What the network has counted so far.
   standin::FaultInjector::Counters network_counters() const;
 
--- a/tools/standin/child_process.cpp
+++ b/tools/standin/child_process.cpp
@@ -34,6 +34,7 @@
 // Null-terminated, as execve(2) wants it; valid as long as the strings are.
 std::vector<char*> pointers_to(std::vector<std::string>& texts) {
   std::vector<char*> pointers;
+  pointers.reserve(texts.size() + 1);
   for (auto& text : texts) pointers.push_back(text.data());
   pointers.push_back(nullptr);
   return pointers;
--- a/tools/standin/client.cpp
+++ b/tools/standin/client.cpp
@@ -19,10 +19,10 @@
 
 // Unique within this process, and by chance among processes.
 std::string new_request_id() {
-  static const std::uint64_t start = std::random_device()();
+  static const std::uint64_t kStart = std::random_device()();
   static std::atomic<std::uint64_t> next{1};
   char id[17];
-  std::snprintf(id, sizeof id, "%08llx%08llx", static_cast<unsigned long long>(start & 0xffffffff),
+  std::snprintf(id, sizeof id, "%08llx%08llx", static_cast<unsigned long long>(kStart & 0xffffffff),
                 static_cast<unsigned long long>(next++ & 0xffffffff));
   return id;
 }
--- a/tools/standin/fault_injector.cpp
+++ b/tools/standin/fault_injector.cpp
@@ -19,9 +19,9 @@
 }
 
 const typed_config::Document& schema() {
-  static const auto document =
+  static const auto kDocument =
       std::get<typed_config::Document>(typed_config::parse(kNetworkSchema, "network.schema.cue"));
-  return document;
+  return kDocument;
 }
 
 Rule rule_of(const Value& v) {
--- a/tools/standin/main.cpp
+++ b/tools/standin/main.cpp
@@ -2,10 +2,13 @@
 #include <CLI/CLI.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <cstdio>
+#include <exception>
 
 #include "standin/dependency.h"
 
-int main(int argc, char** argv) {
+namespace {
+
+int run_main(int argc, char** argv) {
   using namespace granitegap;
   CLI::App app("A stand-in dependency: answers by a script, faults and all, on loopback only.",
                "granitegap_standin");
@@ -42,4 +45,16 @@
     std::fprintf(stderr, "granitegap_standin: %s\n", e.what());
     return 1;
   }
+  return 0;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  try {
+    return run_main(argc, argv);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "granitegap_standin: %s\n", error.what());
+    return 1;
+  }
 }
--- a/tools/standin/network.cpp
+++ b/tools/standin/network.cpp
@@ -33,7 +33,7 @@
   port->socket.non_blocking(true);
   error_code ignored;  // a smaller buffer only loses more
   port->socket.set_option(asio::socket_base::receive_buffer_size(kReceiveBufferBytes), ignored);
-  const auto advertised = port->socket.local_endpoint();
+  auto advertised = port->socket.local_endpoint();
   names_[bound] = name;
   asio::co_spawn(io_, receive(*port), asio::detached);
   ports_[name] = std::move(port);
@@ -65,8 +65,11 @@
 
 void Network::corrupt(std::string& bytes) {
   if (bytes.empty()) return;
-  for (int k = 0; k < kCorruptedBytes; ++k)
-    bytes[corruption_random_() % bytes.size()] ^= char(1 + corruption_random_() % 255);
+  for (int k = 0; k < kCorruptedBytes; ++k) {
+    const auto flipped_bits = char(1 + corruption_random_() % 255);
+    auto& damaged = bytes[corruption_random_() % bytes.size()];
+    damaged = char(damaged ^ flipped_bits);
+  }
 }
 
 void Network::send_later(Duration delay, const std::string& from, Port& to, const std::string& bytes) {
@@ -83,7 +86,7 @@
   sender->second->socket.send_to(asio::buffer(bytes), to.bound, 0, ignored);
 }
 
-void Network::inject(const std::string& from, const std::string& to, std::string bytes) {
+void Network::inject(const std::string& from, const std::string& to, const std::string& bytes) {
   const auto port = ports_.find(to);
   if (port != ports_.end()) send(from, *port->second, bytes);
 }
--- a/tools/standin/network.h
+++ b/tools/standin/network.h
@@ -32,7 +32,7 @@
   // Since the network's creation; the time of its rules.
   Duration elapsed() const;
   // Sends a datagram to `to` with the source address of `from`, past the fault injector.
-  void inject(const std::string& from, const std::string& to, std::string bytes);
+  void inject(const std::string& from, const std::string& to, const std::string& bytes);
 
  private:
   // One process: where it is bound, and the socket at its advertised address.
