--- a/tests/restart_quarantine_test.cpp
+++ b/tests/restart_quarantine_test.cpp
@@ -105,7 +105,7 @@
 
 const ShutdownRecord kShutdownRecord{"n1", {"boot-1", 5000s, 1'700'000'000'000'000}};
 
-TEST(LifeFile, IsReadAsItWasWrittenAndTakenOnce) {
+TEST(ShutdownRecord, IsReadAsItWasWrittenAndTakenOnce) {
   Folder f;
   EXPECT_TRUE(has_no_record(f.path));
   EXPECT_FALSE(write_shutdown_record(f.path, kShutdownRecord));
@@ -121,7 +121,7 @@
 }
 
 // Cut at each byte, each byte changed, something after it: believed only whole.
-TEST(LifeFile, DamageOfAnyByteIsNoticed) {
+TEST(ShutdownRecord, DamageOfAnyByteIsNoticed) {
   const auto whole = encode(kShutdownRecord);
   ASSERT_TRUE(std::holds_alternative<ShutdownRecord>(decode_shutdown_record(whole)));
   for (std::size_t n = 0; n < whole.size(); ++n) {
@@ -141,7 +141,7 @@
             "reading it: of another version");
 }
 
-TEST(LifeFile, OnlyOneBootsClockTellsHowLongAgo) {
+TEST(ShutdownRecord, OnlyOneBootsClockTellsHowLongAgo) {
   EXPECT_EQ(
       previous_incarnation(kShutdownRecord, {"boot-1", 5004s, 1'700'000'004'000'000}).clean_shutdown_age, 4s);
   EXPECT_EQ(previous_incarnation(kShutdownRecord, {"boot-1", 5004s, 1'700'000'004'000'000}).clock_setback,
@@ -159,7 +159,7 @@
   EXPECT_EQ(previous_incarnation(kShutdownRecord, {"boot-2", 4s, 1'699'999'944'000'000}).clock_setback, 56s);
 }
 
-TEST(LifeFile, WhatCanNotBeWrittenOrTakenSaysSo) {
+TEST(ShutdownRecord, WhatCanNotBeWrittenOrTakenSaysSo) {
   Folder f;
   const auto unwritten = write_shutdown_record(f.path / "none", kShutdownRecord);
   ASSERT_TRUE(unwritten);
@@ -177,7 +177,7 @@
   EXPECT_TRUE(remove_shutdown_record(f.path));
 }
 
-TEST(LifeFile, ADirectoryHasOneOwner) {
+TEST(ShutdownRecord, ADirectoryHasOneOwner) {
   Folder f;
   DirectoryLock first, second;
   EXPECT_FALSE(first.acquire(f.path / "state"));
@@ -275,7 +275,10 @@
   const auto newest = read_newest_snapshot(f.path);
   EXPECT_EQ(newest.snapshot->state.boot_id, 2u);
   EXPECT_EQ(newest.errors.size(), 1u);
-  EXPECT_EQ(write_snapshot(f.path / "none", "x")->step, StorageStep::create_file);
+  const auto unwritten = write_snapshot(f.path / "none", "x");
+  ASSERT_TRUE(unwritten);
+  EXPECT_EQ(unwritten->step, StorageStep::create_file);
+  EXPECT_EQ(unwritten->message(), "creating it: No such file or directory");
 }
 
 TEST(Snapshot, ItsAgeIsKnownByOneBootOrAUnixClockThatDoesNotStandBehind) {
