--- a/src/typed_config/expression_builder.cpp
+++ b/src/typed_config/expression_builder.cpp
@@ -135,10 +135,9 @@
 Expression build_list_of(const Node& node) {
   auto list_of = build_compound(ExpressionKind::list_of, node);
   if (!list_of.parts.empty()) return list_of;
-  Expression anything;  // [...]: elements of any type
+  auto& anything = list_of.parts.emplace_back();  // [...]: elements of any type
   anything.kind = ExpressionKind::type;
   anything.type = ValueType::any;
-  list_of.parts.push_back(std::move(anything));
   return list_of;
 }
 
