--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -170,7 +170,7 @@
   void log_event(std::string text, std::string_view event, std::string subject = {});
   template <class KernelCommand>
   void command(KernelCommand to_send) {
-    outputs_.emplace_back(Command(std::move(to_send)));
+    outputs_.emplace_back(std::in_place_type<Command>, std::move(to_send));
   }
 
   // ---- Requests: edge_requests.cpp ----
