--- a/bench/membership_scenario.cpp
+++ b/bench/membership_scenario.cpp
@@ -25,9 +25,9 @@
 }
 
 const typed_config::Document& schema() {
-  static const auto document =
+  static const auto kDocument =
       std::get<typed_config::Document>(typed_config::parse(kMembershipSchema, "membership.schema.cue"));
-  return document;
+  return kDocument;
 }
 
 }  // namespace
--- a/tools/standin/script.cpp
+++ b/tools/standin/script.cpp
@@ -54,9 +54,9 @@
 }
 
 const typed_config::Document& schema() {
-  static const auto document =
+  static const auto kDocument =
       std::get<typed_config::Document>(typed_config::parse(kScriptSchema, "script.schema.cue"));
-  return document;
+  return kDocument;
 }
 
 // The newest phase of this endpoint that has begun; null before the first.
