--- a/tests/membership_process_test.cpp
+++ b/tests/membership_process_test.cpp
@@ -355,7 +355,7 @@
   for (int k = 0; k < 5000; ++k) {
     std::string bytes(random() % 1500, '\0');
     for (auto& c : bytes) c = char(random());
-    f.inject("n1", "n0", std::move(bytes));
+    f.inject("n1", "n0", bytes);
     f.inject("n1", "n0", membership_udp::encode(valid, "another"));
     f.inject("n1", "n0", membership_udp::encode(valid, "trial"));  // of a life that never was
   }
