--- a/tests/response_cache_test.cpp
+++ b/tests/response_cache_test.cpp
@@ -13,7 +13,7 @@
 using std::chrono::seconds;
 
 TEST(ResponseCache, IsBoundedInBytesAndSurvivesAScan) {
-  ResponseCache cache(200 * 1024);
+  ResponseCache cache(std::size_t{200} * 1024);
   const TimePoint now(seconds(1));
   const auto body = std::make_shared<const std::string>(900, 'x');
   const auto key = [](std::uint64_t n) { return cache_key(0, "/e/" + std::to_string(n), 5); };
@@ -27,7 +27,7 @@
   int hits = 0;
   for (std::uint64_t n = 0; n < 100; ++n) hits += cache.find(key(n), now).has_value();
   EXPECT_GT(hits, 90);
-  cache.resize(10 * 1024);
+  cache.resize(std::size_t{10} * 1024);
   EXPECT_LE(cache.bytes(), 10u * 1024);
   cache.insert(key(1), 0, "", std::make_shared<const std::string>(100000, 'x'),
                now);  // larger than the whole cache
@@ -35,7 +35,7 @@
 }
 
 TEST(ResponseCache, AgreesWithAPlainMapOnWhatItHolds) {
-  ResponseCache cache(30 * 1024);
+  ResponseCache cache(std::size_t{30} * 1024);
   std::map<std::uint64_t, std::string> model;
   std::mt19937_64 chance(9);
   const TimePoint now(seconds(1));
@@ -53,7 +53,7 @@
 }
 
 TEST(ResponseCache, ReportsTheHottestEntries) {
-  ResponseCache cache(200 * 1024);
+  ResponseCache cache(std::size_t{200} * 1024);
   const TimePoint now(seconds(1));
   const auto body = std::make_shared<const std::string>(900, 'x');
   const auto path = [](std::uint64_t n) { return "/e/" + std::to_string(n); };
