--- a/src/deps/scatter_gather_fleet.cpp
+++ b/src/deps/scatter_gather_fleet.cpp
@@ -177,7 +177,7 @@
                                         std::max(now - entry.stored_at, Duration{})};
     const bool is_useful = response.age < loaded_->max_useful_age(entry.dependency);
     if (!warm_state::is_within_limits(response) || !is_useful) continue;
-    bytes += warm_state::size_of(response);
+    bytes += warm_state::size_in_bytes(response);
     if (bytes > warm_state::kMaxCachedResponseBytes ||
         to.cached_responses.size() >= warm_state::kMaxCachedResponses)
       break;
--- a/src/edge/edge_recovery.cpp
+++ b/src/edge/edge_recovery.cpp
@@ -137,7 +137,7 @@
   if (!fleet_) fleet_ = Fleet{0, std::mt19937_64(seed_)};
   // Without a majority the missing one may be this process: its Retry-After stays as it is.
   fleet_->missing_share = view.has_quorum ? membership::missing_fraction(view) : 0;
-  if (recovery_) recovery_->on_fleet_status(recovery::fleet_status_of(view), now_.steady);
+  if (recovery_) recovery_->on_fleet_status(recovery::summarize_fleet(view), now_.steady);
   if (quarantine_) quarantine_->on_name_conflict(view.name_conflict, now_.steady);
   if (!scatter_gather_) return;
   scatter_gather_->on_membership_view(update.view, now_.steady);
@@ -163,7 +163,7 @@
 
 membership::RecoveryStatus Edge::recovery_status() const {
   membership::RecoveryStatus status;
-  status.phase = recovery::metadata_value_of(recovery_->phase());
+  status.phase = recovery::to_metadata_value(recovery_->phase());
   status.offered_percent = std::uint8_t(std::lround(100 * recovery_->advertised_share()));
   if (const auto full_after = recovery_->timeline().in_service)
     status.full_service_ms = std::uint32_t(std::clamp<std::int64_t>(to_ms(*full_after), 1, kMaxFullAfterMs));
--- a/src/edge/recovery_log.cpp
+++ b/src/edge/recovery_log.cpp
@@ -19,7 +19,7 @@
 }
 
 LogEvent phase_changed(const RecoveryEvent& event, const RecoveryController& recovery, TimePoint now) {
-  const std::string phase = recovery::text_of(event.phase);
+  const std::string phase = recovery::phase_name(event.phase);
   std::string text = "recovery: " + phase;
   if (event.phase == recovery::Phase::slow_start)
     text += ", about " + ms_text(recovery.remaining(now)) + " ms to full service";
@@ -63,7 +63,7 @@
       return phase_changed(event, recovery, now);
     case RecoveryEvent::Type::scope_changed:
       return {std::string("recovery: this start is ") + scope_text(event.scope), "recovery_kind",
-              recovery::text_of(event.scope)};
+              recovery::restart_scope_name(event.scope)};
     case RecoveryEvent::Type::entered_service:
       return recovered(recovery);
     case RecoveryEvent::Type::pause_detected:
--- a/src/recovery/donor_selection.cpp
+++ b/src/recovery/donor_selection.cpp
@@ -17,7 +17,7 @@
 
 bool is_donor(const Peer& peer) {
   const auto& status = peer.metadata.recovery_status;
-  return peer.status == Status::alive && status.phase == metadata_value_of(Phase::in_service) &&
+  return peer.status == Status::alive && status.phase == to_metadata_value(Phase::in_service) &&
          status.donor_port != 0;
 }
 
--- a/src/recovery/fleet_status.cpp
+++ b/src/recovery/fleet_status.cpp
@@ -23,7 +23,7 @@
 bool is_in_service(const Peer& peer) {
   if (peer.status != Status::alive) return false;
   const auto phase = peer.metadata.recovery_status.phase;
-  if (phase > 0) return phase == metadata_value_of(Phase::in_service);
+  if (phase > 0) return phase == to_metadata_value(Phase::in_service);
   return peer.metadata.stage != Stage::starting;
 }
 
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-FleetStatus fleet_status_of(const membership::View& view) {
+FleetStatus summarize_fleet(const membership::View& view) {
   FleetStatus status;
   ZoneCounts zones;
   std::size_t present = 0;
--- a/src/recovery/fleet_status.h
+++ b/src/recovery/fleet_status.h
@@ -20,6 +20,6 @@
 
 // Members that left in order are not missed; members that have not advertised any metadata yet count neither
 // as in service nor as recovering.
-FleetStatus fleet_status_of(const membership::View& view);
+FleetStatus summarize_fleet(const membership::View& view);
 
 }  // namespace granitegap::recovery
--- a/src/recovery/recovery_phase.cpp
+++ b/src/recovery/recovery_phase.cpp
@@ -2,7 +2,7 @@
 
 namespace granitegap::recovery {
 
-const char* text_of(Phase phase) {
+const char* phase_name(Phase phase) {
   switch (phase) {
     case Phase::starting:
       return "blank";
@@ -16,7 +16,7 @@
   return "?";
 }
 
-const char* text_of(RestartScope scope) {
+const char* restart_scope_name(RestartScope scope) {
   switch (scope) {
     case RestartScope::unknown:
       return "unknown";
--- a/src/recovery/recovery_phase.h
+++ b/src/recovery/recovery_phase.h
@@ -20,10 +20,10 @@
 };
 
 // The words that logs, reports and commands print.
-const char* text_of(Phase phase);
-const char* text_of(RestartScope scope);
+const char* phase_name(Phase phase);
+const char* restart_scope_name(RestartScope scope);
 
 // The phase as membership's metadata carries it: zero there says that a member declares no recovery.
-constexpr std::uint8_t metadata_value_of(Phase phase) { return std::uint8_t(1 + std::uint8_t(phase)); }
+constexpr std::uint8_t to_metadata_value(Phase phase) { return std::uint8_t(1 + std::uint8_t(phase)); }
 
 }  // namespace granitegap::recovery
--- a/src/server/server_fleet.cpp
+++ b/src/server/server_fleet.cpp
@@ -46,8 +46,8 @@
   const auto now = clocks_().steady;
   const auto ms = [](Duration d) { return std::chrono::duration_cast<milliseconds>(d).count(); };
   membership_udp::RecoveryReport report;
-  report.phase = recovery::text_of(controller->phase());
-  report.kind = recovery::text_of(controller->restart_scope());
+  report.phase = recovery::phase_name(controller->phase());
+  report.kind = recovery::restart_scope_name(controller->restart_scope());
   report.since_ms = std::uint64_t(ms(now - std::min(controller->phase_since(), now)));
   report.left_ms = std::uint64_t(ms(controller->remaining(now)));
   report.keyed_wait_ms = std::uint64_t(ms(edge_actor_.edge().key_quarantine_left(now)));
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -117,7 +117,7 @@
   for (const auto& from : message.cached_responses()) {
     auto response = cached_response_of(from);
     if (!response) return std::nullopt;
-    total_bytes += warm_state::size_of(*response);
+    total_bytes += warm_state::size_in_bytes(*response);
     if (total_bytes > warm_state::kMaxCachedResponseBytes) return std::nullopt;
     state.cached_responses.push_back(*std::move(response));
   }
--- a/src/warm_state/warm_state.cpp
+++ b/src/warm_state/warm_state.cpp
@@ -46,7 +46,7 @@
   std::size_t bytes = 0;
   std::size_t count = 0;
   for (; count < max_count; ++count) {
-    bytes += size_of(responses[count]);
+    bytes += size_in_bytes(responses[count]);
     if (bytes > kMaxCachedResponseBytes) break;
   }
   responses.resize(count);
@@ -148,7 +148,7 @@
 
 }  // namespace
 
-std::size_t size_of(const CachedResponse& response) {
+std::size_t size_in_bytes(const CachedResponse& response) {
   return response.body->size() + response.path.size() + response.dependency.size();
 }
 
--- a/src/warm_state/warm_state.h
+++ b/src/warm_state/warm_state.h
@@ -66,7 +66,7 @@
 };
 
 // The bytes that a cached response counts against kMaxCachedResponseBytes.
-std::size_t size_of(const CachedResponse& response);
+std::size_t size_in_bytes(const CachedResponse& response);
 // Whether a single cached response may be part of a warm state.
 bool is_within_limits(const CachedResponse& response);
 // Drops what exceeds the limits: endpoints with the shortest ejections and latencies first, members and
--- a/tests/fleet_status_test.cpp
+++ b/tests/fleet_status_test.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 TEST(FleetStatus, CountsWhoIsMissingOrOnItsWay) {
-  const auto f = fleet_status_of(seen(6, 2, 2));
+  const auto f = summarize_fleet(seen(6, 2, 2));
   EXPECT_EQ(f.peers, 10u);
   EXPECT_EQ(f.peers_in_service, 6u);
   EXPECT_DOUBLE_EQ(f.recovering_share, 0.4);
   EXPECT_DOUBLE_EQ(f.missing_share, 0.2);
   EXPECT_TRUE(f.certain);
-  EXPECT_EQ(fleet_status_of(View{}).peers, 0u);
+  EXPECT_EQ(summarize_fleet(View{}).peers, 0u);
 }
 
 // Whoever was just met has said nothing yet: it is neither in service nor on its way.
@@ -24,8 +24,8 @@
     v.peers.back().metadata = {};
   }
   v.fleet_size = 9;
-  EXPECT_EQ(fleet_status_of(v).peers, 4u);
-  EXPECT_DOUBLE_EQ(fleet_status_of(v).recovering_share, 0);
+  EXPECT_EQ(summarize_fleet(v).peers, 4u);
+  EXPECT_DOUBLE_EQ(summarize_fleet(v).recovering_share, 0);
 }
 
 // A zone of two that is lost whole weighs as a zone among two, not as two of ten.
@@ -34,7 +34,7 @@
   v.peers.push_back(peer("x", Phase::slow_start, "b"));
   v.peers.push_back(peer("y", Phase::slow_start, "b"));
   v.fleet_size = 11;
-  EXPECT_DOUBLE_EQ(fleet_status_of(v).recovering_share, 0.5);
+  EXPECT_DOUBLE_EQ(summarize_fleet(v).recovering_share, 0.5);
 }
 
 TEST(FleetStatus, WhoLeftInOrderIsNotMissedAndWhoSaysNothingGoesByItsStage) {
@@ -45,9 +45,9 @@
   silent.metadata.recovery_status = {};
   v.peers.push_back(silent);
   v.fleet_size = 6;
-  EXPECT_DOUBLE_EQ(fleet_status_of(v).recovering_share, 0);
+  EXPECT_DOUBLE_EQ(summarize_fleet(v).recovering_share, 0);
   v.peers.back().metadata.stage = Stage::starting;
-  EXPECT_DOUBLE_EQ(fleet_status_of(v).recovering_share, 0.2);
+  EXPECT_DOUBLE_EQ(summarize_fleet(v).recovering_share, 0.2);
 }
 
 }  // namespace
--- a/tests/recovery_controller_test.cpp
+++ b/tests/recovery_controller_test.cpp
@@ -141,14 +141,14 @@
   w.up();
   w.pass(30s, 2);
   ASSERT_FALSE(w.max_wait_factor());
-  w.on_fleet_status(fleet_status_of(seen(8, 2)), w.now);  // 0.2
+  w.on_fleet_status(summarize_fleet(seen(8, 2)), w.now);  // 0.2
   EXPECT_TRUE(w.overload_guard_active());
   EXPECT_TRUE(w.max_wait_factor());
   EXPECT_EQ(w.phase(), Phase::in_service);
   EXPECT_EQ(w.advertised_share(), 1);
   w.pass(10s, 2, 0, 1);
   EXPECT_TRUE(w.max_wait_factor());  // callers still press
-  w.on_fleet_status(fleet_status_of(seen(10, 0)), w.now);
+  w.on_fleet_status(summarize_fleet(seen(10, 0)), w.now);
   w.pass(5s, 2);
   EXPECT_FALSE(w.max_wait_factor());
 }
@@ -169,7 +169,7 @@
 TEST(RecoveryController, TellsOneFromAWaveFromMost) {
   const auto kind = [](std::size_t able, std::size_t returning, std::size_t gone) {
     Way w;
-    w.on_fleet_status(fleet_status_of(seen(able, returning, gone)), w.now);
+    w.on_fleet_status(summarize_fleet(seen(able, returning, gone)), w.now);
     return w.restart_scope();
   };
   EXPECT_EQ(kind(10, 1, 0), RestartScope::single);
@@ -185,17 +185,17 @@
   Way w;
   w.on_last_known_members(20, w.now);
   w.up();
-  w.on_fleet_status(fleet_status_of(seen(19, 1)), w.now);
+  w.on_fleet_status(summarize_fleet(seen(19, 1)), w.now);
   EXPECT_EQ(w.restart_scope(), RestartScope::majority);  // not yet sure
   for (int k = 0; k < 20; ++k) {                         // to and fro
     w.pass(300ms, 0, 1, 1);
-    w.on_fleet_status(fleet_status_of(k % 2 ? seen(19, 1) : seen(8, 11)), w.now);
+    w.on_fleet_status(summarize_fleet(k % 2 ? seen(19, 1) : seen(8, 11)), w.now);
     EXPECT_EQ(w.restart_scope(), RestartScope::majority);
   }
-  w.on_fleet_status(fleet_status_of(seen(19, 1)), w.now);
+  w.on_fleet_status(summarize_fleet(seen(19, 1)), w.now);
   w.pass(4s, 0, 1, 1);
   EXPECT_EQ(w.restart_scope(), RestartScope::single);
-  w.on_fleet_status(fleet_status_of(seen(4, 16)), w.now);  // worse is believed at once
+  w.on_fleet_status(summarize_fleet(seen(4, 16)), w.now);  // worse is believed at once
   EXPECT_EQ(w.restart_scope(), RestartScope::majority);
 }
 
@@ -216,7 +216,7 @@
           w.up(random() % 2);
           break;
         case 2:
-          w.on_fleet_status(fleet_status_of(seen(random() % 10, random() % 10, random() % 4)), w.now);
+          w.on_fleet_status(summarize_fleet(seen(random() % 10, random() % 10, random() % 4)), w.now);
           break;
         case 3:
           w.on_state_transferred(random() % 4, w.now);
@@ -228,7 +228,7 @@
       EXPECT_GE(w.advertised_share(), w.rules.initial_share);
       EXPECT_LE(w.advertised_share(), 1);
     }
-    w.on_fleet_status(fleet_status_of(seen(10, 0)), w.now);
+    w.on_fleet_status(summarize_fleet(seen(10, 0)), w.now);
     w.pass(40s, 2);
     EXPECT_EQ(w.phase(), Phase::in_service) << seed;
     EXPECT_FALSE(w.max_wait_factor()) << seed;
