--- a/src/recovery/fleet_status.cpp
+++ b/src/recovery/fleet_status.cpp
@@ -19,7 +19,7 @@
 };
 using ZoneCounts = std::map<std::string_view, ZoneCount>;
 
-// A peer that advertises no recovery phase is judged by its stage.
+// Uses the stage of a peer that advertises no recovery phase.
 bool is_in_service(const Peer& peer) {
   if (peer.status != Status::alive) return false;
   const auto phase = peer.metadata.recovery_status.phase;
@@ -29,6 +29,7 @@
 
 bool has_metadata(const Peer& peer) { return peer.metadata.version > 0; }
 
+// Returns the mean of the zones' recovering shares; every zone has the same weight.
 double mean_recovering_share(const ZoneCounts& zones) {
   double share = 0;
   for (const auto& [name, zone] : zones) share += zone.recovering / zone.members / double(zones.size());
@@ -56,7 +57,7 @@
     zone.members += 1;
     zone.recovering += !in_service;
   }
-  // Members that were agreed on and are no longer listed are missing too.
+  // Members that count towards the agreed fleet size but are no longer listed are missing too.
   const auto agreed_peers = std::max<std::size_t>(view.fleet_size, 1) - 1;
   status.peers = std::max(agreed_peers - std::min(agreed_peers, without_metadata), present);
   status.certain =
--- a/src/recovery/fleet_status.h
+++ b/src/recovery/fleet_status.h
@@ -1,4 +1,4 @@
-// How much of the fleet is in service, as one membership view shows it. A pure function of the view.
+// Computes from one membership view how much of the fleet is in service. A pure function of the view.
 #pragma once
 #include <cstddef>
 
@@ -6,20 +6,20 @@
 
 namespace granitegap::recovery {
 
-// The state of the other members; this process itself is not counted.
+// The state of the other members. This process itself is not counted.
 struct FleetStatus {
-  // Share of the peers that is missing or not in service, 0 to 1. Zones weigh the same: one that is lost
-  // completely counts as a zone, however few members it has. The larger of this and the plain share of
-  // members.
+  // Share of the peers that are missing or not in service, 0 to 1: the larger of the share of all peers and
+  // the mean of the zones' shares. The mean weighs all zones the same, so that the complete loss of a zone
+  // counts in full however few members it has.
   double recovering_share = 0;
-  double missing_share = 0;          // of the peers, those not present at all; 0 to 1
-  std::size_t peers = 0;             // the members agreed on, without this one
-  std::size_t peers_in_service = 0;  // those that may be asked for their warm state
-  bool certain = false;              // a majority is present and nothing is in doubt
+  double missing_share = 0;          // share of the peers that are not alive in the view, 0 to 1
+  std::size_t peers = 0;             // agreed fleet size without this process
+  std::size_t peers_in_service = 0;  // peers that may be requested to share their warm state
+  bool certain = false;              // the view has a quorum, is not uncertain, and local connectivity is ok
 };
 
-// Members that left in order are not missed; members that have not advertised any metadata yet count neither
-// as in service nor as recovering.
+// Returns the fleet status of a view. Members that left in order are not counted as missing. Members that
+// have not advertised any metadata yet count neither as in service nor as recovering.
 FleetStatus summarize_fleet(const membership::View& view);
 
 }  // namespace granitegap::recovery
--- a/src/recovery/recovery_controller.cpp
+++ b/src/recovery/recovery_controller.cpp
@@ -7,22 +7,23 @@
 namespace granitegap::recovery {
 namespace {
 
-// A smaller scope is accepted only after the view has shown it for so long: guards against oscillation while
-// members come and go.
+// Time for which the view must show a smaller scope before it is accepted, to avoid oscillation while members
+// join and leave.
 constexpr Duration kScopeHysteresis = std::chrono::seconds(3);
-// And only below this part of the threshold that had been passed.
+// A smaller scope also requires a recovering share below this fraction of the current scope's threshold.
 constexpr double kScopeHysteresisFactor = 0.5;
 
+// Advertised shares that are milestones in RecoveryTimeline.
 constexpr double kHalfShare = 0.5;
 constexpr double kNearlyFullShare = 0.95;
 
-// A step that gets neither enough runs nor an idle time ends after so many idle steps.
+// Maximum length of a step with too few runs that is not idle, in idle steps.
 constexpr int kMaxStepInIdleSteps = 4;
-// The slow start ends after so many calm periods, calm or not.
+// Maximum time in slow start once the full share is advertised, in calm periods since slow start began.
 constexpr int kMaxSlowStartInCalmPeriods = 4;
-// Rejections further apart than so many minimal steps are separate overloads.
+// Rejections that are further apart than this many minimum steps belong to separate overloads.
 constexpr int kOverloadGapInSteps = 2;
-// A pause leaves this part of the verified share.
+// Fraction of the verified share that is kept after a pause.
 constexpr double kShareKeptAfterPause = 0.5;
 // Keeps the logarithm in remaining() finite.
 constexpr double kMinShareForEstimate = 1e-3;
@@ -89,18 +90,19 @@
     if (fleet_.recovering_share >= options_.partial_restart_share) return RestartScope::partial;
     return RestartScope::single;
   }
-  // The previous incarnation knew other members and none is visible: the most careful assumption.
+  // The previous incarnation knew other members and none is visible. Assumes the largest scope, to be safe.
   if (last_known_members_ > 0) return RestartScope::majority;
   return RestartScope::unknown;
 }
 
+// Whether a certain view shows a recovering share far enough below the current scope's threshold.
 bool RecoveryController::clearly_below_threshold() const {
   const double threshold =
       scope_ == RestartScope::majority ? options_.majority_restart_share : options_.partial_restart_share;
   return has_fleet_status_ && fleet_.certain && fleet_.recovering_share < kScopeHysteresisFactor * threshold;
 }
 
-// A larger scope is accepted at once, a smaller one only from a certain view and after kScopeHysteresis.
+// Accepts a larger scope at once, and a smaller one only from a certain view and after kScopeHysteresis.
 void RecoveryController::update_scope(TimePoint now) {
   if (phase_ == Phase::in_service) return;
   const auto observed = observed_scope();
@@ -163,8 +165,9 @@
     timeline_.nearly_full_share = elapsed(now);
 }
 
-// A step is judged by the runs that ended in it. Without enough of them nothing is verified and nothing taken
-// back; it ends all the same after a while, as runs may be so long that there are never enough.
+// Ends the current step if it is complete, and evaluates it by the runs that ended in it. A step with too few
+// runs still ends after kMaxStepInIdleSteps, because runs may be too long for enough of them to end in one
+// step. It then verifies nothing, and reduces the share only if a run missed its objective.
 void RecoveryController::end_step(TimePoint now) {
   const auto length = now - step_.began;
   if (length < options_.min_step) return;
@@ -196,21 +199,23 @@
 
 bool RecoveryController::is_calm(TimePoint now) const { return now - calm_since_ >= options_.calm_period; }
 
-// All is advertised, and the fleet is calm or has been given long enough; then only the bound on waits stays.
+// Enters service once the full share is advertised and either no request was rejected for the calm period or
+// the maximum time in slow start has passed. In the second case the bound on waits stays.
 void RecoveryController::complete_slow_start(TimePoint now) {
   const bool calm = is_calm(now);
   const bool overdue = now - phase_since_ >= kMaxSlowStartInCalmPeriods * options_.calm_period;
   if (advertised_share_ < 1 || !(calm || overdue)) return;
   overload_guard_ = !calm;
-  // It has been in service since the calm period began, but not before it advertised nearly everything.
+  // The process counts as in service since the start of the calm period, but not before it advertised the
+  // nearly full share.
   const auto since = elapsed(now) - (calm ? options_.calm_period : Duration{});
   timeline_.in_service = std::max(timeline_.nearly_full_share.value_or(Duration{}), since);
   enter(Phase::in_service, now);
   report(RecoveryEvent::Type::entered_service);
 }
 
-// Rejections without a break on a process in service: the same metastable state can be reached without a
-// restart, and the same bound ends it.
+// Bounds waits after uninterrupted rejections on a process in service. The same metastable state can be
+// reached without a restart, and the same bound ends it.
 void RecoveryController::detect_overload(TimePoint now) {
   if (now - last_rejected_ > options_.min_step * kOverloadGapInSteps) overloaded_since_.reset();
   if (phase_ != Phase::in_service || overload_guard_ || !overloaded_since_) return;
@@ -238,7 +243,8 @@
   return options_.max_wait_factor;
 }
 
-// The kernel's own warm-up or the steps that are left, whichever takes longer.
+// Estimates the remaining time as the kernel's warm-up or the remaining slow-start steps, whichever takes
+// longer, plus the state transfer if it has not ended.
 Duration RecoveryController::remaining(TimePoint now) const {
   if (phase_ == Phase::in_service) return {};
   const double growth_left = 1 / std::max(advertised_share_, kMinShareForEstimate);
--- a/src/recovery/recovery_controller.h
+++ b/src/recovery/recovery_controller.h
@@ -1,8 +1,8 @@
-// Slow start after a restart: which phase of recovery a process is in, what share of its capacity it may
-// advertise, and whether waits are bounded (docs/recovery.md).
+// Controls recovery and slow start after a restart: the phase of recovery, the share of its capacity that the
+// process may advertise, and the bound on waits (docs/recovery.md).
 //
-//            the kernel is up            warm state has come, or        all advertised, and no request
-//                                        no donor is left               rejected for a while
+//            the kernel is up            warm state was transferred,    full share advertised, and no
+//                                        or no donor is left            request rejected for a while
 //   starting ----------> transferring_state -------------> slow_start -------------> in_service
 //                              ^                              ^  ^                        |
 //                              |   a long pause               |  |  the kernel restarted  |
@@ -10,18 +10,19 @@
 //                                                             |
 //                                                             +- rejected requests keep it there
 //
-// The advertised share grows by completed work and not by time alone, as a fixed slow-start window would let
-// a kernel fail that warms up for longer. A step ends when enough runs met their latency objective; the next
-// one advertises at most `growth_factor` times as much. A step with too many missed objectives goes back by
-// the same factor. Where no requests arrive nothing is at risk, and the share grows slowly.
+// The advertised share grows with completed runs and not with time alone, because a fixed slow-start window
+// would overload a kernel that takes longer than the window to warm up. A step ends when enough runs met
+// their latency objective; the next step advertises at most `growth_factor` times as much. After a step with
+// too many missed objectives the share is reduced by the same factor. Without requests nothing is at risk,
+// and the share grows slowly.
 //
-// The bound on waits avoids a metastable failure: callers that retry without limit keep a fleet overloaded
-// after its kernels are warm (Bronson et al., Metastable Failures in Distributed Systems, HotOS 2021; Huang
-// et al., OSDI 2022). It holds for members that did not restart as well, while part of the fleet is
-// recovering.
+// The bound on waits avoids a metastable failure, in which callers that retry without limit keep a fleet
+// overloaded after its kernels are warm (Bronson et al., Metastable Failures in Distributed Systems, HotOS
+// 2021; Huang et al., OSDI 2022). While part of the fleet is recovering, it also applies to members that did
+// not restart.
 //
-// No I/O, no clock, no randomness: decisions are a function of the calls. Time points are those of this
-// process's steady clock. Not thread-safe; its owner calls it from one thread.
+// Performs no I/O, reads no clock and uses no randomness: decisions are a function of the calls. Time points
+// are those of this process's steady clock. Not thread-safe; the owner calls it from one thread.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -35,40 +36,41 @@
 
 namespace granitegap::recovery {
 
-// Shares are 0 to 1; durations are granitegap::Duration (microseconds).
+// Parameters of RecoveryController. Shares are 0 to 1; durations are granitegap::Duration (microseconds).
 struct RecoveryOptions {
-  // The longest time in `transferring_state`, from when the kernel is up.
+  // Maximum time in `transferring_state`, from when the kernel is up.
   Duration max_state_transfer = std::chrono::milliseconds(800);
-  double initial_share = 0.1;  // advertised before any run has ended
+  double initial_share = 0.1;  // share advertised before any run has ended
   double growth_factor = 1.5;  // the advertised share never exceeds this times the verified share
-  // While waits are bounded: the longest expected wait of an arrival, in latency objectives of its class.
+  // While waits are bounded: maximum expected wait of an arrival, in latency objectives of its class.
   double max_wait_factor = 1;
-  // The recovering share of the fleet from which a restart counts as partial, and as one of the majority.
+  // Recovering share of the fleet from which the restart scope is `partial`, and from which it is `majority`.
   double partial_restart_share = 0.2, majority_restart_share = 0.5;
-  Duration min_step = std::chrono::milliseconds(300);  // the shortest step of the slow start
-  std::uint32_t min_step_runs = 4;                     // runs that a step needs to be judged
-  double min_success_share = 0.8;                      // of a step's runs, within their latency objective
-  Duration idle_step = std::chrono::seconds(2);        // the length of a step without requests
-  // So long without a rejected request, before the bound on waits is lifted.
+  Duration min_step = std::chrono::milliseconds(300);  // minimum length of a slow-start step
+  std::uint32_t min_step_runs = 4;                     // minimum number of runs to evaluate a step
+  double min_success_share = 0.8;                      // of a step's runs that meet their latency objective
+  Duration idle_step = std::chrono::seconds(2);        // length of a step without requests
+  // Time without a rejected request after which the bound on waits is lifted.
   Duration calm_period = std::chrono::seconds(3);
-  // A longer gap between two ticks is a pause (SIGSTOP, a suspended machine) after which state is stale.
+  // A longer gap between two ticks counts as a pause (SIGSTOP, a suspended machine), after which warm state
+  // is stale.
   Duration max_tick_gap = std::chrono::seconds(5);
-  // Requests rejected for so long without a break bring the bound back.
+  // Time of uninterrupted rejections after which a process in service bounds waits again.
   Duration overload_period = std::chrono::seconds(2);
 };
 
-// When the milestones of a recovery were reached, since its start; nullopt: not yet.
+// When the milestones of a recovery were reached, as time since its start; nullopt: not yet.
 struct RecoveryTimeline {
   std::optional<Duration> first_response;
   std::optional<Duration> first_healthy;
-  std::optional<Duration> half_share;            // 0.5 of the capacity advertised
-  std::optional<Duration> nearly_full_share;     // 0.95 of it
+  std::optional<Duration> half_share;            // 0.5 of the capacity is advertised
+  std::optional<Duration> nearly_full_share;     // 0.95 of the capacity is advertised
   std::optional<Duration> in_service;            // Phase::in_service
-  std::optional<Duration> estimated_in_service;  // the estimate of it, made when the slow start began
-  std::size_t donors = 0;                        // members whose warm state was used
+  std::optional<Duration> estimated_in_service;  // estimate of in_service, made when slow start began
+  std::size_t donors = 0;                        // number of members whose warm state was used
 };
 
-// A change for the log, with the state at that moment.
+// A change to be logged, with the controller's state at that moment.
 struct RecoveryEvent {
   enum class Type : std::uint8_t {
     phase_changed,
@@ -82,26 +84,29 @@
   bool overload_guard = false;
 };
 
+// The state machine of a process's recovery. See the top of this file.
 class RecoveryController {
  public:
   RecoveryController(RecoveryOptions options, TimePoint started);
 
   // Inputs. `now` must not decrease.
   void on_fleet_status(const FleetStatus& status, TimePoint now);
-  // The number of other members that the previous incarnation knew, until there is a view.
+  // Sets the number of other members that the previous incarnation knew, which is used until there is a view.
   void on_last_known_members(std::size_t members, TimePoint now);
-  // The state transfer is over: all donors have responded, or none is left.
+  // The state transfer has ended: all donors have responded, or none is left.
   void on_state_transferred(std::size_t donors, TimePoint now);
-  // The kernel is up. `cold`: it started anew and warms up for `warm_up_left`; else the link to it was
-  // re-established.
+  // The kernel is up. `cold`: it has just started and warms up for `warm_up_left`; otherwise the link to a
+  // running kernel was re-established.
   void on_kernel_ready(bool cold, Duration warm_up_left, TimePoint now);
+  // A request was answered; `served`: with a result.
   void on_response(bool served, TimePoint now);
+  // A health check of this process has been answered.
   void on_health_check(bool healthy, TimePoint now);
-  // A run has ended, within its latency objective or not (too late, or failed).
+  // A run has ended: within its latency objective, or else too late or with a failure.
   void on_run_finished(bool within_objective, TimePoint now);
-  // An arrival was rejected for its expected wait, or to shed load.
+  // An arrival was rejected because of its expected wait, or shed.
   void on_request_rejected(TimePoint now);
-  // To be called at least every RecoveryOptions::min_step. A gap over max_tick_gap is taken for a pause.
+  // Must be called at least every RecoveryOptions::min_step. A gap over max_tick_gap counts as a pause.
   void tick(TimePoint now);
 
   Phase phase() const { return phase_; }
@@ -110,9 +115,9 @@
   double advertised_share() const { return advertised_share_; }
   // The largest share at which runs have met their latency objectives, 0 to 1.
   double verified_share() const { return verified_share_; }
-  // The bound on the expected wait of an arrival, in latency objectives of its class; nullopt: none.
+  // The bound on the expected wait of an arrival, in latency objectives of its class; nullopt: no bound.
   std::optional<double> max_wait_factor() const;
-  // Whether waits are bounded although the process is in service.
+  // Whether waits are bounded while the process is in service.
   bool overload_guard_active() const { return overload_guard_; }
   // The estimated time until the process is in service; zero once it is.
   Duration remaining(TimePoint now) const;
@@ -120,13 +125,13 @@
   // When the current recovery began.
   TimePoint started_at() const { return started_at_; }
   const RecoveryTimeline& timeline() const { return timeline_; }
-  // How often a recovery began anew in this process, after a pause or a restart of the kernel.
+  // Number of times that recovery began again in this process, after a pause or a restart of the kernel.
   std::uint32_t recoveries() const { return recoveries_; }
-  // The events since the last call, oldest first.
+  // Returns the events since the last call, oldest first.
   std::vector<RecoveryEvent> take_events() { return std::exchange(events_, {}); }
 
  private:
-  // The runs and rejections of the current step of the slow start.
+  // The runs and rejections in the current slow-start step.
   struct Step {
     TimePoint began;
     std::uint32_t within_objective = 0;
