--- a/src/recovery/restart_quarantine.cpp
+++ b/src/recovery/restart_quarantine.cpp
@@ -9,7 +9,7 @@
 
 void RestartQuarantine::on_previous_incarnation(const PreviousIncarnation& found, TimePoint now) {
   record_may_remain_ = found.shutdown_record_remains;
-  // A shutdown in the future is none: guards against a clock that is not the one it was recorded by.
+  // A shutdown in the future is ignored, because it was recorded by a different clock.
   if (found.clean_shutdown_age && found.clean_shutdown_age->count() >= 0)
     latest_end_ = std::min(latest_end_, now - *found.clean_shutdown_age);
   clock_setback_ =
--- a/src/recovery/restart_quarantine.h
+++ b/src/recovery/restart_quarantine.h
@@ -1,24 +1,26 @@
-// How long a restarted process must reject requests with an idempotency key: an earlier incarnation under its
-// name may have run one that is now retried. No I/O, no clock; time points are those of this process's steady
-// clock. Not thread-safe.
+// Decides how long a restarted process must reject requests with an idempotency key. A previous incarnation
+// under the same name may have run a request that is now retried.
 //
-// The argument. No attempt may run that is written within the idempotency window W of the t0 of the attempt
-// that ran. An earlier incarnation ran its last one no later than its own end E, with a t0 no later than E
-// plus the clock skew. An attempt that reached this machine after E + W + margin is therefore outside every
-// window; one that reached it earlier may be inside one. E is not known; the lowest of these upper bounds
-// counts:
-//   - the start of this process: whoever had the name before has ended by then. It always holds, and by the
-//     steady clock alone, so that a change of the Unix clock has no effect;
-//   - a clean shutdown that the last incarnation recorded at its end, by a clock that both share (the same
+// Performs no I/O and reads no clock. Time points are those of this process's steady clock. Not thread-safe.
+//
+// Why the quarantine is sufficient: an attempt must not run if its t0 lies within the idempotency window W of
+// the t0 of an attempt that ran. A previous incarnation ran its last attempt no later than its own end E,
+// with a t0 no later than E plus the clock skew. An attempt that reached this machine after E + W + margin is
+// therefore outside every window; one that reached it earlier may be inside one. E is not known. The lowest
+// of these upper bounds is used:
+//   - The start of this process, because any previous process with this name has ended by then. This bound
+//     always holds. It uses only the steady clock, so that a change of the Unix clock has no effect.
+//   - A clean shutdown that the last incarnation recorded at its end, by a clock that both share (the same
 //   boot
-//     of the machine). It says nothing once another incarnation has started, so the record is removed before
-//     it is relied on; while that fails, as on a disk that can't be written, every such request stays
-//     rejected: the next incarnation would find the record and take it for this one's.
-// A snapshot taken during an incarnation bounds nothing, as that went on. Nor do peers that consider it dead
-// (it may be partitioned or paused) or saw it leave (there may have been another one in between). A process
-// that is found alive under this name raises the bound to when it was last seen, as what it runs is not known
-// here. Where the Unix clock is behind what an earlier incarnation wrote, its t0 lie ahead by as much: the
-// bound grows by it, up to a declared limit past which the old clock is considered wrong.
+//     of the machine). The record is no longer valid once another incarnation has started, so it is removed
+//     before it is used. While the removal fails, as on a disk that can't be written, every request with a
+//     key stays rejected: otherwise the next incarnation would find the record and attribute it to this one.
+// These are not bounds: a snapshot, because the incarnation that took it continued to run; peers that
+// consider the previous incarnation dead, because it may be partitioned or paused; peers that saw it leave,
+// because another incarnation may have run since. If another process is found alive under this name, the
+// bound rises to when it was last seen, because its runs are not known here. If the Unix clock is behind the
+// time that a previous incarnation wrote, the t0 values of that incarnation lie ahead by the difference. The
+// bound grows by the difference, up to a declared limit past which the old clock is considered wrong.
 #pragma once
 #include <optional>
 #include <vector>
@@ -27,39 +29,41 @@
 
 namespace granitegap::recovery {
 
-// What was found of the previous incarnation.
+// What the state directory shows about the previous incarnation.
 struct PreviousIncarnation {
-  // So long ago it shut down cleanly, by a clock that both share; its record has been removed.
+  // Time since its clean shutdown, by a clock that both share. Set only once its record has been removed.
   std::optional<Duration> clean_shutdown_age;
-  bool shutdown_record_remains = false;  // a record is there, or may be, and could not be removed
-  Duration clock_setback{};              // how far the Unix clock is behind what it wrote
+  bool shutdown_record_remains = false;  // a record exists or may exist, and could not be removed
+  Duration clock_setback{};              // how far the Unix clock is behind the time that it wrote
 };
 
+// Rejects requests with an idempotency key until no attempt can lie within a previous incarnation's window.
 class RestartQuarantine {
  public:
   struct Options {
-    std::vector<Duration> idempotency_windows;             // by class; zero: no idempotency keys
-    Duration clock_skew_margin = std::chrono::seconds(2);  // clocks of callers, and transit time
-    Duration max_clock_setback = std::chrono::hours(1);    // the limit of clock_setback
-    // A state directory is declared: until it was read a shutdown record may be in it.
+    std::vector<Duration> idempotency_windows;  // by class; zero: the class has no idempotency keys
+    Duration clock_skew_margin = std::chrono::seconds(2);  // covers the callers' clocks and transit time
+    Duration max_clock_setback = std::chrono::hours(1);    // upper bound of clock_setback
+    // Whether a state directory is declared. Until it has been read, it may contain a shutdown record.
     bool has_state_directory = false;
   };
   RestartQuarantine(Options options, TimePoint started);
-  // `now` is when it was found.
+  // Applies what was found in the state directory at `now`.
   void on_previous_incarnation(const PreviousIncarnation& found, TimePoint now);
-  // Whether another process is alive under this name.
+  // Reports whether another process is alive under this name.
   void on_name_conflict(bool present, TimePoint now);
 
-  // Whether an attempt that reached the machine at `reached` may be inside an earlier incarnation's window.
+  // Whether an attempt that reached the machine at `reached` may lie within a previous incarnation's window.
   bool is_quarantined(ClassId cls, TimePoint reached) const { return reached < quarantined_until(cls); }
-  // TimePoint::min() where a class has no quarantine, TimePoint::max() where no end is known.
+  // Returns the end of the class's quarantine: TimePoint::min() if it has none, TimePoint::max() if the end
+  // is not known.
   TimePoint quarantined_until(ClassId cls) const;
-  // The latest quarantined_until() of all classes.
+  // Returns the latest quarantined_until() of all classes.
   TimePoint last_quarantine_end() const;
 
  private:
   Options options_;
-  TimePoint latest_end_;  // upper bound of the end of earlier incarnations
+  TimePoint latest_end_;  // upper bound of when the previous incarnations ended
   Duration clock_setback_{};
   bool record_may_remain_ = false;
   bool name_conflict_ = false;
--- a/tests/restart_quarantine_test.cpp
+++ b/tests/restart_quarantine_test.cpp
@@ -1,4 +1,5 @@
-// What a process that has lost its memory must not run, and what one life leaves to the next.
+// Tests the quarantine of requests with an idempotency key after a restart, the shutdown record and snapshots
+// that a process leaves for its next incarnation, and the use of restored warm state.
 #include "recovery/restart_quarantine.h"
 
 #include <gtest/gtest.h>
@@ -22,81 +23,84 @@
 constexpr TimePoint kStart(100s);
 constexpr ClassId kTile{0}, kReport{1};
 
-RestartQuarantine fresh() { return RestartQuarantine({{0s, 9s}, 2s, 1h}, kStart); }
+// Returns a quarantine for two classes, of which only kReport has an idempotency window.
+RestartQuarantine new_quarantine() { return RestartQuarantine({{0s, 9s}, 2s, 1h}, kStart); }
 
-TEST(RestartQuarantine, WithoutAnyWordTheWholeWindowFromTheStartIsInDoubt) {
-  const auto m = fresh();
-  EXPECT_TRUE(m.is_quarantined(kReport, kStart));
-  EXPECT_TRUE(m.is_quarantined(kReport, kStart + 11s - 1us));
-  EXPECT_FALSE(m.is_quarantined(kReport, kStart + 11s));
-  EXPECT_FALSE(m.is_quarantined(kTile, kStart));
-  EXPECT_FALSE(m.is_quarantined(ClassId(7), kStart));
+TEST(RestartQuarantine, LastsForTheWindowAndMarginFromTheStartByDefault) {
+  const auto quarantine = new_quarantine();
+  EXPECT_TRUE(quarantine.is_quarantined(kReport, kStart));
+  EXPECT_TRUE(quarantine.is_quarantined(kReport, kStart + 11s - 1us));
+  EXPECT_FALSE(quarantine.is_quarantined(kReport, kStart + 11s));
+  EXPECT_FALSE(quarantine.is_quarantined(kTile, kStart));
+  EXPECT_FALSE(quarantine.is_quarantined(ClassId(7), kStart));
 }
 
-// What reached the machine while it was in doubt stays so, however late it is read.
-TEST(RestartQuarantine, ByWhenItReachedTheMachine) {
-  EXPECT_TRUE(fresh().is_quarantined(kReport, kStart - 5s));
+// A request that reached the machine during the quarantine stays quarantined, however late it is read.
+TEST(RestartQuarantine, DependsOnWhenTheRequestReachedTheMachine) {
+  EXPECT_TRUE(new_quarantine().is_quarantined(kReport, kStart - 5s));
 }
 
-TEST(RestartQuarantine, AnOrderlyEndShortensTheWaitAndNothingElseDoes) {
-  auto m = fresh();
-  m.on_previous_incarnation({4s, false, {}}, kStart + 100ms);
-  EXPECT_EQ(m.quarantined_until(kReport), kStart + 100ms - 4s + 11s);
-  m.on_previous_incarnation({}, kStart + 200ms);  // a second word without one takes nothing back
-  EXPECT_EQ(m.quarantined_until(kReport), kStart + 100ms - 4s + 11s);
-  auto ahead = fresh();
-  ahead.on_previous_incarnation({-1h, false, {}}, kStart);  // an end in the future
+TEST(RestartQuarantine, OnlyACleanShutdownShortensTheQuarantine) {
+  auto quarantine = new_quarantine();
+  quarantine.on_previous_incarnation({4s, false, {}}, kStart + 100ms);
+  EXPECT_EQ(quarantine.quarantined_until(kReport), kStart + 100ms - 4s + 11s);
+  // A later report without a shutdown changes nothing.
+  quarantine.on_previous_incarnation({}, kStart + 200ms);
+  EXPECT_EQ(quarantine.quarantined_until(kReport), kStart + 100ms - 4s + 11s);
+  auto ahead = new_quarantine();
+  ahead.on_previous_incarnation({-1h, false, {}}, kStart);  // a shutdown in the future
   EXPECT_EQ(ahead.quarantined_until(kReport), kStart + 11s);
 }
 
-TEST(RestartQuarantine, AnEndThatStaysHoldsEverythingUntilItIsGone) {
-  auto m = fresh();
-  m.on_previous_incarnation({std::nullopt, true, {}}, kStart);
-  EXPECT_TRUE(m.is_quarantined(kReport, kStart + 24h));
-  EXPECT_FALSE(m.is_quarantined(kTile, kStart));
-  m.on_previous_incarnation({}, kStart + 1h);
-  EXPECT_FALSE(m.is_quarantined(kReport, kStart + 1h));
+TEST(RestartQuarantine, DoesNotEndWhileAShutdownRecordRemains) {
+  auto quarantine = new_quarantine();
+  quarantine.on_previous_incarnation({std::nullopt, true, {}}, kStart);
+  EXPECT_TRUE(quarantine.is_quarantined(kReport, kStart + 24h));
+  EXPECT_FALSE(quarantine.is_quarantined(kTile, kStart));
+  quarantine.on_previous_incarnation({}, kStart + 1h);
+  EXPECT_FALSE(quarantine.is_quarantined(kReport, kStart + 1h));
 }
 
-TEST(RestartQuarantine, AnotherUnderTheNameIsWaitedOutAnew) {
-  auto m = fresh();
-  m.on_name_conflict(true, kStart + 1h);
-  EXPECT_TRUE(m.is_quarantined(kReport, kStart + 2h));
-  m.on_name_conflict(false, kStart + 3h);
-  EXPECT_TRUE(m.is_quarantined(kReport, kStart + 3h + 10s));
-  EXPECT_FALSE(m.is_quarantined(kReport, kStart + 3h + 11s));
-  m.on_name_conflict(false, kStart + 4h);  // nothing new
-  EXPECT_FALSE(m.is_quarantined(kReport, kStart + 4h));
+TEST(RestartQuarantine, RestartsWhenANameConflictEnds) {
+  auto quarantine = new_quarantine();
+  quarantine.on_name_conflict(true, kStart + 1h);
+  EXPECT_TRUE(quarantine.is_quarantined(kReport, kStart + 2h));
+  quarantine.on_name_conflict(false, kStart + 3h);
+  EXPECT_TRUE(quarantine.is_quarantined(kReport, kStart + 3h + 10s));
+  EXPECT_FALSE(quarantine.is_quarantined(kReport, kStart + 3h + 11s));
+  quarantine.on_name_conflict(false, kStart + 4h);  // no change
+  EXPECT_FALSE(quarantine.is_quarantined(kReport, kStart + 4h));
 }
 
-TEST(RestartQuarantine, AClockSetBackNeverShortensAndAWrongOneDoesNotHoldForEver) {
-  auto m = fresh();
-  m.on_previous_incarnation({std::nullopt, false, 60s}, kStart);
-  EXPECT_EQ(m.quarantined_until(kReport), kStart + 71s);
-  m.on_previous_incarnation({std::nullopt, false, 10s}, kStart);
-  EXPECT_EQ(m.quarantined_until(kReport), kStart + 71s);
-  m.on_previous_incarnation({std::nullopt, false, 24h * 365}, kStart);
-  EXPECT_EQ(m.quarantined_until(kReport), kStart + 1h + 11s);
-  auto other = fresh();
-  other.on_previous_incarnation({std::nullopt, false, -60s},
-                                kStart);  // the clock ran ahead: nothing to be made up for
+TEST(RestartQuarantine, AClockSetbackProlongsTheQuarantineUpToALimit) {
+  auto quarantine = new_quarantine();
+  quarantine.on_previous_incarnation({std::nullopt, false, 60s}, kStart);
+  EXPECT_EQ(quarantine.quarantined_until(kReport), kStart + 71s);
+  quarantine.on_previous_incarnation({std::nullopt, false, 10s}, kStart);
+  EXPECT_EQ(quarantine.quarantined_until(kReport), kStart + 71s);
+  quarantine.on_previous_incarnation({std::nullopt, false, 24h * 365}, kStart);
+  EXPECT_EQ(quarantine.quarantined_until(kReport), kStart + 1h + 11s);
+  auto other = new_quarantine();
+  // A clock that is ahead does not prolong the quarantine.
+  other.on_previous_incarnation({std::nullopt, false, -60s}, kStart);
   EXPECT_EQ(other.quarantined_until(kReport), kStart + 11s);
 }
 
-// ---- The file ----
+// ---- The shutdown record ----
 
 using namespace snapshot;
 
-struct Folder {
+// A temporary directory, removed on destruction.
+struct StateDirectory {
   std::filesystem::path path;
-  Folder() {
+  StateDirectory() {
     auto pattern = (std::filesystem::temp_directory_path() / "granitegap_life_XXXXXX").string();
     path = ::mkdtemp(pattern.data());
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~StateDirectory() { std::filesystem::remove_all(path); }
 };
 
-// The file was looked for, and is not there.
+// Whether the directory could be read and contains no record.
 bool has_no_record(const std::filesystem::path& directory) {
   const auto read = read_shutdown_record(directory);
   const auto* record = std::get_if<std::optional<ShutdownRecord>>(&read);
@@ -105,43 +109,43 @@
 
 const ShutdownRecord kShutdownRecord{"n1", {"boot-1", 5000s, 1'700'000'000'000'000}};
 
-TEST(ShutdownRecord, IsReadAsItWasWrittenAndTakenOnce) {
-  Folder f;
-  EXPECT_TRUE(has_no_record(f.path));
-  EXPECT_FALSE(write_shutdown_record(f.path, kShutdownRecord));
-  const auto back = read_shutdown_record(f.path);
-  ASSERT_TRUE(std::holds_alternative<std::optional<ShutdownRecord>>(back));
-  const auto& record = std::get<std::optional<ShutdownRecord>>(back);
+TEST(ShutdownRecord, IsReadAsWrittenAndIsGoneOnceRemoved) {
+  StateDirectory directory;
+  EXPECT_TRUE(has_no_record(directory.path));
+  EXPECT_FALSE(write_shutdown_record(directory.path, kShutdownRecord));
+  const auto read = read_shutdown_record(directory.path);
+  ASSERT_TRUE(std::holds_alternative<std::optional<ShutdownRecord>>(read));
+  const auto& record = std::get<std::optional<ShutdownRecord>>(read);
   ASSERT_TRUE(record);
   EXPECT_EQ(record->name, "n1");
   EXPECT_EQ(record->shutdown_at.since_boot, 5000s);
-  EXPECT_FALSE(remove_shutdown_record(f.path));
-  EXPECT_TRUE(has_no_record(f.path));
-  EXPECT_FALSE(remove_shutdown_record(f.path));
+  EXPECT_FALSE(remove_shutdown_record(directory.path));
+  EXPECT_TRUE(has_no_record(directory.path));
+  EXPECT_FALSE(remove_shutdown_record(directory.path));
 }
 
-// Cut at each byte, each byte changed, something after it: believed only whole.
-TEST(ShutdownRecord, DamageOfAnyByteIsNoticed) {
-  const auto whole = encode(kShutdownRecord);
-  ASSERT_TRUE(std::holds_alternative<ShutdownRecord>(decode_shutdown_record(whole)));
-  for (std::size_t n = 0; n < whole.size(); ++n) {
-    EXPECT_TRUE(std::holds_alternative<StorageError>(decode_shutdown_record(whole.substr(0, n)))) << n;
+// Records that are truncated at any byte, have any bit flipped or are followed by more bytes are rejected.
+TEST(ShutdownRecord, AnyDamagedByteIsDetected) {
+  const auto encoded = encode(kShutdownRecord);
+  ASSERT_TRUE(std::holds_alternative<ShutdownRecord>(decode_shutdown_record(encoded)));
+  for (std::size_t n = 0; n < encoded.size(); ++n) {
+    EXPECT_TRUE(std::holds_alternative<StorageError>(decode_shutdown_record(encoded.substr(0, n)))) << n;
     for (int bit = 0; bit < 8; ++bit) {
-      auto flipped = whole;
+      auto flipped = encoded;
       flipped[n] = char(flipped[n] ^ (1 << bit));
       EXPECT_TRUE(std::holds_alternative<StorageError>(decode_shutdown_record(flipped))) << n;
     }
   }
-  EXPECT_TRUE(std::holds_alternative<StorageError>(decode_shutdown_record(whole + "x")));
+  EXPECT_TRUE(std::holds_alternative<StorageError>(decode_shutdown_record(encoded + "x")));
   EXPECT_TRUE(std::holds_alternative<StorageError>(decode_shutdown_record(std::string(10000, 'x'))));
-  auto version = whole;
-  version[3] = '2';
-  EXPECT_EQ(std::get<StorageError>(decode_shutdown_record(version)).cause, StorageErrc::other_version);
-  EXPECT_EQ(std::get<StorageError>(decode_shutdown_record(version)).message(),
+  auto other_version = encoded;
+  other_version[3] = '2';
+  EXPECT_EQ(std::get<StorageError>(decode_shutdown_record(other_version)).cause, StorageErrc::other_version);
+  EXPECT_EQ(std::get<StorageError>(decode_shutdown_record(other_version)).message(),
             "reading it: of another version");
 }
 
-TEST(ShutdownRecord, OnlyOneBootsClockTellsHowLongAgo) {
+TEST(ShutdownRecord, ItsAgeIsKnownOnlyWithinOneBootOfTheMachine) {
   EXPECT_EQ(
       previous_incarnation(kShutdownRecord, {"boot-1", 5004s, 1'700'000'004'000'000}).clean_shutdown_age, 4s);
   EXPECT_EQ(previous_incarnation(kShutdownRecord, {"boot-1", 5004s, 1'700'000'004'000'000}).clock_setback,
@@ -151,7 +155,8 @@
   EXPECT_FALSE(previous_incarnation(kShutdownRecord, {"", 5004s, 1'700'000'004'000'000}).clean_shutdown_age);
   EXPECT_FALSE(
       previous_incarnation(kShutdownRecord, {"boot-1", 4000s, 1'700'000'004'000'000}).clean_shutdown_age);
-  // The Unix clock a day ahead does not make the end older, and one set back is seen by as much.
+  // A Unix clock that is a day ahead does not make the shutdown older. A clock that is behind is reported
+  // with its difference.
   EXPECT_EQ(
       previous_incarnation(kShutdownRecord, {"boot-1", 5004s, 1'700'086'404'000'000}).clean_shutdown_age, 4s);
   EXPECT_EQ(previous_incarnation(kShutdownRecord, {"boot-1", 5004s, 1'699'999'944'000'000}).clock_setback,
@@ -159,158 +164,160 @@
   EXPECT_EQ(previous_incarnation(kShutdownRecord, {"boot-2", 4s, 1'699'999'944'000'000}).clock_setback, 56s);
 }
 
-TEST(ShutdownRecord, WhatCanNotBeWrittenOrTakenSaysSo) {
-  Folder f;
-  const auto unwritten = write_shutdown_record(f.path / "none", kShutdownRecord);
-  ASSERT_TRUE(unwritten);
-  EXPECT_EQ(unwritten->step, StorageStep::create_file);
-  EXPECT_EQ(unwritten->message(), "creating it: No such file or directory");
-  EXPECT_TRUE(remove_shutdown_record(f.path / "none"));
-  std::ofstream(f.path / "file") << "x";
+TEST(ShutdownRecord, FailedStepsAreReportedAsErrors) {
+  StateDirectory directory;
+  const auto error = write_shutdown_record(directory.path / "none", kShutdownRecord);
+  ASSERT_TRUE(error);
+  EXPECT_EQ(error->step, StorageStep::create_file);
+  EXPECT_EQ(error->message(), "creating it: No such file or directory");
+  EXPECT_TRUE(remove_shutdown_record(directory.path / "none"));
+  std::ofstream(directory.path / "file") << "x";
   DirectoryLock lock;
-  EXPECT_TRUE(lock.acquire(f.path / "file" / "below"));
-  EXPECT_TRUE(lock.acquire(f.path / "file"));
+  EXPECT_TRUE(lock.acquire(directory.path / "file" / "below"));
+  EXPECT_TRUE(lock.acquire(directory.path / "file"));
   EXPECT_FALSE(lock.held());
-  // A directory where the file should be: neither read nor taken.
-  std::filesystem::create_directory(f.path / "ended");
-  EXPECT_TRUE(std::holds_alternative<StorageError>(read_shutdown_record(f.path)));
-  EXPECT_TRUE(remove_shutdown_record(f.path));
+  // A directory in place of the file can neither be read nor removed.
+  std::filesystem::create_directory(directory.path / "ended");
+  EXPECT_TRUE(std::holds_alternative<StorageError>(read_shutdown_record(directory.path)));
+  EXPECT_TRUE(remove_shutdown_record(directory.path));
 }
 
-TEST(ShutdownRecord, ADirectoryHasOneOwner) {
-  Folder f;
+TEST(ShutdownRecord, AStateDirectoryIsLockedByOneProcess) {
+  StateDirectory directory;
   DirectoryLock first, second;
-  EXPECT_FALSE(first.acquire(f.path / "state"));
-  const auto refused = second.acquire(f.path / "state");
-  ASSERT_TRUE(refused);
-  EXPECT_EQ(refused->cause, StorageErrc::lock_held);
-  EXPECT_EQ(refused->message(), "locking the directory: another process holds it");
-  EXPECT_FALSE(first.acquire(f.path / "state"));
+  EXPECT_FALSE(first.acquire(directory.path / "state"));
+  const auto error = second.acquire(directory.path / "state");
+  ASSERT_TRUE(error);
+  EXPECT_EQ(error->cause, StorageErrc::lock_held);
+  EXPECT_EQ(error->message(), "locking the directory: another process holds it");
+  EXPECT_FALSE(first.acquire(directory.path / "state"));
 }
 
-// ---- What was learned ----
+// ---- Snapshots of warm state ----
 
-warm_state::WarmState some() {
-  warm_state::WarmState what;
-  what.process_name = "n1";
-  what.boot_id = 7;
-  what.endpoints = {{"e.example.org", "127.0.0.1", 9001, 5s, 2, 80ms, 1s},
-                    {"e.example.org", "127.0.0.1", 9002, 0s, 0, 3ms, 1s}};
+// Returns a warm state with an ejected and an available endpoint, a member and a cached response.
+warm_state::WarmState example_state() {
+  warm_state::WarmState state;
+  state.process_name = "n1";
+  state.boot_id = 7;
+  state.endpoints = {{"e.example.org", "127.0.0.1", 9001, 5s, 2, 80ms, 1s},
+                     {"e.example.org", "127.0.0.1", 9002, 0s, 0, 3ms, 1s}};
   membership::Address a;
   a.ip = {127, 0, 0, 1};
   a.port = 9101;
-  what.members = {a};
-  what.cached_responses = {
+  state.members = {a};
+  state.cached_responses = {
       {"e.example.org", "/e?r=1", std::make_shared<const std::string>("up and down"), 3s}};
-  return what;
+  return state;
 }
 
-Snapshot snapshot_of(const std::string& boot, Duration since_boot, std::int64_t unix_us,
-                     warm_state::WarmState what) {
-  Snapshot s;
-  s.taken_at.kernel_boot_id = boot;
-  s.taken_at.since_boot = since_boot;
-  s.taken_at.unix_us = unix_us;
-  s.state = std::move(what);
-  return s;
+Snapshot make_snapshot(const std::string& boot, Duration since_boot, std::int64_t unix_us,
+                       warm_state::WarmState state) {
+  Snapshot snapshot;
+  snapshot.taken_at.kernel_boot_id = boot;
+  snapshot.taken_at.since_boot = since_boot;
+  snapshot.taken_at.unix_us = unix_us;
+  snapshot.state = std::move(state);
+  return snapshot;
 }
 
-TEST(Snapshot, IsReadAsItWasWrittenAndDamageOfAnyByteIsNoticed) {
-  const auto made = snapshot_of("boot", 5s, 77, some());
-  const auto whole = encode(made);
-  const auto back = decode_snapshot(whole);
-  ASSERT_TRUE(std::holds_alternative<Snapshot>(back));
-  EXPECT_EQ(std::get<Snapshot>(back).state, some());
-  EXPECT_EQ(std::get<Snapshot>(back).taken_at.unix_us, 77);
-  for (std::size_t n = 0; n < whole.size(); ++n) {
-    EXPECT_TRUE(std::holds_alternative<StorageError>(decode_snapshot(whole.substr(0, n)))) << n;
+TEST(Snapshot, IsReadAsWrittenAndAnyDamagedByteIsDetected) {
+  const auto snapshot = make_snapshot("boot", 5s, 77, example_state());
+  const auto encoded = encode(snapshot);
+  const auto decoded = decode_snapshot(encoded);
+  ASSERT_TRUE(std::holds_alternative<Snapshot>(decoded));
+  EXPECT_EQ(std::get<Snapshot>(decoded).state, example_state());
+  EXPECT_EQ(std::get<Snapshot>(decoded).taken_at.unix_us, 77);
+  for (std::size_t n = 0; n < encoded.size(); ++n) {
+    EXPECT_TRUE(std::holds_alternative<StorageError>(decode_snapshot(encoded.substr(0, n)))) << n;
     for (int bit = 0; bit < 8; ++bit) {
-      auto flipped = whole;
+      auto flipped = encoded;
       flipped[n] = char(flipped[n] ^ (1 << bit));
       EXPECT_TRUE(std::holds_alternative<StorageError>(decode_snapshot(flipped))) << n;
     }
   }
-  auto version = whole;
-  version[3] = '9';
-  EXPECT_EQ(std::get<StorageError>(decode_snapshot(version)).cause, StorageErrc::other_version);
-  EXPECT_EQ(std::get<StorageError>(decode_snapshot(version)).message(), "reading it: of another version");
+  auto other_version = encoded;
+  other_version[3] = '9';
+  EXPECT_EQ(std::get<StorageError>(decode_snapshot(other_version)).cause, StorageErrc::other_version);
+  EXPECT_EQ(std::get<StorageError>(decode_snapshot(other_version)).message(),
+            "reading it: of another version");
   EXPECT_TRUE(std::holds_alternative<StorageError>(decode_snapshot(std::string(kMaxSnapshotBytes + 1, 'g'))));
 }
 
-TEST(Snapshot, TheLargestThatCanBeLearnedStaysWithinItsBound) {
-  warm_state::WarmState what;
+TEST(Snapshot, TheLargestWarmStateFitsIntoTheMaximumSize) {
+  warm_state::WarmState state;
   for (std::size_t n = 0; n < 5000; ++n) {
-    what.endpoints.push_back({std::string(253, 'd'), "2001:db8:ffff:ffff:ffff:ffff:ffff:ffff",
-                              std::uint16_t(1 + n), 30s, 9, 1s, 1s});
+    state.endpoints.push_back({std::string(253, 'd'), "2001:db8:ffff:ffff:ffff:ffff:ffff:ffff",
+                               std::uint16_t(1 + n), 30s, 9, 1s, 1s});
     membership::Address a;
     a.v6 = true;
     a.port = std::uint16_t(1 + n);
-    what.members.push_back(a);
-    what.cached_responses.push_back({std::string(253, 'd'), std::string(1 + n % 1100, 'p'),
-                                     std::make_shared<const std::string>(n * 37 % 20000, 'b'), 1s});
+    state.members.push_back(a);
+    state.cached_responses.push_back({std::string(253, 'd'), std::string(1 + n % 1100, 'p'),
+                                      std::make_shared<const std::string>(n * 37 % 20000, 'b'), 1s});
   }
-  const auto made = snapshot_of(std::string(36, 'b'), 5s, 77, what);
-  const auto bytes = encode(made);
+  const auto snapshot = make_snapshot(std::string(36, 'b'), 5s, 77, state);
+  const auto bytes = encode(snapshot);
   EXPECT_LE(bytes.size(), kMaxSnapshotBytes);
   ASSERT_TRUE(std::holds_alternative<Snapshot>(decode_snapshot(bytes)));
   EXPECT_EQ(std::get<Snapshot>(decode_snapshot(bytes)).state.members.size(), warm_state::kMaxMembers);
 }
 
-TEST(Snapshot, TheNewerWholeOneOfTwoCounts) {
-  Folder f;
-  EXPECT_FALSE(read_newest_snapshot(f.path).snapshot);
-  EXPECT_TRUE(read_newest_snapshot(f.path).errors.empty());
+TEST(Snapshot, TheNewestValidOneIsRead) {
+  StateDirectory directory;
+  EXPECT_FALSE(read_newest_snapshot(directory.path).snapshot);
+  EXPECT_TRUE(read_newest_snapshot(directory.path).errors.empty());
   for (int n = 1; n <= 3; ++n) {
-    auto what = some();
-    what.boot_id = std::uint64_t(n);
-    const auto made = snapshot_of("boot", Duration(n), n, what);
-    EXPECT_FALSE(write_snapshot(f.path, encode(made)));
-    EXPECT_EQ(read_newest_snapshot(f.path).snapshot->state.boot_id, std::uint64_t(n));
+    auto state = example_state();
+    state.boot_id = std::uint64_t(n);
+    const auto snapshot = make_snapshot("boot", Duration(n), n, state);
+    EXPECT_FALSE(write_snapshot(directory.path, encode(snapshot)));
+    EXPECT_EQ(read_newest_snapshot(directory.path).snapshot->state.boot_id, std::uint64_t(n));
   }
-  // The newest is damaged: the one before it counts, and what is wrong is named.
+  // The newest is damaged: the one before it is read, and the error is reported.
   for (const char* name : {"learned-a", "learned-b"}) {
-    const auto read = read_snapshot_file(f.path / name);
-    if (std::get<Snapshot>(read).state.boot_id == 3) std::filesystem::resize_file(f.path / name, 20);
+    const auto read = read_snapshot_file(directory.path / name);
+    if (std::get<Snapshot>(read).state.boot_id == 3) std::filesystem::resize_file(directory.path / name, 20);
   }
-  const auto newest = read_newest_snapshot(f.path);
+  const auto newest = read_newest_snapshot(directory.path);
   EXPECT_EQ(newest.snapshot->state.boot_id, 2u);
   EXPECT_EQ(newest.errors.size(), 1u);
-  const auto unwritten = write_snapshot(f.path / "none", "x");
-  ASSERT_TRUE(unwritten);
-  EXPECT_EQ(unwritten->step, StorageStep::create_file);
-  EXPECT_EQ(unwritten->message(), "creating it: No such file or directory");
+  const auto error = write_snapshot(directory.path / "none", "x");
+  ASSERT_TRUE(error);
+  EXPECT_EQ(error->step, StorageStep::create_file);
+  EXPECT_EQ(error->message(), "creating it: No such file or directory");
 }
 
-TEST(Snapshot, ItsAgeIsKnownByOneBootOrAUnixClockThatDoesNotStandBehind) {
-  const ClockStamp then{"boot", 100s, 1'000'000'000};
-  EXPECT_EQ(age_of(then, {"boot", 104s, 5}), 4s);
-  EXPECT_EQ(age_of(then, {"other", 1s, 1'060'000'000}), 60s);
-  EXPECT_FALSE(age_of(then, {"other", 1s, 999'999'999}));
+TEST(Snapshot, ItsAgeIsKnownWithinOneBootOrByAUnixClockThatIsNotBehind) {
+  const ClockStamp taken_at{"boot", 100s, 1'000'000'000};
+  EXPECT_EQ(age_of(taken_at, {"boot", 104s, 5}), 4s);
+  EXPECT_EQ(age_of(taken_at, {"other", 1s, 1'060'000'000}), 60s);
+  EXPECT_FALSE(age_of(taken_at, {"other", 1s, 999'999'999}));
 }
 
-TEST(WarmState, FadesByKindAndAnUnknownAgeIsTooOld) {
-  const auto soon = warm_state::age_by(some(), 2s);
-  EXPECT_EQ(soon.endpoints[0].ejected_for, 3s);
-  EXPECT_EQ(soon.endpoints[0].latency_age, 3s);
-  EXPECT_EQ(warm_state::age_by(some(), 10s).endpoints[0].ejected_for, 0s);
-  EXPECT_TRUE(warm_state::age_by(some(), 1h).endpoints.empty());
-  EXPECT_EQ(warm_state::age_by(some(), 1h).members.size(), 1u);
-  EXPECT_TRUE(warm_state::age_by(some(), 25h).members.empty());
-  EXPECT_TRUE(warm_state::age_by(some(), std::nullopt).endpoints.empty());
-  EXPECT_EQ(warm_state::age_by(some(), std::nullopt).members.size(), 1u);
+TEST(WarmState, ItemsDecayByKindAndOnlyMembersRemainWhenTheAgeIsUnknown) {
+  const auto aged = warm_state::age_by(example_state(), 2s);
+  EXPECT_EQ(aged.endpoints[0].ejected_for, 3s);
+  EXPECT_EQ(aged.endpoints[0].latency_age, 3s);
+  EXPECT_EQ(warm_state::age_by(example_state(), 10s).endpoints[0].ejected_for, 0s);
+  EXPECT_TRUE(warm_state::age_by(example_state(), 1h).endpoints.empty());
+  EXPECT_EQ(warm_state::age_by(example_state(), 1h).members.size(), 1u);
+  EXPECT_TRUE(warm_state::age_by(example_state(), 25h).members.empty());
+  EXPECT_TRUE(warm_state::age_by(example_state(), std::nullopt).endpoints.empty());
+  EXPECT_EQ(warm_state::age_by(example_state(), std::nullopt).members.size(), 1u);
 }
 
-// ---- Endpoints that an earlier life knew ----
+// ---- Restored endpoints ----
 
 deps::DependencySpec two_endpoints() {
-  deps::DependencySpec d;
-  d.name = "e.example.org";
-  d.endpoints = {{"127.0.0.1", 9001}, {"127.0.0.1", 9002}};
-  return d;
+  deps::DependencySpec dependency;
+  dependency.name = "e.example.org";
+  dependency.endpoints = {{"127.0.0.1", 9001}, {"127.0.0.1", 9002}};
+  return dependency;
 }
 
-// How often the first of two is chosen.
-int chosen(deps::EndpointSet& set, TimePoint now) {
+// Returns how often the first of two endpoints is picked in 100 calls.
+int count_picks_of_first(deps::EndpointSet& set, TimePoint now) {
   int first = 0;
   std::mt19937_64 random(1);
   std::uniform_real_distribution<double> roll(0, 1);
@@ -318,28 +325,29 @@
   return first;
 }
 
-TEST(LearnedEndpoints, AnEjectedOneIsLeftAloneForTheRestOfItsTimeAndNoLonger) {
+TEST(RestoredEndpoints, AnEjectedOneIsNotPickedUntilItsEjectionEnds) {
   const TimePoint now(1000s);
   deps::EndpointSet before(two_endpoints());
   for (int k = 0; k < 5; ++k) {
     before.on_call_started(0);
     before.on_failure(0, now);
   }
-  const auto known = before.stats(0, now);
-  ASSERT_TRUE(known);
-  EXPECT_GT(known->ejected_for, 0s);
-  deps::EndpointSet blind(two_endpoints()), told(two_endpoints()), late(two_endpoints());
-  EXPECT_TRUE(told.restore(0, *known, now));
-  EXPECT_GT(chosen(blind, now), 20);
-  EXPECT_EQ(chosen(told, now), 0);
-  EXPECT_EQ(told.pick(now + known->ejected_for, 0.5, 0.5), 0u);  // its time is over: one call through
-  auto old = *known;
-  old.ejected_for = {};
-  EXPECT_TRUE(late.restore(0, old, now));
-  EXPECT_GT(chosen(late, now), 0);
+  const auto ejected = before.stats(0, now);
+  ASSERT_TRUE(ejected);
+  EXPECT_GT(ejected->ejected_for, 0s);
+  deps::EndpointSet unrestored(two_endpoints()), restored(two_endpoints()), restored_late(two_endpoints());
+  EXPECT_TRUE(restored.restore(0, *ejected, now));
+  EXPECT_GT(count_picks_of_first(unrestored, now), 20);
+  EXPECT_EQ(count_picks_of_first(restored, now), 0);
+  // The ejection has ended: one call is let through.
+  EXPECT_EQ(restored.pick(now + ejected->ejected_for, 0.5, 0.5), 0u);
+  auto ended = *ejected;
+  ended.ejected_for = {};
+  EXPECT_TRUE(restored_late.restore(0, ended, now));
+  EXPECT_GT(count_picks_of_first(restored_late, now), 0);
 }
 
-TEST(LearnedEndpoints, OwnEvidenceOverrulesWhatWasLearned) {
+TEST(RestoredEndpoints, OwnObservationsTakePrecedence) {
   const TimePoint now(1000s);
   deps::EndpointSet set(two_endpoints());
   set.on_call_started(0);
@@ -348,7 +356,7 @@
   EXPECT_FALSE(set.is_ejected(0));
 }
 
-TEST(LearnedEndpoints, NeverMoreAreLeftAloneThanMayBeEjected) {
+TEST(RestoredEndpoints, EjectionsStayWithinTheLimit) {
   const TimePoint now(1000s);
   deps::EndpointSet set(two_endpoints());
   EXPECT_TRUE(set.restore(0, {10s, 1s, 0s, 3}, now));
@@ -356,13 +364,13 @@
   EXPECT_EQ(set.ejected_count(), 1u);
 }
 
-TEST(LearnedEndpoints, ASlowOneIsAvoidedAtOnce) {
+TEST(RestoredEndpoints, ASlowOneIsAvoidedFromTheFirstCall) {
   const TimePoint now(1000s);
-  deps::EndpointSet blind(two_endpoints()), told(two_endpoints());
-  EXPECT_TRUE(told.restore(0, {0s, 800ms, 100ms, 0}, now));
-  EXPECT_TRUE(told.restore(1, {0s, 5ms, 100ms, 0}, now));
-  EXPECT_GT(chosen(blind, now), 20);
-  EXPECT_EQ(chosen(told, now), 0);
+  deps::EndpointSet unrestored(two_endpoints()), restored(two_endpoints());
+  EXPECT_TRUE(restored.restore(0, {0s, 800ms, 100ms, 0}, now));
+  EXPECT_TRUE(restored.restore(1, {0s, 5ms, 100ms, 0}, now));
+  EXPECT_GT(count_picks_of_first(unrestored, now), 20);
+  EXPECT_EQ(count_picks_of_first(restored, now), 0);
 }
 
 }  // namespace
