--- a/src/warm_state/warm_state.cpp
+++ b/src/warm_state/warm_state.cpp
@@ -10,27 +10,29 @@
 namespace granitegap::warm_state {
 namespace {
 
-// A latency measured so long ago has half of the weight of a new one.
+// Age at which a latency has half the weight of a new one.
 constexpr Duration kWeightHalfLife = std::chrono::seconds(10);
 
 using EndpointKey = std::tuple<std::string, std::string, std::uint16_t>;  // dependency, host, port
 using ResponseKey = std::pair<std::string, std::string>;                  // dependency, path
 using EndpointReports = std::vector<const Endpoint*>;
 
-// One cached response over all states that hold it.
+// One cached response, combined over all states that contain it.
 struct MergedResponse {
   const CachedResponse* youngest = nullptr;
-  std::size_t holders = 0;
-  std::size_t best_position = 0;
+  std::size_t holders = 0;        // number of states that contain it
+  std::size_t best_position = 0;  // lowest position in any of them
 };
 using MergedResponses = std::map<ResponseKey, MergedResponse>;
 
 bool is_ejected(const Endpoint& endpoint) { return endpoint.ejected_for > Duration{}; }
 
-double weight_of(Duration age) {
+// Returns the weight of a measurement of the given age, 0 to 1.
+double decayed_weight(Duration age) {
   return std::exp2(-double(std::max(age, Duration{}).count()) / double(kWeightHalfLife.count()));
 }
 
+// Keeps the endpoints with the longest ejections, then the highest latencies.
 void limit_endpoints(std::vector<Endpoint>& endpoints) {
   if (endpoints.size() <= kMaxEndpoints) return;
   const auto more_relevant = [](const Endpoint& a, const Endpoint& b) {
@@ -40,6 +42,7 @@
   endpoints.resize(kMaxEndpoints);
 }
 
+// Keeps the first responses that fit into the limits on count and total size.
 void limit_cached_responses(std::vector<CachedResponse>& responses) {
   std::erase_if(responses, [](const CachedResponse& response) { return !is_within_limits(response); });
   const auto max_count = std::min(responses.size(), kMaxCachedResponses);
@@ -52,21 +55,21 @@
   responses.resize(count);
 }
 
-// The report at which half of the weight is reached, by latency. `reports` is sorted by it.
+// Returns the weighted median of the reports by latency. Sorts `reports` by latency.
 const Endpoint& weighted_median(EndpointReports& reports) {
   std::sort(reports.begin(), reports.end(), [](auto* a, auto* b) { return a->latency < b->latency; });
   double total = 0;
-  for (const auto* report : reports) total += weight_of(report->latency_age);
+  for (const auto* report : reports) total += decayed_weight(report->latency_age);
   double sum = 0;
   for (const auto* report : reports) {
-    sum += weight_of(report->latency_age);
+    sum += decayed_weight(report->latency_age);
     if (sum >= total / 2) return *report;
   }
   return *reports.back();
 }
 
-// An ejection weighs as much as a new measurement: its reporter has not called the endpoint for a while, but
-// is certain now.
+// Whether the reports of an ejection outweigh the others. An ejection has the weight of a new measurement:
+// its latency is old because the endpoint is not called, but the ejection itself is current.
 bool majority_ejects(const EndpointReports& reports) {
   double ejected = 0;
   double available = 0;
@@ -74,13 +77,13 @@
     if (is_ejected(*report)) {
       ejected += 1;
     } else {
-      available += weight_of(report->latency_age);
+      available += decayed_weight(report->latency_age);
     }
   }
   return ejected > available;
 }
 
-// The shortest ejection that is reported: better to probe the endpoint too early than too late.
+// Applies the shortest reported ejection, because probing the endpoint too early is better than too late.
 void set_shortest_ejection(Endpoint& merged, const EndpointReports& reports) {
   for (const auto* report : reports) {
     if (!is_ejected(*report)) continue;
@@ -90,6 +93,7 @@
   }
 }
 
+// Merges the reports of one endpoint.
 Endpoint merge_endpoint(const EndpointReports& reports) {
   Endpoint merged;
   merged.dependency = reports.front()->dependency;
@@ -107,7 +111,8 @@
   return merged;
 }
 
-void collect(MergedResponses& merged, const std::vector<CachedResponse>& responses) {
+// Adds the cached responses of one state.
+void collect_responses(MergedResponses& merged, const std::vector<CachedResponse>& responses) {
   for (std::size_t position = 0; position < responses.size(); ++position) {
     const auto& response = responses[position];
     auto& entry = merged[{response.dependency, response.path}];
@@ -117,7 +122,8 @@
   }
 }
 
-std::vector<CachedResponse> by_relevance(const MergedResponses& merged) {
+// Returns the responses with the most holders first, then by their best position.
+std::vector<CachedResponse> sort_by_relevance(const MergedResponses& merged) {
   std::vector<MergedResponse> order;
   for (const auto& [key, entry] : merged) order.push_back(entry);
   std::stable_sort(order.begin(), order.end(), [](const MergedResponse& a, const MergedResponse& b) {
@@ -168,7 +174,7 @@
   std::set<membership::Address> members;
   MergedResponses responses;
   for (const auto& state : states) {
-    collect(responses, state.cached_responses);
+    collect_responses(responses, state.cached_responses);
     for (const auto& endpoint : state.endpoints)
       endpoints[{endpoint.dependency, endpoint.host, endpoint.port}].push_back(&endpoint);
     members.insert(state.members.begin(), state.members.end());
@@ -176,14 +182,14 @@
   WarmState merged;
   for (const auto& [key, reports] : endpoints) merged.endpoints.push_back(merge_endpoint(reports));
   merged.members.assign(members.begin(), members.end());
-  merged.cached_responses = by_relevance(responses);
+  merged.cached_responses = sort_by_relevance(responses);
   enforce_limits(merged);
   return merged;
 }
 
 WarmState age_by(WarmState state, std::optional<Duration> age) {
   if (!age || *age < Duration{}) {
-    // Guards against acting on an ejection of an hour ago.
+    // The ejections and responses may be of any age, for example an hour old.
     state.endpoints.clear();
     state.cached_responses.clear();
     return state;
--- a/src/warm_state/warm_state.h
+++ b/src/warm_state/warm_state.h
@@ -1,16 +1,18 @@
-// The warm state of a process: what it has observed of dependencies and members that a later incarnation, or
-// another member, may start from. A typed, bounded value in which every item carries its age.
+// The warm state of a process: its observations of dependencies and members, from which a later incarnation
+// or another member may start. A typed value of bounded size in which endpoints and cached responses carry
+// their age.
 //
-// It decides nothing by itself: items decay with their age by kind, are dropped past a limit, and the first
-// observation of the process that uses them takes precedence. No I/O, no clock; functions have no state and
-// may be called from any thread. There are no errors: what exceeds a limit is dropped.
+// Warm state is only a starting point: items decay with their age, depending on their kind, and are dropped
+// past a limit. The first observation of the process that uses an item takes precedence over it. Performs no
+// I/O and reads no clock. The functions have no state and may be called from any thread. They report no
+// errors: items that exceed a limit are dropped.
 //
-// | item | used for | decays |
+// | item | used for | decay |
 // | --- | --- | --- |
-// | an endpoint's ejection | not choosing it until it ends | by what is left of it |
-// | an endpoint's latency | choosing among endpoints | as an own observation does, within seconds |
-// | members' addresses | contacts beside the seeds | dropped after a day: they are only contacted |
-// | cached responses | parts of answers | by their age, against what each part declares |
+// | an endpoint's ejection | not choosing the endpoint until it ends | the remaining time shrinks |
+// | an endpoint's latency | choosing among endpoints | as the process's own observations, within seconds |
+// | members' addresses | contacts besides the seeds | dropped after a day, as they are only contacted |
+// | cached responses | parts of answers | by their age, compared with what each part declares |
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -33,15 +35,15 @@
 inline constexpr Duration kLatencyLifetime = std::chrono::seconds(60);
 inline constexpr Duration kMembersLifetime = std::chrono::hours(24);
 
-// What was observed of one endpoint of a dependency.
+// Observations of one endpoint of a dependency.
 struct Endpoint {
-  std::string dependency;  // its declared name
+  std::string dependency;  // the declared name
   std::string host;
   std::uint16_t port = 0;
-  Duration ejected_for{};                   // what is left of its ejection; zero: not ejected
-  std::uint32_t consecutive_ejections = 0;  // each makes the next one longer
-  Duration latency{};                       // its recent peak; zero: not known
-  Duration latency_age{};                   // since that was measured
+  Duration ejected_for{};                   // remaining time of its ejection; zero: not ejected
+  std::uint32_t consecutive_ejections = 0;  // each one lengthens the next
+  Duration latency{};                       // recent peak; zero: not known
+  Duration latency_age{};                   // time since the latency was measured
   bool operator==(const Endpoint&) const = default;
 };
 
@@ -50,37 +52,38 @@
   std::string dependency;
   std::string path;
   std::shared_ptr<const std::string> body;  // never null
-  Duration age{};                           // since the dependency responded
+  Duration age{};                           // time since the dependency responded
   bool operator==(const CachedResponse& other) const {
     return dependency == other.dependency && path == other.path && age == other.age && *body == *other.body;
   }
 };
 
+// The warm state of one process, or of several merged into one.
 struct WarmState {
   std::string process_name;
-  std::uint64_t boot_id = 0;  // of the incarnation that collected it; zero: it is in no fleet
+  std::uint64_t boot_id = 0;  // of the incarnation that collected it; zero: not a member of a fleet
   std::vector<Endpoint> endpoints;
   std::vector<membership::Address> members;      // alive in the last certain view, without this process
   std::vector<CachedResponse> cached_responses;  // most requested first
   bool operator==(const WarmState&) const = default;
 };
 
-// The bytes that a cached response counts against kMaxCachedResponseBytes.
+// Returns the bytes that a cached response counts towards kMaxCachedResponseBytes.
 std::size_t size_in_bytes(const CachedResponse& response);
-// Whether a single cached response may be part of a warm state.
+// Whether a cached response is within the limits on a single one.
 bool is_within_limits(const CachedResponse& response);
-// Drops what exceeds the limits: endpoints with the shortest ejections and latencies first, members and
-// cached responses from the end.
+// Drops items that exceed the limits: endpoints with the shortest ejections and lowest latencies first,
+// members and cached responses from the end.
 void enforce_limits(WarmState& state);
 
-// The states of several processes as one. Of each endpoint the weighted median of its latencies, where older
-// measurements weigh less; it is ejected only where most of the weight of those that report it says so, so
-// that a single outlier has no effect. Every member once, and of each cached response the youngest, those
-// held by several processes first.
+// Merges the states of several processes into one. Each endpoint gets the weighted median of its latencies,
+// in which older measurements weigh less. It is ejected only if the reports of an ejection have most of the
+// weight, so that a single outlier has no effect. Each member is listed once. Of each cached response the
+// youngest is kept, and those that several processes hold come first.
 WarmState merge(const std::vector<WarmState>& states);
 
-// The state as it may be used after `age` has passed. With an unknown or negative age only the members
-// remain.
+// Returns the state as it may be used after `age` has passed. If the age is unknown (nullopt) or negative,
+// only the members remain.
 WarmState age_by(WarmState state, std::optional<Duration> age);
 
 }  // namespace granitegap::warm_state
