--- a/src/hot_restart/key_lease_table.cpp
+++ b/src/hot_restart/key_lease_table.cpp
@@ -10,28 +10,30 @@
 namespace {
 
 constexpr std::uint64_t kMagic = 0x67676170636c6d31;  // "ggapclm1"; the last digit is the version
-constexpr Duration kMaxClockDifference = std::chrono::seconds(2);  // between the processes' readings
+constexpr Duration kMaxClockDifference =
+    std::chrono::seconds(2);  // between the clock readings of the processes
 
 std::int64_t to_us(UnixTime time) { return time.time_since_epoch().count(); }
 
-// Checksums are never 0, which marks a free slot and a header that was never written.
-std::uint64_t checksum_of(const KeyLease& lease) {
+// Returns a checksum that is never 0, because 0 marks a free slot and a header that was never written.
+std::uint64_t compute_checksum(const KeyLease& lease) {
   return XXH3_64bits(&lease, offsetof(KeyLease, checksum)) | 1;
 }
-std::uint64_t checksum_of(const LeaseTableHeader& header) {
+std::uint64_t compute_checksum(const LeaseTableHeader& header) {
   return XXH3_64bits(&header, offsetof(LeaseTableHeader, quarantine_until_us)) | 1;
 }
 
 bool is_free(const KeyLease& slot) { return slot.checksum == 0; }
 
-// A record torn by a kill, overwritten, or with times that no process's clock explains.
+// Whether a record was partly written when its process was killed, was overwritten, or has times too far in
+// the future for any process's clock.
 bool is_damaged(const KeyLease& slot, UnixTime now, Duration max_lease) {
   const auto latest_received = now + kMaxClockDifference;
-  return slot.checksum != checksum_of(slot) || slot.received_us > to_us(latest_received) ||
+  return slot.checksum != compute_checksum(slot) || slot.received_us > to_us(latest_received) ||
          slot.expires_us > to_us(latest_received + max_lease);
 }
 
-// Expired for longer than any attempt received within its window can still be unread.
+// Whether a lease expired so long ago that every attempt received within its window has been read by now.
 bool is_reusable(const KeyLease& slot, UnixTime now, Duration max_lease) {
   return slot.expires_us + max_lease.count() < to_us(now);
 }
@@ -44,7 +46,7 @@
 }  // namespace
 
 KeyHash hash_key(std::string_view request_class, std::string_view idempotency_key) {
-  // With the length of the class in front, so that no two pairs give the same text.
+  // The length of the class comes first, so that different pairs never give the same text.
   std::string text = std::to_string(request_class.size());
   text.append(1, ':').append(request_class).append(idempotency_key);
   const auto hash = XXH3_128bits(text.data(), text.size());
@@ -57,7 +59,7 @@
 
 bool KeyLeaseTable::header_is_valid() const {
   return header_.magic == kMagic && header_.slots == slots_.size() &&
-         header_.checksum == checksum_of(header_);
+         header_.checksum == compute_checksum(header_);
 }
 
 void KeyLeaseTable::initialize() {
@@ -65,12 +67,12 @@
   std::fill(slots_.begin(), slots_.end(), KeyLease{});
   header_.magic = kMagic;
   header_.slots = slots_.size();
-  header_.checksum = checksum_of(header_);
+  header_.checksum = compute_checksum(header_);
 }
 
 bool KeyLeaseTable::adopt(UnixTime now, Duration max_lease) {
   if (header_is_valid()) {
-    // Bounds a quarantine that a process with a clock far ahead has written.
+    // Bounds a quarantine that was written by a process whose clock was far ahead.
     header_.quarantine_until_us = std::min(header_.quarantine_until_us, to_us(now + max_lease));
     return true;
   }
@@ -113,7 +115,7 @@
   auto* slot = holding ? holding : reusable;
   if (!slot) return LeaseDecision::unknown;
   KeyLease record{key, to_us(received), to_us(received + lease), boot_id, 0};
-  record.checksum = checksum_of(record);
+  record.checksum = compute_checksum(record);
   *slot = record;
   return LeaseDecision::acquired;
 }
--- a/src/hot_restart/key_lease_table.h
+++ b/src/hot_restart/key_lease_table.h
@@ -4,13 +4,12 @@
 // key it acquires a lease on the key in this table, so that no key runs twice within its window, whichever
 // process its attempts reach. A lease is held by the process that ran the request, known by its boot ID.
 //
-// The rule on doubt: whenever the table can't tell, the decision is LeaseDecision::unknown and the request
-// must not run. A damaged record could have been any key's, so that damage quarantines the whole table for
-// the longest lease.
+// Whenever the table can't decide, the decision is LeaseDecision::unknown and the request must not run. A
+// damaged record may have belonged to any key, so damage quarantines the whole table for the longest lease.
 //
-// This module works on plain memory: no file, no lock, no clock. The caller holds the lock that guards the
-// memory, and passes the time. The structs below are the file format as it lies in memory; see
-// shared_lease_table.h for the file.
+// This module works on plain memory, without a file, a lock or a clock. The caller holds the lock that
+// protects the memory and passes the time. The structs below define the file format; see shared_lease_table.h
+// for the file.
 #pragma once
 #include <array>
 #include <chrono>
@@ -25,7 +24,7 @@
 
 using UnixTime = std::chrono::sys_time<Duration>;
 
-// 128 bits of hash that stand for a request class and an idempotency key.
+// A 128-bit hash of a request class and an idempotency key.
 struct KeyHash {
   std::uint64_t high = 0, low = 0;
   bool operator==(const KeyHash&) const = default;
@@ -40,12 +39,14 @@
   std::uint64_t boot_id = 0;     // of the holder
   std::uint64_t checksum = 0;    // of all fields above; 0 in a free slot
 };
-static_assert(sizeof(KeyLease) == 48, "the file format");
+static_assert(sizeof(KeyLease) == 48, "KeyLease is part of the file format: 48 bytes");
 
+// The start of the table, followed by the records.
 struct LeaseTableHeader {
   std::uint64_t magic = 0;
   std::uint64_t slots = 0;               // number of records that follow
-  std::int64_t quarantine_until_us = 0;  // no lease is granted before
+  std::int64_t quarantine_until_us = 0;  // no lease is granted before this time
+  // One of the processes that share the table.
   struct ProcessSlot {
     std::uint64_t boot_id = 0;
     std::uint64_t serving = 0;  // 1 while the process that holds this slot's lock accepts connections
@@ -54,8 +55,9 @@
   std::array<ProcessSlot, kMaxProcesses> processes{};
   std::uint64_t checksum = 0;  // of magic and slots
 };
-static_assert(sizeof(LeaseTableHeader) == 160, "the file format");
+static_assert(sizeof(LeaseTableHeader) == 160, "LeaseTableHeader is part of the file format: 160 bytes");
 
+// Whether a request may run.
 enum class LeaseDecision : std::uint8_t {
   acquired,       // recorded: the request may run
   held_by_other,  // another process ran the key within its window
@@ -67,26 +69,26 @@
  public:
   KeyLeaseTable(LeaseTableHeader& header, std::span<KeyLease> slots) : header_(header), slots_(slots) {}
 
-  // Checks memory that another process left, and initializes it where it is all zero. False where the content
-  // was not valid: the table is empty then, and quarantined until `now + max_lease`.
+  // Checks memory that another process may have written, and initializes it if it is all zero. Returns false
+  // if the content was not valid: the table is then emptied and quarantined until `now + max_lease`.
   [[nodiscard]] bool adopt(UnixTime now, Duration max_lease);
 
-  // Decides whether the process `boot_id` may run the key. `received` is when the attempt reached the
-  // machine; the lease lasts for `lease` (the window and its margin) from then on. A lease that the same
-  // process holds is renewed, as its own idempotency table has admitted the attempt. An attempt received
-  // after the recorded lease expired runs anew, whatever `now` is. `max_lease` is the longest lease of any
-  // class.
+  // Decides whether the process `boot_id` may run a request with the key. `received` is when the attempt
+  // reached the machine; the lease lasts for `lease` (the window and its margin) from then on. A lease that
+  // the same process holds is renewed, because its own idempotency table has admitted the attempt. An attempt
+  // received after the recorded lease expired may run, whatever `now` is. `max_lease` is the longest lease of
+  // any class.
   [[nodiscard]] LeaseDecision acquire(const KeyHash& key, UnixTime received, Duration lease,
                                       std::uint64_t boot_id, UnixTime now, Duration max_lease);
-  // Gives back a lease of this process, whose request did not run.
+  // Releases a lease that the process `boot_id` holds, because the request did not run.
   void release(const KeyHash& key, std::uint64_t boot_id);
-  // The number of leases that have not expired.
+  // Returns the number of leases that have not expired.
   [[nodiscard]] std::size_t count_active(UnixTime now) const;
 
  private:
   static constexpr std::size_t kMaxProbes = 64;  // slots examined for one key (linear probing)
 
-  // The slots for one key: the one that holds it, and the first that may be overwritten. Null: none.
+  // The slots for one key: the one that contains it, and the first one that may be overwritten. Null: none.
   struct SlotSearch {
     KeyLease* holding = nullptr;
     KeyLease* reusable = nullptr;
--- a/src/hot_restart/shared_lease_table.cpp
+++ b/src/hot_restart/shared_lease_table.cpp
@@ -42,14 +42,14 @@
 
 enum class LockState : std::uint8_t { free, held, unknown };
 
-// Whether another open file, which means another process, holds the lock.
+// Returns whether another process (through its own open file description) holds the lock.
 LockState lock_state(int fd, off_t at) {
   auto lock = byte_lock(F_WRLCK, at);
   if (::fcntl(fd, F_OFD_GETLK, &lock) != 0) return LockState::unknown;
   return lock.l_type == F_UNLCK ? LockState::free : LockState::held;
 }
 
-// Holds the table's lock for one operation. Never waits: guards against a process that was stopped while it
+// Holds the table's lock for one operation. Never waits, because a process may have been stopped while it
 // held the lock.
 class TableLock {
  public:
@@ -70,7 +70,7 @@
   return {LeaseTableError::Kind::system_error, path, std::error_code(number, std::generic_category())};
 }
 
-// Allocates the file in full; an errno, or 0.
+// Allocates the file in full. Returns 0 or an errno value; EINVAL if it is not a regular file.
 int allocate(int fd, std::size_t bytes) {
   struct stat status {};
   const bool is_regular = ::fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
@@ -82,15 +82,16 @@
 std::string LeaseTableError::message() const {
   switch (kind) {
     case Kind::directory_not_set:
-      return "TMPDIR is not set";
+      return "cannot open the lease table: TMPDIR is not set";
     case Kind::invalid_name:
-      return "the name is no file's: " + subject;
+      return "cannot open the lease table: server name contains '/': " + subject;
     case Kind::system_error:
-      return subject + ": " + system_error.message();
+      return "cannot open the lease table " + subject + ": " + system_error.message();
     case Kind::too_many_processes:
-      return subject + ": too many processes share it";
+      return "cannot open the lease table " + subject + ": all " +
+             std::to_string(LeaseTableHeader::kMaxProcesses) + " process slots are in use";
   }
-  return "unknown error";
+  return "cannot open the lease table: unknown error";
 }
 
 // ---- MappedMemory ----
@@ -140,7 +141,8 @@
   MappedMemory memory(fd.get(), kFileBytes);
   if (!memory.valid()) return system_error(path, errno);
   SharedLeaseTable shared(std::move(fd), std::move(memory), boot_id, max_lease);
-  // May wait: nothing is served yet, and other processes hold the lock for one operation only.
+  // Waiting is acceptable here: this process serves nothing yet, and others hold the lock for one operation
+  // only.
   if (!lock_or_wait(shared.fd_.get(), kTableLockByte)) return system_error(path, errno);
   shared.was_reset_ = !shared.table().adopt(now, max_lease);
   const bool has_slot = shared.take_process_slot();
--- a/tests/key_lease_table_test.cpp
+++ b/tests/key_lease_table_test.cpp
@@ -1,4 +1,4 @@
-// Leases on idempotency keys: the decisions in memory, and the file that processes share.
+// Tests leases on idempotency keys: the decisions in memory, and the file that processes share.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -23,14 +23,14 @@
 
 // ---- The table in memory ----
 
-// Memory for a small table, and its operations at given times.
+// Memory for a small table, and operations on it at given times.
 struct TableMemory {
   LeaseTableHeader header;
   std::vector<KeyLease> slots = std::vector<KeyLease>(256);
 
   TableMemory() { EXPECT_TRUE(table().adopt(at(0s), kLease)); }
   KeyLeaseTable table() { return {header, slots}; }
-  // An attempt that was received at `received` and is decided at `now`: at once where it is left out.
+  // Decides at `now` on an attempt that was received at `received`. `now` defaults to `received`.
   LeaseDecision acquire(const std::string& key, std::uint64_t boot_id, Duration received,
                         std::optional<Duration> now = {}) {
     return table().acquire(hash_key("report", key), at(received), kLease, boot_id, at(now.value_or(received)),
@@ -67,7 +67,7 @@
   EXPECT_EQ(memory.acquire("a", 2, 1s), LeaseDecision::acquired);
 }
 
-TEST(KeyLeaseTable, AFullTableDecidesUnknown) {
+TEST(KeyLeaseTable, DecisionIsUnknownWhenTheTableIsFull) {
   TableMemory memory;
   int unknown = 0;
   for (int k = 0; k < 1000; ++k)
@@ -82,9 +82,9 @@
   EXPECT_EQ(memory.acquire("fresh", 1, 60s), LeaseDecision::acquired);
 }
 
-// Every byte of a record is damaged in turn. The record could have been any key's, so that neither the key
-// nor another one is granted.
-TEST(KeyLeaseTable, NoDamagedByteLetsAKeyRunAgain) {
+// Every byte of a record is damaged in turn. The record may have belonged to any key, so no lease may be
+// granted on this key or another one.
+TEST(KeyLeaseTable, ADamagedByteInARecordPreventsLeases) {
   for (std::size_t byte = 0; byte < sizeof(KeyLease); ++byte)
     for (const unsigned char mask : {std::uint8_t{0x01}, std::uint8_t{0x80}, std::uint8_t{0xff}}) {
       TableMemory memory;
@@ -105,14 +105,14 @@
   EXPECT_EQ(memory.acquire("b", 2, 11s), LeaseDecision::acquired);
 }
 
-TEST(KeyLeaseTable, ALeaseOfAClockThatWasAheadQuarantinesTheTableForTheLongestLease) {
+TEST(KeyLeaseTable, ALeaseWrittenByAClockThatWasAheadQuarantinesTheTableForTheLongestLease) {
   TableMemory memory;
   EXPECT_EQ(memory.acquire("a", 1, 1h), LeaseDecision::acquired);
   EXPECT_EQ(memory.acquire("a", 2, 0s), LeaseDecision::unknown);
   EXPECT_EQ(memory.acquire("a", 2, 10s), LeaseDecision::acquired);
 }
 
-// Three processes at random, against a model that knows when each key ran last.
+// Three processes acquire leases at random. A model of when each key ran last checks the decisions.
 TEST(KeyLeaseTable, RandomHistoriesRunNoKeyTwiceWithinItsLease) {
   struct LastRun {
     Duration received;
@@ -132,7 +132,7 @@
         continue;
       }
       ++granted;
-      // Repeats within one process are its own idempotency table's to deny.
+      // Repeated attempts within one process are denied by its own idempotency table, not here.
       const auto last = last_runs.find(key);
       if (last != last_runs.end() && received <= last->second.received + kLease) {
         EXPECT_EQ(boot_id, last->second.boot_id) << "seed " << seed;
@@ -153,33 +153,34 @@
   std::filesystem::path file() const { return path() / "granitegap-n1.claims"; }
 };
 
-// The kind of error that open() reports; absent where it opens the table.
-std::optional<LeaseTableError::Kind> error_of(const std::variant<SharedLeaseTable, LeaseTableError>& opened) {
+// Returns the kind of error that open() reported; nullopt if it opened the table.
+std::optional<LeaseTableError::Kind> error_kind(
+    const std::variant<SharedLeaseTable, LeaseTableError>& opened) {
   const auto* error = std::get_if<LeaseTableError>(&opened);
   return error ? std::optional(error->kind) : std::nullopt;
 }
 
-TEST(SharedLeaseTable, OnlyAnotherLiveProcessThatServesCounts) {
+TEST(SharedLeaseTable, AnotherProcessServesOnlyWhileItIsAliveAndAcceptsConnections) {
   const TableDirectory directory;
   auto opened_old = directory.open(1);
   auto& old = std::get<SharedLeaseTable>(opened_old);
   old.mark_serving();
   EXPECT_FALSE(old.another_process_serves());
   {
-    auto opened_fresh = directory.open(2);
-    auto& fresh = std::get<SharedLeaseTable>(opened_fresh);
-    EXPECT_TRUE(fresh.another_process_serves());
-    EXPECT_FALSE(old.another_process_serves());  // it is there, and does not serve yet
-    fresh.mark_serving();
+    auto opened_replacement = directory.open(2);
+    auto& replacement = std::get<SharedLeaseTable>(opened_replacement);
+    EXPECT_TRUE(replacement.another_process_serves());
+    EXPECT_FALSE(old.another_process_serves());  // it is alive but not serving yet
+    replacement.mark_serving();
     EXPECT_TRUE(old.another_process_serves());
-    fresh.mark_draining();
+    replacement.mark_draining();
     EXPECT_FALSE(old.another_process_serves());
-    fresh.mark_serving();
+    replacement.mark_serving();
   }
   EXPECT_FALSE(old.another_process_serves());
 }
 
-TEST(SharedLeaseTable, AReusedProcessSlotDoesNotShowItsPreviousProcess) {
+TEST(SharedLeaseTable, AReusedProcessSlotStartsAsNotServing) {
   const TableDirectory directory;
   auto opened_old = directory.open(1);
   auto& old = std::get<SharedLeaseTable>(opened_old);
@@ -188,7 +189,7 @@
     std::get<SharedLeaseTable>(opened_second).mark_serving();
   }
   const auto opened_third = directory.open(3);
-  ASSERT_FALSE(error_of(opened_third));
+  ASSERT_FALSE(error_kind(opened_third));
   EXPECT_FALSE(old.another_process_serves());
 }
 
@@ -198,9 +199,9 @@
   auto opened_old = directory.open(1);
   auto& old = std::get<SharedLeaseTable>(opened_old);
   {
-    auto opened_fresh = directory.open(2);
-    auto& fresh = std::get<SharedLeaseTable>(opened_fresh);
-    EXPECT_EQ(fresh.acquire(key, at(0s), kLease, at(0s)), LeaseDecision::acquired);
+    auto opened_replacement = directory.open(2);
+    auto& replacement = std::get<SharedLeaseTable>(opened_replacement);
+    EXPECT_EQ(replacement.acquire(key, at(0s), kLease, at(0s)), LeaseDecision::acquired);
     EXPECT_EQ(old.acquire(key, at(0s), kLease, at(0s)), LeaseDecision::held_by_other);
   }
   auto opened_third = directory.open(3);
@@ -214,41 +215,43 @@
   const auto open = [](const std::string& path, const std::string& name) {
     return SharedLeaseTable::open(path, name, 1, kLease, at(0s));
   };
-  EXPECT_EQ(error_of(open("", kServerName)), Kind::directory_not_set);
-  EXPECT_EQ(error_of(open(directory.path().string() + "/missing", kServerName)), Kind::system_error);
-  EXPECT_EQ(error_of(open(directory.path().string(), "../n1")), Kind::invalid_name);
+  EXPECT_EQ(error_kind(open("", kServerName)), Kind::directory_not_set);
+  EXPECT_EQ(error_kind(open(directory.path().string() + "/missing", kServerName)), Kind::system_error);
+  EXPECT_EQ(error_kind(open(directory.path().string(), "../n1")), Kind::invalid_name);
 }
 
 TEST(SharedLeaseTable, ADirectoryInPlaceOfTheFileIsAnError) {
   const TableDirectory directory;
   std::filesystem::create_directory(directory.file());
-  EXPECT_EQ(error_of(directory.open(1)), LeaseTableError::Kind::system_error);
+  EXPECT_EQ(error_kind(directory.open(1)), LeaseTableError::Kind::system_error);
 }
 
-TEST(SharedLeaseTable, AProcessTooManyIsAnError) {
+TEST(SharedLeaseTable, OpeningFailsWhenAllProcessSlotsAreInUse) {
   const TableDirectory directory;
   std::vector<std::variant<SharedLeaseTable, LeaseTableError>> opened;
   for (std::size_t k = 0; k < LeaseTableHeader::kMaxProcesses; ++k) {
     opened.push_back(directory.open(1 + k));
-    EXPECT_FALSE(error_of(opened.back())) << k;
+    EXPECT_FALSE(error_kind(opened.back())) << k;
   }
   const auto one_more = directory.open(100);
-  ASSERT_EQ(error_of(one_more), LeaseTableError::Kind::too_many_processes);
+  ASSERT_EQ(error_kind(one_more), LeaseTableError::Kind::too_many_processes);
   EXPECT_EQ(std::get<LeaseTableError>(one_more).message(),
-            directory.file().string() + ": too many processes share it");
+            "cannot open the lease table " + directory.file().string() + ": all 8 process slots are in use");
 }
 
-TEST(SharedLeaseTable, ErrorsNameTheCause) {
+TEST(SharedLeaseTable, ErrorMessagesNameTheFileOrSettingAndTheCause) {
   const TableDirectory directory;
   const auto message = [](const std::string& path, const std::string& name) {
     return std::get<LeaseTableError>(SharedLeaseTable::open(path, name, 1, kLease, at(0s))).message();
   };
-  EXPECT_EQ(message("", kServerName), "TMPDIR is not set");
-  EXPECT_EQ(message(directory.path().string(), "../n1"), "the name is no file's: ../n1");
-  EXPECT_EQ(message("/missing", kServerName), "/missing/granitegap-n1.claims: No such file or directory");
+  EXPECT_EQ(message("", kServerName), "cannot open the lease table: TMPDIR is not set");
+  EXPECT_EQ(message(directory.path().string(), "../n1"),
+            "cannot open the lease table: server name contains '/': ../n1");
+  EXPECT_EQ(message("/missing", kServerName),
+            "cannot open the lease table /missing/granitegap-n1.claims: No such file or directory");
 }
 
-TEST(SharedLeaseTable, AFileThatIsNoTableIsReplacedByAQuarantinedOne) {
+TEST(SharedLeaseTable, AFileThatIsNotATableIsReplacedByAQuarantinedTable) {
   const TableDirectory directory;
   std::ofstream(directory.file()) << "something else";
   auto opened = directory.open(1);
