--- a/src/hot_restart/shared_lease_table.cpp
+++ b/src/hot_restart/shared_lease_table.cpp
@@ -141,8 +141,7 @@
   MappedMemory memory(fd.get(), kFileBytes);
   if (!memory.valid()) return system_error(path, errno);
   SharedLeaseTable shared(std::move(fd), std::move(memory), boot_id, max_lease);
-  // Waiting is acceptable here: this process serves nothing yet, and others hold the lock for one operation
-  // only.
+  // Waiting is acceptable: nothing is served yet, and others hold the lock for one operation only.
   if (!lock_or_wait(shared.fd_.get(), kTableLockByte)) return system_error(path, errno);
   shared.was_reset_ = !shared.table().adopt(now, max_lease);
   const bool has_slot = shared.take_process_slot();
--- a/src/hot_restart/shared_lease_table.h
+++ b/src/hot_restart/shared_lease_table.h
@@ -60,8 +60,7 @@
 class SharedLeaseTable {
  public:
   // Opens or creates the table of the server `name` in `directory` ($TMPDIR) and takes a process slot in it.
-  // May wait while another process holds the table's lock. `max_lease`: the longest window plus margin of any
-  // class.
+  // May wait for another process's operation. `max_lease`: the longest window plus margin of any class.
   [[nodiscard]] static std::variant<SharedLeaseTable, LeaseTableError> open(const std::string& directory,
                                                                             const std::string& name,
                                                                             std::uint64_t boot_id,
--- a/src/recovery/donor_selection.h
+++ b/src/recovery/donor_selection.h
@@ -82,8 +82,7 @@
   void on_failure(std::uint64_t nonce);
   // Whether no further response is awaited.
   bool finished(TimePoint now) const;
-  // Returns when the results of next_requests() and finished() may change without an input; nullopt once
-  // finished.
+  // Returns when next_requests() and finished() may change without an input; nullopt once finished.
   std::optional<TimePoint> next_deadline(TimePoint now) const;
   // Returns the accepted states merged into one; empty if none was accepted.
   warm_state::WarmState result() const;
