--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -1,5 +1,5 @@
-// Admission control for arriving requests: the reasons to reject one, and the drop by weight past the
-// paper's D_drop.
+// Admission control for arriving requests: the reasons to reject a request, and shedding by weight when waits
+// exceed the paper's D_drop.
 // Part of the admission controller; see src/policy/controller_state.h and docs/design.md.
 #include <algorithm>
 #include <optional>
@@ -12,23 +12,25 @@
 using namespace policy;  // NOLINT(google-build-using-namespace): this module's own internal names
 
 namespace {
-constexpr Duration kMaxUnreadWait = seconds(3600);  // a longer one is no credible report
+constexpr Duration kMaxUnreadWait = seconds(3600);  // longer reported waits are not plausible and are clamped
 }  // namespace
 
 void AdmissionController::Impl::on(const RequestArrived& arrival) {
   if (requests.count(arrival.id)) return;
-  if (!find_class(arrival)) {  // not in the settings: nothing can be promised
+  if (!find_class(arrival)) {  // the class is not in the settings, so no deadline or idempotency is known
     act(Reject{arrival.id, false, {}});
     return;
   }
   caller_last_seen[arrival.caller] = now;
   auto& request = add_request(arrival);
-  // What waited unread and is rejected at once is never the oldest in the queue: its wait counts all the
-  // same, or a flood of arrivals would look like no overload and the pool would grow into it.
+  // A request that is rejected on arrival never becomes the oldest in the queue, so its unread wait is
+  // counted here. Otherwise a flood of arrivals would not register as overload and the pool would keep
+  // growing.
   newest_unread_ratio = to_seconds(now - request.arrived_at) / to_seconds(delay_target(request));
   arrival_delay_ratio = std::max(arrival_delay_ratio, newest_unread_ratio);
   request.over_quota = quota_exhausted(arrival.tenant);
-  // Guards against a duplicate read just before the kill, which no timer could still answer.
+  // A duplicate that is read just before the process is stopped is rejected at once: no timer could answer it
+  // in time.
   if (drain_started && now >= last_answer_time()) return reject(request, false);
   if (arrival.duplicate_of && may_reuse(request)) return reuse_result(request);
   if (const auto reason = reject_reason(request)) return reject_arrival(request, *reason);
@@ -36,10 +38,10 @@
 }
 
 Request& AdmissionController::Impl::add_request(const RequestArrived& arrival) {
-  Request fresh;
-  fresh.arrival = arrival;
-  auto& request = requests.emplace(arrival.id, fresh).first->second;
-  const auto& request_class = class_of(request);
+  Request added;
+  added.arrival = arrival;
+  auto& request = requests.emplace(arrival.id, added).first->second;
+  const auto& request_class = class_state(request);
   request.phase_since = now;
   request.arrived_at = now - std::clamp(arrival.unread_wait, Duration{}, kMaxUnreadWait);
   const TimePoint due =
@@ -56,7 +58,7 @@
 
 void AdmissionController::Impl::admit(Request& request) {
   if (!request.over_quota) consume_quota(request.arrival.tenant);
-  const auto& request_class = class_of(request);
+  const auto& request_class = class_state(request);
   if (request_class.idempotency == Idempotency::with_key)
     cache_result(request, request_class.idempotency_window - (now - request.arrived_at));
   set_deadline_timer(request);
@@ -64,32 +66,32 @@
 
 void AdmissionController::Impl::reject_arrival(Request& request, RejectReason reason) {
   const bool by_load = reason == RejectReason::waits_too_long || reason == RejectReason::over_quota;
-  const bool last = (by_load && persistent_overload()) || reason == RejectReason::too_late;
+  const bool do_not_retry_elsewhere = (by_load && persistent_overload()) || reason == RejectReason::too_late;
   Duration retry_after{};
   if (by_load) retry_after = std::min(settings.max_retry_after.value_or(Duration{}), delay_target(request));
-  reject(request, last, retry_after);
+  reject(request, do_not_retry_elsewhere, retry_after);
 }
 
-// Past D_drop the least weight is shed first, even with a core free: where requests wait unread, the queue
-// is outside this controller and its order can't be chosen. Guards against serving the patient classes and
-// losing the urgent ones; the admitted fraction follows the waits as the pool does. Ties are broken by
-// chance.
+// Past D_drop the requests of least weight are shed first, even with a core free: requests that wait unread
+// are queued outside this controller, in an order that it cannot change. Without this step, classes with long
+// deadlines would be served and urgent ones lost. The admitted fraction follows the waits as the pool does.
+// Ties are broken at random.
 bool AdmissionController::Impl::below_admission_threshold(Request& request) {
-  const double own = weight(request);
+  const double request_weight = weight(request);
   const bool below = admitted_fraction < 1 && recent_weights.size() >= kWeightSamples / 2 &&
-                     rank_by_weight(own) < 1 - admitted_fraction;
-  recent_weights.push_back(own);
+                     rank_by_weight(request_weight) < 1 - admitted_fraction;
+  recent_weights.push_back(request_weight);
   if (recent_weights.size() > kWeightSamples) recent_weights.pop_front();
   return below;
 }
 
-// 0 to 1, among recent arrivals. Draws a random number.
-double AdmissionController::Impl::rank_by_weight(double own) {
+// Returns the rank of a weight among recent arrivals, from 0 to 1. Draws a random number to break ties.
+double AdmissionController::Impl::rank_by_weight(double request_weight) {
   double below = 0;
   double ties = 0;
   for (const double other : recent_weights) {
-    below += other < own;
-    ties += other == own;
+    below += other < request_weight;
+    ties += other == request_weight;
   }
   const double drawn = std::uniform_real_distribution<double>(0, 1)(random);
   return (below + ties * drawn) / double(recent_weights.size());
@@ -103,10 +105,10 @@
 
 std::optional<AdmissionController::Impl::RejectReason> AdmissionController::Impl::reject_reason(
     Request& request) {
-  const auto& request_class = class_of(request);
+  const auto& request_class = class_state(request);
   if (arrives_too_late_for_drain(request)) return RejectReason::draining;
   const auto entry = request_class.idempotency == Idempotency::with_key ? entry_memory : 0;
-  if (memory_in_use() + entry > memory_limit || !memory_leaves_a_run(request, entry))
+  if (memory_in_use() + entry > memory_limit || !leaves_memory_for_run(request, entry))
     return RejectReason::no_memory;
   if (now >= request.useful_until && request_class.late_weight_fraction <= 0) return RejectReason::too_late;
   if (below_admission_threshold(request)) return RejectReason::waits_too_long;
@@ -114,24 +116,24 @@
   return wait_reject_reason(request);
 }
 
-// The reasons that hold only while requests queue.
+// Returns the first of the reject reasons that apply only while requests are queued.
 std::optional<AdmissionController::Impl::RejectReason> AdmissionController::Impl::wait_reject_reason(
     Request& request) {
   const double target = to_seconds(delay_target(request));
   if (oldest_wait(request.arrival.class_id) > kDropRatio * target) return RejectReason::waits_too_long;
-  // By what the cores can do, not by the oldest wait: guards against a burst that is admitted while the
-  // queue is empty and keeps everybody waiting past the patience of their callers, who are served when they
-  // are gone.
+  // The limit compares the queued core time, not the oldest wait. A limit on the oldest wait would admit a
+  // whole burst while the queue is empty, and the requests would then be served after their callers had given
+  // up.
   const double cores_wait = work_ahead(request) / cores;
   if (max_wait_ratio && cores_wait > *max_wait_ratio * target) {
     arrival_delay_ratio = std::max(arrival_delay_ratio, cores_wait / target);
     return RejectReason::waits_too_long;
   }
   const Duration wait = expected_wait(request);
-  const Duration run = to_duration(kServeMargin * to_seconds(time_needed(request)));
+  const Duration run = to_duration(kRunTimeMargin * to_seconds(time_needed(request)));
   if (now + wait + run > request.useful_until) {
-    // The wait it would have met is a delay like any other: rejecting early must not make the pool look
-    // idle.
+    // The wait that the request would have had counts as a delay. Otherwise early rejection would make the
+    // pool look idle.
     const double delay = to_seconds(wait + (now - request.arrived_at));
     arrival_delay_ratio = std::max(arrival_delay_ratio, delay / target);
     return RejectReason::waits_too_long;
@@ -140,7 +142,7 @@
   return std::nullopt;
 }
 
-// In seconds, of the queued requests of one class.
+// Returns the longest wait among the queued requests of one class, in seconds.
 double AdmissionController::Impl::oldest_wait(ClassId id) const {
   double worst = 0;
   for (const auto& [request_id, request] : requests) {
--- a/src/policy/controller.cpp
+++ b/src/policy/controller.cpp
@@ -1,5 +1,5 @@
-// The admission controller as the host sees it: construction, start, and one batch of events in, actions
-// out. The periodic update timer runs the decision steps in their fixed order.
+// The interface of the admission controller to its host: construction, start, and the handling of one batch
+// of events, which returns actions. The periodic update timer runs the decision steps in their fixed order.
 // Part of the admission controller; see src/policy/controller_state.h and docs/design.md.
 #include <cmath>
 #include <span>
@@ -26,15 +26,15 @@
 // ---- The periodic update ----
 
 void AdmissionController::Impl::on(const TimerFired& fired) {
-  if (fired.token != kUpdateToken) return answer_due(fired.token);
+  if (fired.token != kUpdateToken) return on_deadline_timer(fired.token);
   if (fired.core_utilization && std::isfinite(*fired.core_utilization))
     core_utilization = std::clamp(*fired.core_utilization, 0.0, 1.0);
   if (fired.runnable_tasks && std::isfinite(*fired.runnable_tasks))
     runnable_tasks = std::clamp(*fired.runnable_tasks, 0.0, kMaxRunnable);
   refill_quotas();
   drop_expired_entries();
-  forget_quiet_callers();
-  shed_hopeless();
+  remove_inactive_callers();
+  shed_late_requests();
   update_run_limit();
   update_pool();
   pause_long_runs();
@@ -52,7 +52,7 @@
   now = std::max(now, at);
   actions.clear();
   for (const auto& event : events) std::visit([&](const auto& typed) { on(typed); }, event);
-  // Calls that ended are recorded too: guards against reading a quick call as open until the next one.
+  // Also records the end of calls. Otherwise a short call would count as open until the next call starts.
   record_open_calls();
   make_calls();
   start_queued();
--- a/src/policy/deadlines.cpp
+++ b/src/policy/deadlines.cpp
@@ -1,4 +1,4 @@
-// Deadline timers: every admitted request is answered by its due time, also while draining.
+// Deadline timers, which answer every admitted request by its due time, also during a drain.
 // Part of the admission controller; see src/policy/controller_state.h and docs/design.md.
 #include <algorithm>
 #include <cstdint>
@@ -15,7 +15,7 @@
   ++next_token;
 }
 
-void AdmissionController::Impl::answer_due(TimerToken token) {
+void AdmissionController::Impl::on_deadline_timer(TimerToken token) {
   const auto it = deadline_timers.find(std::uint32_t(token));
   if (it == deadline_timers.end()) return;
   auto* request = find_request(it->second);
@@ -23,7 +23,8 @@
   if (request && !request->answered && !request->abandoned) reject_or_fail(*request, false);
 }
 
-// While draining: the latest time for a final answer, so that it is out before the process is stopped.
+// Returns the latest time for a final answer during a drain, so that it is sent before the process is
+// stopped.
 TimePoint AdmissionController::Impl::last_answer_time() const {
   return *stop_at - std::min<Duration>(2 * answer_slack + update_interval, (*stop_at - *drain_started) / 4);
 }
--- a/src/policy/result_cache.cpp
+++ b/src/policy/result_cache.cpp
@@ -1,4 +1,5 @@
-// Duplicates of a request: which may reuse its result, and how long the host's table keeps it.
+// Duplicates of a request: which of them may reuse its result, and how long the host's table keeps the
+// result.
 // Part of the admission controller; see src/policy/controller_state.h and docs/design.md.
 #include "controller_state.h"
 
@@ -7,7 +8,7 @@
 using namespace policy;  // NOLINT(google-build-using-namespace): this module's own internal names
 
 bool AdmissionController::Impl::may_reuse(const Request& request) {
-  const auto idempotency = class_of(request).idempotency;
+  const auto idempotency = class_state(request).idempotency;
   if (idempotency == Idempotency::with_key) return true;
   return idempotency == Idempotency::idempotent && reads_are_shared();
 }
@@ -24,7 +25,7 @@
 }
 
 void AdmissionController::Impl::cache_result(Request& request, Duration ttl) {
-  ttl += update_interval;  // past the window's end, never short of it
+  ttl += update_interval;  // so that the entry never expires before the end of the window
   if (ttl.count() <= 0) return;
   cached_results[request.arrival.id] = now + ttl;
   act(CacheResult{request.arrival.id, ttl});
--- a/src/policy/settings_defaults.cpp
+++ b/src/policy/settings_defaults.cpp
@@ -1,5 +1,5 @@
-// Reads the settings an instance is given, and replaces missing or unusable values by conservative ones
-// that are named once in a Log.
+// Reads the settings of an instance and replaces missing or invalid values by conservative defaults. One Log
+// names the settings that were replaced.
 // Part of the admission controller; see src/policy/controller_state.h and docs/design.md.
 #include <algorithm>
 #include <cmath>
@@ -15,12 +15,12 @@
 
 constexpr double kUnitsPerKilobyte = 1000;
 
-// Adds a setting's name to the words of the log line.
-void note_rejected(std::string& rejected, const std::string& name) {
+// Appends a setting's name to the space-separated list for the log message.
+void add_rejected_setting(std::string& rejected, const std::string& name) {
   rejected += rejected.empty() ? name : " " + name;
 }
 
-ClassState class_state(const ClassSettings& configured) {
+ClassState make_class_state(const ClassSettings& configured) {
   ClassState state;
   state.deadline = configured.deadline.value_or(configured.latency_objective.value_or(seconds(1)));
   const Duration least = milliseconds(1);
@@ -31,7 +31,7 @@
   state.late_weight_fraction = std::clamp(configured.late_weight_fraction.value_or(0), 0.0, 1.0);
   state.degraded_weight_fraction = std::clamp(configured.degraded_weight_fraction.value_or(0), 0.0, 1.0);
   state.objective_stretch = std::max(configured.objective_stretch.value_or(0), 0.0);
-  state.idempotency = configured.idempotency.value_or(Idempotency::none);  // the most conservative reading
+  state.idempotency = configured.idempotency.value_or(Idempotency::none);  // the most conservative value
   return state;
 }
 
@@ -40,7 +40,7 @@
 double AdmissionController::Impl::read_number(std::optional<double> value, double least, double fallback,
                                               const char* name, std::string& rejected) {
   if (value && std::isfinite(*value) && *value >= least) return *value;
-  note_rejected(rejected, name);
+  add_rejected_setting(rejected, name);
   return fallback;
 }
 
@@ -62,11 +62,11 @@
 }
 
 void AdmissionController::Impl::read_classes(std::string& rejected) {
-  if (settings.classes.empty()) note_rejected(rejected, "classes");
+  if (settings.classes.empty()) add_rejected_setting(rejected, "classes");
   for (const auto& configured : settings.classes) {
-    classes.push_back(class_state(configured));
+    classes.push_back(make_class_state(configured));
     if (!configured.deadline || !configured.latency_objective || !configured.idempotency)
-      note_rejected(rejected, "class");
+      add_rejected_setting(rejected, "class");
   }
 }
 
@@ -86,13 +86,13 @@
   call_window = settings.call_window.value_or(seconds(5));
   abandoned_call_linger = settings.abandoned_call_linger.value_or(milliseconds(200));
   const Duration tick = settings.tick_interval.value_or(milliseconds(5));
-  update_interval = std::max<Duration>(tick * kUpdateTicks, kMinUpdate);
+  update_interval = std::max<Duration>(tick * kUpdateTicks, kMinUpdateInterval);
   read_classes(rejected);
   read_tenants(rejected);
-  for (const auto& invalid : settings.invalid_settings) note_rejected(rejected, invalid.key);
+  for (const auto& invalid : settings.invalid_settings) add_rejected_setting(rejected, invalid.key);
   last_refill = overload_change_since = now;
-  pace = 1 / warm_speed();
-  if (!rejected.empty()) log("settings missing or unusable, read with caution: " + rejected);
+  run_time_ratio = 1 / warm_speed();
+  if (!rejected.empty()) log("settings missing or invalid, using conservative defaults for: " + rejected);
 }
 
 }  // namespace granitegap
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -1,4 +1,5 @@
-// Tenant quotas: a token bucket for each tenant, filled at its part of the quota of all servers.
+// Tenant quotas: a token bucket for each tenant, refilled at this server's part of the quota over all
+// servers.
 // Part of the admission controller; see src/policy/controller_state.h and docs/design.md.
 #include <algorithm>
 
@@ -8,8 +9,9 @@
 
 using namespace policy;  // NOLINT(google-build-using-namespace): this module's own internal names
 
-// The quota counts what clients ask of the service: an inner tier sees calls and can't apply it, and what is
-// rejected has used none of it (guards against retries and calls that read as traffic over a quota).
+// Returns whether the tenant's quota is used up. The quota counts client requests to the service: an inner
+// tier receives calls and cannot apply it, and rejected requests do not use it. Otherwise retries and calls
+// would count as traffic over the quota.
 bool AdmissionController::Impl::quota_exhausted(TenantId tenant) const {
   const auto index = std::size_t(tenant);
   return settings.tier.value_or(0) < 1 && index < tenants.size() && tenants[index].tokens < 1;
@@ -20,8 +22,9 @@
   if (index < tenants.size()) tenants[index].tokens = std::max(tenants[index].tokens - 1, 0.0);
 }
 
-// A bucket holds two seconds' worth; where that is few requests, more, or chance alone would read as traffic
-// over a quota. The price: a quota that is overrun is noticed later.
+// A bucket holds two seconds of its quota. A small quota gets a larger bucket (kMinBurst), because random
+// clustering of a few requests would otherwise count as traffic over the quota. The cost is that an exceeded
+// quota is detected later.
 void AdmissionController::Impl::refill_quotas() {
   const double elapsed = to_seconds(now - last_refill);
   last_refill = now;
--- a/src/policy/tuning.h
+++ b/src/policy/tuning.h
@@ -1,6 +1,6 @@
-// Tuned constants of the admission controller: ratios, counts and durations, none fitted to one site.
-// The CoreSync paper names some of them (D_t, the delay target; D_drop, the drop bound; alpha and beta, the
-// steps of the credit pool); the rest are ours, each with its reason.
+// Constants of the admission controller: ratios, counts and durations, none specific to one site.
+// Some are parameters of the CoreSync paper: D_t is the delay target, D_drop the drop bound, and alpha and
+// beta are the steps of the credit pool. The others belong to this controller.
 #pragma once
 
 #include <chrono>
@@ -15,67 +15,68 @@
 using Seconds = std::chrono::duration<double>;
 
 // ---- Delay targets ----
-constexpr double kTargetRuns = 2.5;            // D_t in median run times
-constexpr double kDropRatio = 2.0;             // D_drop / D_t, as in the paper
-constexpr double kTargetObjectiveShare = 0.3;  // D_t never over this part of the objective: time to run
-constexpr double kGuessObjectiveShare = 0.1;   // a run's length as part of it, before any sample or hint
+constexpr double kDelayTargetRuns = 2.5;      // D_t, in median run times
+constexpr double kDropRatio = 2.0;            // D_drop / D_t, as in the paper
+constexpr double kMaxDelayTargetShare = 0.3;  // maximum part of the objective for D_t; leaves time to run
+constexpr double kInitialRunShare = 0.1;  // run time as part of the objective, without sample or cost hint
 
 // ---- The credit pool ----
-constexpr double kBeta = 0.02;              // the paper's decrease per update
-constexpr double kAlphaShare = 0.001;       // the paper's alpha, as a part of the pool
-constexpr double kMaxDecrease = 0.5;        // the paper's bound on one decrease
-constexpr double kOvercommit = 2.0;         // credit over what the busiest caller has open
-constexpr double kIdleGrowth = 0.1;         // the pool's growth while cores idle with requests queued
-constexpr double kBusyCores = 0.92;         // core utilization under which cores count as idle
-constexpr double kCreditChange = 0.02;      // part by which the credit must change to be advertised anew
-constexpr int kQuietTtls = 5;               // after this many lifetimes of its credit a caller is forgotten
-constexpr Duration kMinQuiet = seconds(5);  // and no sooner
-constexpr int kUpdateTicks = 4;             // ticks of the host between updates
-constexpr Duration kMinUpdate = milliseconds(20);
+constexpr double kBeta = 0.02;             // the paper's decrease per update
+constexpr double kAlphaShare = 0.001;      // the paper's alpha, as a part of the pool
+constexpr double kMaxDecrease = 0.5;       // the paper's bound on the decrease in one update
+constexpr double kOvercommit = 2.0;        // credit per caller over the most requests that one has open
+constexpr double kIdleGrowthFactor = 0.1;  // scales the pool's growth while cores idle with requests queued
+constexpr double kBusyUtilization = 0.92;  // core utilization below which cores count as idle
+constexpr double kMinCreditChange = 0.02;  // relative change from which a new credit is advertised
+constexpr int kInactiveCallerTtls = 5;     // credit lifetimes after which an unseen caller is removed
+constexpr Duration kMinInactiveTime = seconds(5);  // minimum time until an unseen caller is removed
+constexpr int kUpdateTicks = 4;                    // ticks of the host between updates
+constexpr Duration kMinUpdateInterval = milliseconds(20);
 constexpr TimerToken kUpdateToken{0};
 
 // ---- Overload ----
-constexpr double kPersistentRate = 0.15;    // part of recent updates that decreased, in persistent overload
-constexpr double kPersistentSeconds = 3.0;  // how recent
-constexpr Duration kOverloadLogDelay = seconds(2);  // before overload is logged as begun or over
-constexpr double kMinAdmitted = 0.1;                // of the arrivals, however long the waits
-constexpr double kAdmitStep = 0.3;                  // growth of the admitted fraction, per second
-constexpr double kUnreadSeconds = 0.5;              // over which unread waits are smoothed
-constexpr std::size_t kWeightSamples = 64;          // recent arrivals that a request's weight is ranked among
-constexpr double kServeMargin = 1.5;  // an arrival's wait and this many times its run must fit its objective
+constexpr double kPersistentDecreaseRate = 0.15;    // part of updates with a decrease, in persistent overload
+constexpr double kPersistentWindowSeconds = 3.0;    // averaging window of that part
+constexpr Duration kOverloadLogDelay = seconds(2);  // how long a change of overload must last to be logged
+constexpr double kMinAdmittedFraction = 0.1;   // lower bound of the admitted fraction, whatever the waits
+constexpr double kAdmittedFractionStep = 0.3;  // growth of the admitted fraction per second
+constexpr double kUnreadWindowSeconds = 0.5;   // smoothing window of unread waits
+constexpr std::size_t kWeightSamples = 64;     // recent arrivals that a request's weight is ranked among
+constexpr double kRunTimeMargin = 1.5;         // an arrival's wait plus this many runs must fit its objective
 
 // ---- Tenant quotas ----
 constexpr double kOverQuotaRatio = 0.5;    // delay ratio from which requests over their quota are rejected
-constexpr double kMinBurst = 10;           // requests that a small quota saves up
-constexpr double kBurstSeconds = 2;        // what a large one saves up
-constexpr double kOverQuotaWeight = 0.05;  // fraction of the weight, where the settings name none
+constexpr double kMinBurst = 10;           // least capacity of a token bucket, in requests
+constexpr double kBurstSeconds = 2;        // capacity of a token bucket, in seconds of its quota
+constexpr double kOverQuotaWeight = 0.05;  // default fraction of the weight for requests over their quota
 
 // ---- The queue and the run limit ----
-constexpr double kRunLimitStep = 0.05;   // growth of the run limit per update, in cores
-constexpr double kRunLimitShare = 0.6;   // its ceiling, in survivable concurrency
-constexpr double kStartedShare = 0.85;   // of that concurrency, for all started requests, those at calls too
-constexpr double kMemoryShare = 0.97;    // of the memory; the rest covers rounding
-constexpr double kFreshUrgency = 0.3;    // what a request counts for in the queue before it has waited
-constexpr double kPauseRuns = 2.0;       // runs this many times their expected length may be paused
-constexpr double kPauseGain = 2.0;       // and only for work whose priority is this much higher
-constexpr std::size_t kRunSamples = 21;  // runs in a class's median
+constexpr double kRunLimitStep = 0.05;   // growth of the run limit per update, as a part of the cores
+constexpr double kRunLimitShare = 0.6;   // maximum run limit, as a part of the survivable concurrency
+constexpr double kStartedShare = 0.85;   // maximum of all started requests, those in calls included, likewise
+constexpr double kMemoryShare = 0.97;    // usable part of the memory; the rest covers rounding
+constexpr double kInitialUrgency = 0.3;  // a request's urgency in the queue before it has waited
+constexpr double kLongRunRatio = 2.0;    // length over expected length from which a run may be paused
+constexpr double kPausePriorityRatio = 2.0;  // minimum priority ratio for pausing a run for another request
+constexpr std::size_t kRunSamples = 21;      // runs that a class's median is taken over
 
-// ---- The pace of the cores ----
-constexpr double kSmoothing = 0.1;  // weight of the newest sample in a mean
-constexpr double kSlowRatio = 2.5;  // times its best pace, for its concurrency, at which a server is slow
-constexpr std::size_t kMinPaceRuns = 30;        // runs before a best pace means something
-constexpr Duration kUnhealthyFor = seconds(6);  // a slow server's stay off the endpoint list
+// ---- Core speed ----
+constexpr double kSmoothing = 0.1;         // weight of the newest sample in a mean
+constexpr double kSlowRunTimeRatio = 2.5;  // a server is slow at this many times its best run time ratio for
+                                           // the same concurrency
+constexpr std::size_t kMinRunTimeRatioSamples = 30;  // runs before the best run time ratio is valid
+constexpr Duration kUnhealthyDuration = seconds(6);  // how long a slow server stays off the endpoint list
 
 // ---- Drain ----
-constexpr Duration kDrainQuiet = milliseconds(300);  // before the grace ends, callers are sent away
+constexpr Duration kDrainCreditLead = milliseconds(300);  // time before the end of the grace without credit
 
 // ---- Calls to the dependency ----
-constexpr double kCallQuotaShare = 0.9;  // of the quota, on the mean of its window
-constexpr double kCallSlowdown = 3.0;    // times its best duration at which a call counts as slow
-constexpr int kMinCallSamples = 8;       // calls before their mean duration means something
-constexpr Duration kMinCallStay = milliseconds(100);  // least time that a call is taken to stay open
-constexpr Duration kInitialCallWindow = seconds(1);   // of the window granted to a fresh instance at once
-constexpr int kMaxCallAttempts = 3;  // of one call that may have had its effect, where it may be retried
+constexpr double kCallQuotaShare = 0.9;  // usable part of the quota, on the mean of its window
+constexpr double kCallSlowdown = 3.0;    // a call is slow at this many times the best mean duration
+constexpr int kMinCallSamples = 8;       // calls before their mean duration is valid
+constexpr Duration kMinExpectedCallTime = milliseconds(100);  // lower bound of a call's expected duration
+constexpr Duration kInitialCallWindow = seconds(1);  // part of the window granted to a new instance at once
+constexpr int kMaxCallAttempts = 3;                  // for a call that may have run and may be retried
 constexpr int kMaxBackoffDoublings = 5;
 
 }  // namespace granitegap::policy
