--- a/src/lifecycle/lifecycle.cpp
+++ b/src/lifecycle/lifecycle.cpp
@@ -2,7 +2,7 @@
 
 namespace granitegap::lifecycle {
 
-const char* text_of(Phase phase) {
+const char* phase_name(Phase phase) {
   switch (phase) {
     case Phase::starting:
       return "starting";
--- a/src/lifecycle/lifecycle.h
+++ b/src/lifecycle/lifecycle.h
@@ -1,23 +1,26 @@
-// The lifecycle of one process as its operators see it: one state that the health checks, the load reports,
-// the admin server and the shutdown all read.
+// The lifecycle of one process: the state that its health checks, load reports, admin listener and shutdown
+// use.
 //
 //   starting --kernel started--> serving --quiesce--> quiesced --resume--> serving
 //   any --stop--> stopping (final)
 //
-// Quiesced is kept from before the kernel has started: the process then goes straight to quiesced. A stop
-// with a successor that serves at the same listening socket hands over: the health checks and the endpoint
-// list are the successor's, and this process reports nothing bad to them.
+// A quiesce before the kernel has started is kept: the process then enters quiesced without serving first. A
+// stop with a successor that serves on the same listening socket is a handover: the health checks and the
+// endpoint list then refer to the successor, so this process neither reports itself unhealthy nor sends load
+// reports.
 //
-// No I/O, no clock, no errors. Not safe for concurrent calls.
+// The class does no I/O, reads no clock and reports no errors. It is not safe for concurrent calls.
 #pragma once
 #include <cstdint>
 
 namespace granitegap::lifecycle {
 
+/// Phase of the process, as shown to operators.
 enum class Phase : std::uint8_t { starting, serving, quiesced, stopping };
-// The name of the phase as printed; a string literal.
-[[nodiscard]] const char* text_of(Phase phase);
+/// Returns the name of the phase as a string literal.
+[[nodiscard]] const char* phase_name(Phase phase);
 
+/// Tracks the phase of one process.
 class Lifecycle {
  public:
   [[nodiscard]] Phase phase() const {
@@ -27,21 +30,21 @@
   }
 
   void set_kernel_started() { kernel_started_ = true; }
-  // Both return whether the process may do so: false once it stops. Done again, each changes nothing and
-  // returns true.
+  /// Quiesces or resumes the process. Both return false, without effect, once the process is stopping; a
+  /// repeated call has no effect and returns true.
   [[nodiscard]] bool quiesce();
   [[nodiscard]] bool resume();
-  // The first stop counts; later ones change nothing.
+  /// Starts the shutdown, as a handover if a successor serves. Only the first call has an effect.
   void stop(bool successor_serves);
 
   [[nodiscard]] bool kernel_started() const { return kernel_started_; }
   [[nodiscard]] bool stopping() const { return stop_mode_ != StopMode::none; }
   [[nodiscard]] bool handing_over() const { return stop_mode_ == StopMode::hand_over; }
-  // Whether health checks and the endpoint list may be told that this process is healthy.
+  /// Returns whether this process may be reported healthy to health checks and the endpoint list.
   [[nodiscard]] bool accepts_traffic() const {
     return handing_over() || (stop_mode_ == StopMode::none && !quiesced_);
   }
-  // Whether load reports go to the endpoint list at all.
+  /// Returns whether this process sends load reports to the endpoint list.
   [[nodiscard]] bool publishes_load_reports() const { return !handing_over(); }
 
  private:
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -136,7 +136,7 @@
 admin::Reply Server::answer(admin::Command call) {
   auto& lifecycle = edge_actor_.edge().lifecycle();
   if (call == admin::Command::health) {
-    std::string text = lifecycle::text_of(lifecycle.phase());
+    std::string text = lifecycle::phase_name(lifecycle.phase());
     if (lifecycle.kernel_started() && !link_.is_ready()) text += ", kernel link down";
     if (lifecycle.kernel_started() && !lifecycle.stopping() && edge_actor_.edge().controller_unhealthy())
       text += ", held unfit by the module";
@@ -147,10 +147,10 @@
   if (!done) return {false, "stopping: nothing leads back"};
   if (lifecycle.phase() != before) {
     edge_actor_.mailbox().post_control(edge::LifecycleChanged{});
-    log_.line(std::string("operators' door: ") + lifecycle::text_of(lifecycle.phase()),
-              {{"event", "lifecycle"}, {"phase", lifecycle::text_of(lifecycle.phase())}});
+    log_.line(std::string("operators' door: ") + lifecycle::phase_name(lifecycle.phase()),
+              {{"event", "lifecycle"}, {"phase", lifecycle::phase_name(lifecycle.phase())}});
   }
-  return {true, lifecycle::text_of(lifecycle.phase())};
+  return {true, lifecycle::phase_name(lifecycle.phase())};
 }
 
 void Server::start() {
