--- a/tests/fake_host.h
+++ b/tests/fake_host.h
@@ -1,6 +1,7 @@
-// A simulated host for the admission controller's tests: cores shared by all that runs, queued requests, a
-// table of cached results, calls that end in every way, callers that give up. It checks the rules as it goes
-// and collects the violations. One thread, simulated time, fixed seeds.
+// A simulated host for the tests of the admission controller: cores shared by all running requests, queued
+// requests, a table of cached results, calls with every possible result, and callers that give up. It checks
+// the rules after every step and collects the violations. It is single-threaded and uses simulated time and
+// fixed seeds.
 #pragma once
 #include <algorithm>
 #include <deque>
@@ -16,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// What happens to the controller; times are in steps of 5 ms.
+// The load and the faults of one simulation; times are in steps of 5 ms.
 struct Scenario {
   std::uint64_t seed = 1;
   double arrivals_per_s = 30;
@@ -24,24 +25,27 @@
   int drain_at = -1;
   int call_ms = 300;
   int callers = 4;
-  double open_connections = -1;     // above 0: this constant gauge, and every request waits long unread
-  bool calls_end_together = false;  // calls hang, then all succeed at once
-  bool runs_hang = false;           // runs stop ending for a while
+  double open_connections = -1;     // above 0: reported as a constant gauge, and requests wait long unread
+  bool calls_end_together = false;  // calls hang and then all succeed at the same time
+  bool runs_hang = false;           // no run ends between steps 300 and 900
 };
 
+// Runs one AdmissionController under a Scenario.
 class FakeHost {
  public:
   FakeHost(const Settings& settings, Scenario scenario)
-      : s_(settings),
+      : settings_(settings),
         scenario_(scenario),
         random_(scenario.seed),
         controller_(settings, scenario.seed, now_) {
     apply(controller_.start());
   }
-  void play() {
+  // Runs the scenario to its end. Nothing arrives in the last 1600 steps, so that every request can be
+  // answered.
+  void run() {
     for (step_ = 0; step_ < scenario_.steps && !stopped_; ++step_) step(step_ < scenario_.steps - 1600);
-    for (auto& [id, r] : requests_)
-      if (!r.answered && !r.abandoned) violations.insert("lost: never answered");
+    for (auto& [id, request] : requests_)
+      if (!request.answered && !request.abandoned) violations.insert("request lost: never answered");
   }
   std::set<std::string> violations;
   int served = 0;
@@ -62,18 +66,18 @@
     bool answered = false;
     bool abandoned = false;
     bool call_may_have_run = false;
-    double work = 0;      // core seconds left
-    double call_at = -1;  // calls when this much work is left; negative: never
+    double work = 0;      // remaining core seconds
+    double call_at = -1;  // remaining core seconds at which the call is made; negative: no call
     RequestId original{};
   };
   static constexpr Duration kTick = milliseconds(5);
 
   double random_fraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  const ClassSettings& class_of(const SimulatedRequest& r) {
-    return s_.classes[std::size_t(r.arrival.class_id)];
+  const ClassSettings& class_settings(const SimulatedRequest& request) {
+    return settings_.classes[std::size_t(request.arrival.class_id)];
   }
-  bool runs_at_most_once(const SimulatedRequest& r) {
-    return *class_of(r).idempotency != Idempotency::idempotent;
+  bool runs_at_most_once(const SimulatedRequest& request) {
+    return *class_settings(request).idempotency != Idempotency::idempotent;
   }
 
   void step(bool arrivals) {
@@ -91,7 +95,8 @@
     for (auto it = timers_.begin(); it != timers_.end() && it->first <= now_;) {
       TimerFired fired;
       fired.token = it->second;
-      fired.core_utilization = running() >= int(*s_.cores) ? 1.0 : double(running()) / *s_.cores;
+      fired.core_utilization =
+          running() >= int(*settings_.cores) ? 1.0 : double(running()) / *settings_.cores;
       if (scenario_.open_connections > 0) fired.connections = scenario_.open_connections;
       events.push_back(fired);
       it = timers_.erase(it);
@@ -103,270 +108,289 @@
     return int(std::count_if(requests_.begin(), requests_.end(),
                              [](auto& e) { return e.second.state == State::running; }));
   }
-  void settle(SimulatedRequest& r, RunResult result, std::vector<Event>& events) {
-    if (result == RunResult::ok || result == RunResult::error) answer(r);
+  void end_run(SimulatedRequest& request, RunResult result, std::vector<Event>& events) {
+    if (result == RunResult::ok || result == RunResult::error) answer(request);
     if (result == RunResult::ok) ++served;
-    r.state = State::ended;
-    events.push_back(RunEnded{r.arrival.id, result, milliseconds(1)});
+    request.state = State::ended;
+    events.push_back(RunEnded{request.arrival.id, result, milliseconds(1)});
   }
-  void answer(SimulatedRequest& r) {
-    if (now_ > r.due + *s_.answer_slack && !r.abandoned && !r.answered)
-      violations.insert("lost: answered late");
-    r.answered = true;
+  void answer(SimulatedRequest& request) {
+    if (now_ > request.due + *settings_.answer_slack && !request.abandoned && !request.answered)
+      violations.insert("request lost: answered late");
+    request.answered = true;
   }
   void run_cores(std::vector<Event>& events) {
     if (scenario_.runs_hang && step_ > 300 && step_ < 900) return;
-    const int n = running();
-    const double share = n ? 0.005 * std::min(1.0, *s_.cores / n) : 0;
-    for (auto& [id, r] : requests_) {
-      if (r.state == State::awaiting_result) {
-        const auto it = requests_.find(r.original);
-        const bool over = it == requests_.end() || it->second.state == State::ended;
-        if (over)
-          settle(r, it != requests_.end() && it->second.has_run ? RunResult::ok : RunResult::error, events);
+    const int running_count = running();
+    const double share = running_count ? 0.005 * std::min(1.0, *settings_.cores / running_count) : 0;
+    for (auto& [id, request] : requests_) {
+      if (request.state == State::awaiting_result) {
+        const auto it = requests_.find(request.original);
+        const bool original_ended = it == requests_.end() || it->second.state == State::ended;
+        if (original_ended)
+          end_run(request, it != requests_.end() && it->second.has_run ? RunResult::ok : RunResult::error,
+                  events);
       }
-      if (r.state != State::running) continue;
-      r.work -= share;
-      if (r.call_at >= 0 && r.work <= r.call_at) {
-        r.call_at = -1;
-        if (r.answered || r.abandoned) {
-          settle(r, RunResult::cancelled, events);
+      if (request.state != State::running) continue;
+      request.work -= share;
+      if (request.call_at >= 0 && request.work <= request.call_at) {
+        request.call_at = -1;
+        if (request.answered || request.abandoned) {
+          end_run(request, RunResult::cancelled, events);
           continue;
         }
-        r.state = State::awaiting_call;
-        r.call_may_have_run = false;
+        request.state = State::awaiting_call;
+        request.call_may_have_run = false;
         events.push_back(CallNeeded{id});
-      } else if (r.work <= 0) {
-        if (r.answered || r.abandoned) {
-          r.state = State::ended;
+      } else if (request.work <= 0) {
+        if (request.answered || request.abandoned) {
+          request.state = State::ended;
           events.push_back(RunEnded{id, RunResult::ok, milliseconds(1)});
         } else
-          settle(r, random_fraction() < 0.02 ? RunResult::error : RunResult::ok, events);
+          end_run(request, random_fraction() < 0.02 ? RunResult::error : RunResult::ok, events);
       }
     }
   }
   void end_calls(std::vector<Event>& events) {
-    for (auto& [id, r] : requests_) {
-      if ((r.state == State::awaiting_call || r.state == State::calling || r.state == State::paused) &&
-          (r.answered || r.abandoned)) {
-        if (r.state == State::calling) abandoned_calls_.push_back(now_ + *s_.abandoned_call_linger);
-        settle(r, RunResult::cancelled, events);
+    for (auto& [id, request] : requests_) {
+      if ((request.state == State::awaiting_call || request.state == State::calling ||
+           request.state == State::paused) &&
+          (request.answered || request.abandoned)) {
+        if (request.state == State::calling)
+          abandoned_calls_.push_back(now_ + *settings_.abandoned_call_linger);
+        end_run(request, RunResult::cancelled, events);
         continue;
       }
-      if (r.state != State::calling || r.call_ends > now_) continue;
-      const double p = scenario_.calls_end_together ? 0 : random_fraction();
-      const auto result = p < 0.7    ? CallResult::ok
-                          : p < 0.8  ? CallResult::rejected
-                          : p < 0.85 ? CallResult::unreachable
-                          : p < 0.9  ? CallResult::error
-                          : p < 0.95 ? CallResult::timed_out
-                                     : CallResult::connection_lost;
-      if (result == CallResult::timed_out) abandoned_calls_.push_back(now_ + *s_.abandoned_call_linger);
-      r.state = result == CallResult::ok ? State::running : State::awaiting_call;
+      if (request.state != State::calling || request.call_ends > now_) continue;
+      const double outcome = scenario_.calls_end_together ? 0 : random_fraction();
+      const auto result = outcome < 0.7    ? CallResult::ok
+                          : outcome < 0.8  ? CallResult::rejected
+                          : outcome < 0.85 ? CallResult::unreachable
+                          : outcome < 0.9  ? CallResult::error
+                          : outcome < 0.95 ? CallResult::timed_out
+                                           : CallResult::connection_lost;
+      if (result == CallResult::timed_out)
+        abandoned_calls_.push_back(now_ + *settings_.abandoned_call_linger);
+      request.state = result == CallResult::ok ? State::running : State::awaiting_call;
       if (result != CallResult::ok && result != CallResult::rejected && result != CallResult::unreachable)
-        r.call_may_have_run = true;
+        request.call_may_have_run = true;
       events.push_back(CallEnded{id, result, milliseconds(100)});
     }
   }
   void abandon_one(std::vector<Event>& events) {
-    if (!*s_.reports_cancellation || random_fraction() > 0.01) return;
-    for (auto& [id, r] : requests_) {
-      if (r.answered || r.abandoned || r.state == State::ended || random_fraction() > 0.1) continue;
-      r.abandoned = true;
-      if (r.state == State::queued || r.state == State::paused || r.state == State::awaiting_result)
-        r.state = State::ended;
+    if (!*settings_.reports_cancellation || random_fraction() > 0.01) return;
+    for (auto& [id, request] : requests_) {
+      if (request.answered || request.abandoned || request.state == State::ended || random_fraction() > 0.1)
+        continue;
+      request.abandoned = true;
+      if (request.state == State::queued || request.state == State::paused ||
+          request.state == State::awaiting_result)
+        request.state = State::ended;
       events.push_back(RequestAbandoned{id});
       return;
     }
   }
   void arrive(std::vector<Event>& events) {
-    SimulatedRequest r;
-    r.arrival.id = RequestId(next_id_++);
-    r.arrival.class_id = ClassId(std::uint32_t(random_fraction() * double(s_.classes.size())));
-    r.arrival.tenant = TenantId(std::uint32_t(random_fraction() * 2));
-    r.arrival.caller = CallerId(std::uint32_t(random_fraction() * scenario_.callers));
-    r.arrival.memory = MemorySize(std::int64_t(10000 + random_fraction() * 60000));
-    r.arrival.unread_wait =
+    SimulatedRequest request;
+    request.arrival.id = RequestId(next_id_++);
+    request.arrival.class_id = ClassId(std::uint32_t(random_fraction() * double(settings_.classes.size())));
+    request.arrival.tenant = TenantId(std::uint32_t(random_fraction() * 2));
+    request.arrival.caller = CallerId(std::uint32_t(random_fraction() * scenario_.callers));
+    request.arrival.memory = MemorySize(std::int64_t(10000 + random_fraction() * 60000));
+    request.arrival.unread_wait =
         milliseconds(int(random_fraction() * (scenario_.open_connections > 0 ? 1500 : 200)));
-    r.arrived_at = now_ - r.arrival.unread_wait;
-    if (*s_.passes_deadline) r.arrival.caller_timeout = milliseconds(int(50 + random_fraction() * 2000));
-    r.due = std::max(now_, r.arrival.caller_timeout
-                               ? now_ + *r.arrival.caller_timeout
-                               : r.arrived_at + *s_.classes[std::size_t(r.arrival.class_id)].deadline);
-    r.work = 0.02 + random_fraction() * random_fraction() * 0.8;
+    request.arrived_at = now_ - request.arrival.unread_wait;
+    if (*settings_.passes_deadline)
+      request.arrival.caller_timeout = milliseconds(int(50 + random_fraction() * 2000));
+    request.due = std::max(
+        now_, request.arrival.caller_timeout
+                  ? now_ + *request.arrival.caller_timeout
+                  : request.arrived_at + *settings_.classes[std::size_t(request.arrival.class_id)].deadline);
+    request.work = 0.02 + random_fraction() * random_fraction() * 0.8;
     if (random_fraction() < 0.7)
-      r.arrival.cost_hint = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(r.work));
-    if (random_fraction() < 0.6) r.call_at = r.work * random_fraction();
-    if (*s_.classes[std::size_t(r.arrival.class_id)].idempotency == Idempotency::with_key) {
+      request.arrival.cost_hint =
+          std::chrono::duration_cast<Duration>(std::chrono::duration<double>(request.work));
+    if (random_fraction() < 0.6) request.call_at = request.work * random_fraction();
+    if (*settings_.classes[std::size_t(request.arrival.class_id)].idempotency == Idempotency::with_key) {
       const auto key = std::uint64_t(random_fraction() * 12);
-      key_of_[r.arrival.id] = key;
+      key_by_request_[request.arrival.id] = key;
       const auto it = cached_results_.find(key);
-      if (it != cached_results_.end() && it->second.second >= r.arrived_at)
-        r.arrival.duplicate_of = it->second.first;
+      if (it != cached_results_.end() && it->second.second >= request.arrived_at)
+        request.arrival.duplicate_of = it->second.first;
     }
-    events.push_back(r.arrival);
-    requests_.emplace(r.arrival.id, r);
+    events.push_back(request.arrival);
+    requests_.emplace(request.arrival.id, request);
   }
-  void check_run(SimulatedRequest& r) {
+  void check_run(SimulatedRequest& request) {
     ++runs;
-    if (drain_started_ && r.arrived_at > *drain_started_ + *s_.drain_grace)
-      violations.insert("drain: ran what came after the grace");
-    if (r.has_run && r.state == State::queued && runs_at_most_once(r))
-      violations.insert("duplicate: ran anew after a drop");
-    const auto key = key_of_.find(r.arrival.id);
-    if (key == key_of_.end() || r.has_run) return;
+    if (drain_started_ && request.arrived_at > *drain_started_ + *settings_.drain_grace)
+      violations.insert("drain: ran a request that arrived after the grace");
+    if (request.has_run && request.state == State::queued && runs_at_most_once(request))
+      violations.insert("duplicate: ran again after a drop");
+    const auto key = key_by_request_.find(request.arrival.id);
+    if (key == key_by_request_.end() || request.has_run) return;
     const auto last = last_run_.find(key->second);
-    if (last != last_run_.end() && r.arrived_at <= last->second + *class_of(r).idempotency_window)
-      violations.insert("duplicate: two tries of one key ran");
-    last_run_[key->second] = r.arrived_at;
+    if (last != last_run_.end() &&
+        request.arrived_at <= last->second + *class_settings(request).idempotency_window)
+      violations.insert("duplicate: two attempts with one key ran");
+    last_run_[key->second] = request.arrived_at;
   }
   void apply(const std::vector<Action>& actions) {
     std::vector<Event> events;
-    for (const auto& a : actions) std::visit([&](const auto& x) { on(x, events); }, a);
+    for (const auto& action : actions) std::visit([&](const auto& typed) { on(typed, events); }, action);
     if (!events.empty()) apply(controller_.handle(now_, events));
   }
   SimulatedRequest* find(RequestId id) {
     const auto it = requests_.find(id);
-    if (it == requests_.end()) violations.insert("named an unknown request");
+    if (it == requests_.end()) violations.insert("action for an unknown request id");
     return it == requests_.end() ? nullptr : &it->second;
   }
-  void on(const Run& a, std::vector<Event>& events) {
-    auto* r = find(a.id);
-    if (!r || r->state == State::running) return;
-    if (r->state == State::ended) return events.push_back(RunEnded{a.id, RunResult::moot, {}});
-    if (r->state != State::queued && r->state != State::paused) return;
-    check_run(*r);
-    r->has_run = true;
-    r->state = State::running;
-  }
-  void finish_answer(SimulatedRequest& r) {
-    if (r.answered) violations.insert("lost: answered twice");
-    answer(r);
-    if (r.state == State::queued || r.state == State::paused || r.state == State::awaiting_result)
-      r.state = State::ended;
-  }
-  void on(const Reject& a, std::vector<Event>&) {
-    auto* r = find(a.id);
-    if (!r || r->state == State::ended) return;
-    if (r->has_run && runs_at_most_once(*r)) violations.insert("duplicate: rejected what had run");
+  void on(const Run& action, std::vector<Event>& events) {
+    auto* request = find(action.id);
+    if (!request || request->state == State::running) return;
+    if (request->state == State::ended) return events.push_back(RunEnded{action.id, RunResult::moot, {}});
+    if (request->state != State::queued && request->state != State::paused) return;
+    check_run(*request);
+    request->has_run = true;
+    request->state = State::running;
+  }
+  void finish_answer(SimulatedRequest& request) {
+    if (request.answered) violations.insert("request answered twice");
+    answer(request);
+    if (request.state == State::queued || request.state == State::paused ||
+        request.state == State::awaiting_result)
+      request.state = State::ended;
+  }
+  void on(const Reject& action, std::vector<Event>&) {
+    auto* request = find(action.id);
+    if (!request || request->state == State::ended) return;
+    if (request->has_run && runs_at_most_once(*request))
+      violations.insert("duplicate: rejected a request that had run");
     ++rejected;
-    finish_answer(*r);
+    finish_answer(*request);
   }
-  void on(const Fail& a, std::vector<Event>&) {
-    auto* r = find(a.id);
-    if (!r || r->state == State::ended) return;
+  void on(const Fail& action, std::vector<Event>&) {
+    auto* request = find(action.id);
+    if (!request || request->state == State::ended) return;
     ++failed;
-    finish_answer(*r);
+    finish_answer(*request);
   }
-  void on(const Suspend& a, std::vector<Event>& events) {
-    auto* r = find(a.id);
-    if (*s_.suspend == SuspendKind::none) violations.insert("suspended where it can't be");
-    if (!r || r->state != State::running) return;
+  void on(const Suspend& action, std::vector<Event>& events) {
+    auto* request = find(action.id);
+    if (*settings_.suspend == SuspendKind::none) violations.insert("suspend where the host cannot suspend");
+    if (!request || request->state != State::running) return;
     if (scenario_.runs_hang && step_ > 300 && step_ < 900)
-      return;  // the cores stand still: nothing is stopped
-    r->state = r->answered || r->abandoned         ? State::ended
-               : *s_.suspend == SuspendKind::pause ? State::paused
-                                                   : State::queued;
-    events.push_back(RunEnded{a.id, RunResult::cancelled, {}});
-  }
-  void on(const Call& a, std::vector<Event>&) {
-    auto* r = find(a.id);
-    if (!r || r->state != State::awaiting_call) return;
-    if (r->call_may_have_run && runs_at_most_once(*r))
+      return;  // the cores make no progress, so no run stops
+    request->state = request->answered || request->abandoned    ? State::ended
+                     : *settings_.suspend == SuspendKind::pause ? State::paused
+                                                                : State::queued;
+    events.push_back(RunEnded{action.id, RunResult::cancelled, {}});
+  }
+  void on(const Call& action, std::vector<Event>&) {
+    auto* request = find(action.id);
+    if (!request || request->state != State::awaiting_call) return;
+    if (request->call_may_have_run && runs_at_most_once(*request))
       violations.insert("duplicate: repeated a call that may have run");
     ++calls;
-    r->state = State::calling;
-    r->call_ends =
-        now_ + std::min<Duration>(a.timeout, milliseconds(int(10 + random_fraction() * scenario_.call_ms)));
+    request->state = State::calling;
+    request->call_ends =
+        now_ +
+        std::min<Duration>(action.timeout, milliseconds(int(10 + random_fraction() * scenario_.call_ms)));
     if (scenario_.calls_end_together)
-      r->call_ends = TimePoint{} + ((now_ - TimePoint{}) / seconds(3) + 1) * seconds(3);
+      request->call_ends = TimePoint{} + ((now_ - TimePoint{}) / seconds(3) + 1) * seconds(3);
   }
-  void on(const SkipCall& a, std::vector<Event>&) {
-    auto* r = find(a.id);
-    if (!r || r->state != State::awaiting_call) return;
-    if (class_of(*r).degraded_weight_fraction.value_or(0) <= 0)
-      violations.insert("skipped a call that can't be");
+  void on(const SkipCall& action, std::vector<Event>&) {
+    auto* request = find(action.id);
+    if (!request || request->state != State::awaiting_call) return;
+    if (class_settings(*request).degraded_weight_fraction.value_or(0) <= 0)
+      violations.insert("skipped the call of a class without degraded answers");
     ++skipped;
-    r->state = State::running;
+    request->state = State::running;
   }
-  void on(const CacheResult& a, std::vector<Event>&) {
-    const auto key = key_of_.find(a.id);
-    if (key != key_of_.end()) cached_results_[key->second] = {a.id, now_ + a.ttl};
+  void on(const CacheResult& action, std::vector<Event>&) {
+    const auto key = key_by_request_.find(action.id);
+    if (key != key_by_request_.end()) cached_results_[key->second] = {action.id, now_ + action.ttl};
   }
-  void on(const EvictResult& a, std::vector<Event>&) {
-    const auto key = key_of_.find(a.id);
-    if (key != key_of_.end() && cached_results_.count(key->second) &&
-        cached_results_[key->second].first == a.id)
+  void on(const EvictResult& action, std::vector<Event>&) {
+    const auto key = key_by_request_.find(action.id);
+    if (key != key_by_request_.end() && cached_results_.count(key->second) &&
+        cached_results_[key->second].first == action.id)
       cached_results_.erase(key->second);
   }
-  void on(const ReuseResult& a, std::vector<Event>&) {
-    auto* r = find(a.id);
-    if (!r || r->state != State::queued) return;
-    if (!r->arrival.duplicate_of) violations.insert("reused what repeats nothing");
+  void on(const ReuseResult& action, std::vector<Event>&) {
+    auto* request = find(action.id);
+    if (!request || request->state != State::queued) return;
+    if (!request->arrival.duplicate_of)
+      violations.insert("reused a result for a request that is no duplicate");
     ++reused;
-    r->original = r->arrival.duplicate_of.value_or(RequestId{});
-    r->state = State::awaiting_result;
+    request->original = request->arrival.duplicate_of.value_or(RequestId{});
+    request->state = State::awaiting_result;
   }
-  void on(const SetTimer& a, std::vector<Event>&) {
-    timers_.emplace(now_ + std::max<Duration>(a.delay, Duration(1)), a.token);
+  void on(const SetTimer& action, std::vector<Event>&) {
+    timers_.emplace(now_ + std::max<Duration>(action.delay, Duration(1)), action.token);
   }
   void on(const SetHealth&, std::vector<Event>&) {}
-  void on(const AdvertiseCredit& a, std::vector<Event>&) {
-    if (!(a.credit >= 0)) violations.insert("advertised no number");
+  void on(const AdvertiseCredit& action, std::vector<Event>&) {
+    if (!(action.credit >= 0)) violations.insert("advertised a credit that is negative or not a number");
   }
   void on(const CloseIdleConnections&, std::vector<Event>&) {}
   void on(const Log&, std::vector<Event>&) {}
 
   void check_rules() {
     double memory = 0;
-    std::erase_if(cached_results_,
-                  [&](auto& e) { return e.second.second + seconds(1) < now_; });  // late reads still find it
-    const auto kept = std::count_if(cached_results_.begin(), cached_results_.end(),
-                                    [&](auto& e) { return e.second.second >= now_; });
+    std::erase_if(cached_results_, [&](auto& e) {
+      return e.second.second + seconds(1) < now_;
+    });  // kept 1 s longer for requests read late
+    const auto cached_count = std::count_if(cached_results_.begin(), cached_results_.end(),
+                                            [&](auto& e) { return e.second.second >= now_; });
     std::erase_if(abandoned_calls_, [&](auto t) { return t <= now_; });
-    int on_calls = int(abandoned_calls_.size());
-    memory += double(kept) * *s_.table_entry_kb;
-    for (auto& [id, r] : requests_) {
-      if (r.state == State::ended) continue;
-      if (!r.answered && !r.abandoned && now_ > r.due + *s_.answer_slack)
-        violations.insert("lost: answer overdue");
-      on_calls += r.state == State::calling;
-      memory += double(std::int64_t(r.arrival.memory)) / 1000 *
-                (r.state == State::queued || r.state == State::awaiting_result ? 1 : *s_.run_memory_factor);
+    int open_calls = int(abandoned_calls_.size());
+    memory += double(cached_count) * *settings_.table_entry_kb;
+    for (auto& [id, request] : requests_) {
+      if (request.state == State::ended) continue;
+      if (!request.answered && !request.abandoned && now_ > request.due + *settings_.answer_slack)
+        violations.insert("request lost: answer overdue");
+      open_calls += request.state == State::calling;
+      memory += double(std::int64_t(request.arrival.memory)) / 1000 *
+                (request.state == State::queued || request.state == State::awaiting_result
+                     ? 1
+                     : *settings_.run_memory_factor);
     }
-    if (memory > *s_.memory_kb) violations.insert("fall-over: memory");
-    check_mean(running_samples_, running(), *s_.overload_window,
-               *s_.cores * (1 + (*s_.overload_factor - 1) * warmth()), "fall-over: crowd");
-    check_mean(open_call_samples_, on_calls, *s_.call_window, *s_.call_quota, "fall-over: calls");
+    if (memory > *settings_.memory_kb) violations.insert("overload: memory limit exceeded");
+    check_mean(running_samples_, running(), *settings_.overload_window,
+               *settings_.cores * (1 + (*settings_.overload_factor - 1) * warm_speed()),
+               "overload: mean concurrency above the survivable concurrency");
+    check_mean(open_call_samples_, open_calls, *settings_.call_window, *settings_.call_quota,
+               "overload: mean open calls above the call quota");
     if (stop_ && now_ >= *stop_) {
       stopped_ = true;
-      for (auto& [id, r] : requests_)
-        if (!r.answered && !r.abandoned && r.state != State::ended)
-          violations.insert("drain: unanswered at the kill");
+      for (auto& [id, request] : requests_)
+        if (!request.answered && !request.abandoned && request.state != State::ended)
+          violations.insert("drain: request unanswered when the process stops");
     }
   }
-  double warmth() const {
-    if (!*s_.cold) return 1;
-    const double part = double(now_.time_since_epoch().count()) / double(s_.warm_up->count());
-    return *s_.cold_speed + (1 - *s_.cold_speed) * std::min(1.0, part);
+  double warm_speed() const {
+    if (!*settings_.cold) return 1;
+    const double part = double(now_.time_since_epoch().count()) / double(settings_.warm_up->count());
+    return *settings_.cold_speed + (1 - *settings_.cold_speed) * std::min(1.0, part);
   }
   void check_mean(std::deque<double>& samples, double value, Duration window, double bound,
                   const char* name) {
-    const auto n = std::size_t(window / kTick);
+    const auto sample_count = std::size_t(window / kTick);
     samples.push_back(value);
-    if (samples.size() > n) samples.pop_front();
+    if (samples.size() > sample_count) samples.pop_front();
     double sum = 0;
     for (const double v : samples) sum += v;
-    if (sum / double(n) > bound + 1e-9) violations.insert(name);
+    if (sum / double(sample_count) > bound + 1e-9) violations.insert(name);
   }
 
-  Settings s_;
+  Settings settings_;
   Scenario scenario_;
   std::mt19937_64 random_;
   TimePoint now_{};
   AdmissionController controller_;
   std::map<RequestId, SimulatedRequest> requests_;
-  std::map<RequestId, std::uint64_t> key_of_;
+  std::map<RequestId, std::uint64_t> key_by_request_;
   std::map<std::uint64_t, std::pair<RequestId, TimePoint>> cached_results_;
   std::map<std::uint64_t, TimePoint> last_run_;
   std::multimap<TimePoint, TimerToken> timers_;
@@ -380,57 +404,57 @@
 
 // Settings under which every rule can be violated by a wrong decision.
 inline Settings tight_settings() {
-  Settings s;
-  s.classes.resize(3);
-  for (auto& c : s.classes) {
-    c.latency_objective = milliseconds(1500);
-    c.deadline = milliseconds(4000);
-    c.idempotency_window = milliseconds(6000);
-    c.priority_weight = 1;
-    c.late_weight_fraction = 0;
-    c.degraded_weight_fraction = 0;
-    c.makes_calls = true;
-  }
-  s.classes[0].idempotency = Idempotency::idempotent;
-  s.classes[0].degraded_weight_fraction = 0.5;
-  s.classes[1].idempotency = Idempotency::with_key;
-  s.classes[1].priority_weight = 3;
-  s.classes[2].idempotency = Idempotency::none;
-  s.tenants.resize(2);
-  for (auto& tenant : s.tenants) {
+  Settings settings;
+  settings.classes.resize(3);
+  for (auto& class_settings : settings.classes) {
+    class_settings.latency_objective = milliseconds(1500);
+    class_settings.deadline = milliseconds(4000);
+    class_settings.idempotency_window = milliseconds(6000);
+    class_settings.priority_weight = 1;
+    class_settings.late_weight_fraction = 0;
+    class_settings.degraded_weight_fraction = 0;
+    class_settings.makes_calls = true;
+  }
+  settings.classes[0].idempotency = Idempotency::idempotent;
+  settings.classes[0].degraded_weight_fraction = 0.5;
+  settings.classes[1].idempotency = Idempotency::with_key;
+  settings.classes[1].priority_weight = 3;
+  settings.classes[2].idempotency = Idempotency::none;
+  settings.tenants.resize(2);
+  for (auto& tenant : settings.tenants) {
     tenant.quota_per_s = 200;
     tenant.share = 0.5;
   }
-  s.cores = 2;
-  s.servers = 10;
-  s.callers = 4;
-  s.tier = 0;
-  s.run_memory_factor = 8;
-  s.overload_factor = 3;
-  s.cold_speed = 0.2;
-  s.call_quota = 1.2;
-  s.memory_kb = 4000;
-  s.table_entry_kb = 60;
-  s.over_quota_weight_fraction = 0.05;
-  s.answer_slack = milliseconds(80);
-  s.drain_grace = milliseconds(1000);
-  s.overload_window = milliseconds(1500);
-  s.warm_up = seconds(8);
-  s.call_window = milliseconds(5000);
-  s.abandoned_call_linger = milliseconds(200);
-  s.response_max_age = Duration{};
-  s.advertised_value_ttl = seconds(1);
-  s.tick_interval = milliseconds(5);
-  s.max_retry_after = seconds(1);
-  s.cold = false;
-  s.passes_deadline = true;
-  s.reports_cancellation = true;
-  s.deep_health_checks = false;
-  s.weight_by_work = true;
-  s.suspend = SuspendKind::drop;
-  s.downstream = Downstream::shared;
-  s.advertised_value = AdvertisedValue::credits;
-  return s;
+  settings.cores = 2;
+  settings.servers = 10;
+  settings.callers = 4;
+  settings.tier = 0;
+  settings.run_memory_factor = 8;
+  settings.overload_factor = 3;
+  settings.cold_speed = 0.2;
+  settings.call_quota = 1.2;
+  settings.memory_kb = 4000;
+  settings.table_entry_kb = 60;
+  settings.over_quota_weight_fraction = 0.05;
+  settings.answer_slack = milliseconds(80);
+  settings.drain_grace = milliseconds(1000);
+  settings.overload_window = milliseconds(1500);
+  settings.warm_up = seconds(8);
+  settings.call_window = milliseconds(5000);
+  settings.abandoned_call_linger = milliseconds(200);
+  settings.response_max_age = Duration{};
+  settings.advertised_value_ttl = seconds(1);
+  settings.tick_interval = milliseconds(5);
+  settings.max_retry_after = seconds(1);
+  settings.cold = false;
+  settings.passes_deadline = true;
+  settings.reports_cancellation = true;
+  settings.deep_health_checks = false;
+  settings.weight_by_work = true;
+  settings.suspend = SuspendKind::drop;
+  settings.downstream = Downstream::shared;
+  settings.advertised_value = AdvertisedValue::credits;
+  return settings;
 }
 
 }  // namespace granitegap::testing
