--- a/tests/lifecycle_test.cpp
+++ b/tests/lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// The lifecycle of a process: every phase that two events in a row lead to.
+// Tests of the process lifecycle: the phase after every ordered pair of events.
 #include "lifecycle/lifecycle.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 
 bool is_stop(Event event) { return event == Event::drain || event == Event::hand_over; }
 
-// Whether the event was accepted; those that nobody can refuse always are.
+// Applies an event and returns whether it was accepted. Events other than quiesce and resume always are.
 bool apply(Lifecycle& lifecycle, Event event) {
   switch (event) {
     case Event::set_kernel_started:
@@ -34,8 +34,9 @@
   return false;
 }
 
-// What the documented rules say of two events, without the code: a stop wins and the first stop counts; else
-// the last of quiesce and resume; else whether the kernel has been up.
+// The result of two events according to the documented rules, independent of the implementation: a stop takes
+// precedence, and the first stop counts; otherwise the last quiesce or resume; otherwise whether the kernel
+// has started.
 struct Expectation {
   Expectation(Event first, Event second)
       : stopped(is_stop(first) || is_stop(second)),
@@ -79,13 +80,13 @@
   });
 }
 
-TEST(Lifecycle, HealthChecksAreGoodUnlessQuiescedOrDraining) {
+TEST(Lifecycle, AcceptsTrafficUnlessQuiescedOrDraining) {
   for_every_pair([](const Lifecycle& lifecycle, const Expectation& expected) {
     EXPECT_EQ(lifecycle.accepts_traffic(), expected.stopped ? expected.handing_over() : !expected.quiesced);
   });
 }
 
-TEST(Lifecycle, AProcessThatHandsOverReportsNothing) {
+TEST(Lifecycle, SendsNoLoadReportsDuringAHandover) {
   for_every_pair([](const Lifecycle& lifecycle, const Expectation& expected) {
     EXPECT_EQ(lifecycle.publishes_load_reports(), !expected.handing_over());
   });
