--- a/src/deps/cache_fill.cpp
+++ b/src/deps/cache_fill.cpp
@@ -80,7 +80,7 @@
   return found != candidates_.end() && found->owner.member_hash == member ? &*found : nullptr;
 }
 
-std::optional<KeyOwner> KeyOwnerSelector::owner_of(std::uint64_t key, TimePoint now) const {
+std::optional<KeyOwner> KeyOwnerSelector::find_owner(std::uint64_t key, TimePoint now) const {
   if (!view_is_reliable_) return std::nullopt;
   const Candidate* best = nullptr;
   std::uint64_t best_score = membership::rendezvous_score(own_hash_, key);
--- a/src/deps/cache_fill.h
+++ b/src/deps/cache_fill.h
@@ -36,7 +36,7 @@
   // Takes a new view of the fleet. A member's backoff carries over unless it has restarted.
   void update_view(const membership::View& view);
   // The other member that owns `key` (cache_fill_key()); absent when it is this one or cannot be determined.
-  std::optional<KeyOwner> owner_of(std::uint64_t key, TimePoint now) const;
+  std::optional<KeyOwner> find_owner(std::uint64_t key, TimePoint now) const;
 
   // How a cache fill asked of a member ended. `member`: KeyOwner::member_hash.
   void on_failure(std::uint64_t member, TimePoint now);
--- a/src/deps/scatter_gather_fleet.cpp
+++ b/src/deps/scatter_gather_fleet.cpp
@@ -23,7 +23,7 @@
   if (max_age.count() <= 0) return false;
   auto& call = calls_[slot];
   const auto& spec = dependencies_[call.dependency].spec;
-  const auto owner = owners_.owner_of(cache_fill_key(spec.name, call.path), now);
+  const auto owner = owners_.find_owner(cache_fill_key(spec.name, call.path), now);
   const auto timeout = std::min((latest_deadline(call) - now) / kOwnerTimeShare, spec.max_timeout);
   if (!owner || timeout < kMinOwnerTimeout) return false;
   ++counters_.owner_requests;
--- a/tests/cache_fill_test.cpp
+++ b/tests/cache_fill_test.cpp
@@ -26,7 +26,7 @@
     const auto key = cache_fill_key("e", "/" + std::to_string(k));
     std::set<std::uint64_t> named;
     for (std::size_t n = 0; n < kMembers; ++n) {
-      const auto o = all[n].owner_of(key, {});
+      const auto o = all[n].find_owner(key, {});
       named.insert(o ? o->member_hash : simulated_member(n).hash);
     }
     ASSERT_EQ(named.size(), 1u);
@@ -41,8 +41,8 @@
   after.update_view(less);
   for (int k = 0; k < 800; ++k) {
     const auto key = cache_fill_key("e", "/" + std::to_string(k));
-    const auto before = all[0].owner_of(key, {});
-    const auto now = after.owner_of(key, {});
+    const auto before = all[0].find_owner(key, {});
+    const auto now = after.find_owner(key, {});
     if (!before || before->member_hash != simulated_member(3).hash) {
       EXPECT_EQ(before ? before->member_hash : 0, now ? now->member_hash : 0);
     }
@@ -57,7 +57,7 @@
     selector.update_view(v);
     int n = 0;
     for (int k = 0; k < 100; ++k)
-      n += selector.owner_of(cache_fill_key("e", std::to_string(k)), {}).has_value();
+      n += selector.find_owner(cache_fill_key("e", std::to_string(k)), {}).has_value();
     return n;
   };
   EXPECT_GT(asked([](View&) {}), 40);
@@ -82,22 +82,22 @@
   KeyOwnerSelector selector;
   selector.update_view(v);
   std::uint64_t key = 0;
-  while (!selector.owner_of(key, {})) ++key;
+  while (!selector.find_owner(key, {})) ++key;
   TimePoint now(1h);
   selector.on_failure(simulated_member(1).hash, now);
   selector.on_failure(simulated_member(1).hash,
                       now);  // a request that was in flight together with the first one
-  EXPECT_FALSE(selector.owner_of(key, now + 499ms));
-  EXPECT_TRUE(selector.owner_of(key, now + 500ms));
+  EXPECT_FALSE(selector.find_owner(key, now + 499ms));
+  EXPECT_TRUE(selector.find_owner(key, now + 500ms));
   selector.on_failure(simulated_member(1).hash, now + 500ms);
-  EXPECT_FALSE(selector.owner_of(key, now + 1400ms));
+  EXPECT_FALSE(selector.find_owner(key, now + 1400ms));
   selector.update_view(v);  // a new view alone does not end the backoff
-  EXPECT_FALSE(selector.owner_of(key, now + 1400ms));
-  EXPECT_TRUE(selector.owner_of(key, now + 1500ms));
+  EXPECT_FALSE(selector.find_owner(key, now + 1400ms));
+  EXPECT_TRUE(selector.find_owner(key, now + 1500ms));
   selector.on_failure(simulated_member(1).hash, now + 1500ms);
   v.peers[0].boot_id = BootId(7);
   selector.update_view(v);
-  EXPECT_EQ(selector.owner_of(key, now + 1500ms)->boot_id, BootId(7));
+  EXPECT_EQ(selector.find_owner(key, now + 1500ms)->boot_id, BootId(7));
 }
 
 TEST(CacheFillRequest, RoundTripsAndRejectsMalformedInput) {
--- a/tests/fleet_cache_fill_test.cpp
+++ b/tests/fleet_cache_fill_test.cpp
@@ -119,7 +119,7 @@
     odd.peers = {third};
     KeyOwnerSelector selector;
     selector.update_view(odd);
-    if (selector.owner_of(CacheFillSimulation::key_of(key), {})) break;
+    if (selector.find_owner(CacheFillSimulation::key_of(key), {})) break;
   }
   fleet.scatter_gather(owner).on_membership_view(std::make_shared<View>(odd), fleet.now);
   fleet.start_request(0, key);
--- a/tools/standin/cache_fill_simulation.cpp
+++ b/tools/standin/cache_fill_simulation.cpp
@@ -71,7 +71,7 @@
 std::size_t CacheFillSimulation::owner_of(std::uint64_t obj) const {
   KeyOwnerSelector selector;
   selector.update_view(simulated_view(0, members_.size()));
-  const auto owner = selector.owner_of(key_of(obj), now);
+  const auto owner = selector.find_owner(key_of(obj), now);
   for (std::size_t n = 1; owner && n < members_.size(); ++n)
     if (simulated_member(n).hash == owner->member_hash) return n;
   return 0;
