--- a/src/deps/gather_table.cpp
+++ b/src/deps/gather_table.cpp
@@ -5,7 +5,7 @@
 namespace granitegap::deps {
 namespace {
 
-std::uint64_t hash_of(RequestId id) { return std::uint64_t(id); }
+std::uint64_t request_hash(RequestId id) { return std::uint64_t(id); }
 
 }  // namespace
 
@@ -17,7 +17,7 @@
   }
   const GatherSlot slot = free_.back();
   free_.pop_back();
-  by_request_.put(hash_of(id), slot);
+  by_request_.put(request_hash(id), slot);
   auto& gather = gathers_[slot];
   gather.id = id;
   gather.loaded = std::move(loaded);
@@ -31,7 +31,7 @@
 
 void GatherTable::release(GatherSlot slot) {
   auto& gather = gathers_[slot];
-  by_request_.erase(hash_of(gather.id), slot);
+  by_request_.erase(request_hash(gather.id), slot);
   ++gather.generation;
   gather.loaded.reset();
   for (auto& part : gather.parts) part.body.reset();
@@ -39,7 +39,7 @@
 }
 
 GatherSlot GatherTable::find(RequestId id) const {
-  return by_request_.find(hash_of(id), [&](GatherSlot slot) { return gathers_[slot].id == id; });
+  return by_request_.find(request_hash(id), [&](GatherSlot slot) { return gathers_[slot].id == id; });
 }
 
 }  // namespace granitegap::deps
--- a/src/deps/gather_table.h
+++ b/src/deps/gather_table.h
@@ -1,7 +1,7 @@
-// The gathers in progress: for each request the parts that it needs and how far they are.
+// The gathers in progress: for each request the parts that it needs and the state of each part.
 //
-// Gathers live in a slab like calls (call_table.h). Used by one thread; it allocates only when the slab or an
-// index grows.
+// Gathers are stored in a slab, like calls (call_table.h). Used by one thread; allocates only when the slab
+// or an index grows.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -17,25 +17,26 @@
 // One part of a gather.
 struct Part {
   PartStatus status = PartStatus::pending;
-  CallSlot call = kNoSlot;  // the call that it waits for
+  CallSlot call = kNoSlot;  // the call that the part waits for
   TimePoint deadline{};
   CacheKey key;
-  Duration age{};      // of the body
-  Duration max_age{};  // up to which a cached response is fresh for this part
+  Duration age{};      // age of the body
+  Duration max_age{};  // maximum age at which a response counts as fresh for this part
   SharedBody body;
 };
 
+// The parts that one request gathers.
 struct Gather {
   RequestId id{};
   std::uint32_t generation = 0;
   std::shared_ptr<const LoadedSpec> loaded;
-  std::size_t spec_index = 0;  // into Spec::gathers
-  std::size_t pending = 0;     // parts
+  std::size_t spec_index = 0;  // index into Spec::gathers
+  std::size_t pending = 0;     // number of parts that have not settled
   TimePoint deadline{};
   bool may_call = true;  // false: only cached responses and declared defaults
   bool has_ended = false;
   std::uint64_t obj = 0;
-  std::string body, cls;  // of the request, for the path templates
+  std::string body, cls;  // request attributes for the path templates, like `obj`
   std::vector<Part> parts;
 
   const GatherSpec& spec() const { return loaded->spec->gathers[spec_index]; }
@@ -43,10 +44,11 @@
 
 class GatherTable {
  public:
-  // A gather with all of its parts pending. Deadline, attributes and `may_call` are the caller's to set.
+  // Creates a gather with all parts pending. The caller sets the deadline, the request attributes and
+  // `may_call`.
   GatherSlot create(RequestId id, std::shared_ptr<const LoadedSpec> loaded, std::size_t spec_index);
   void release(GatherSlot slot);
-  // The gather of that request, or kNoSlot.
+  // Returns the gather of the request, or kNoSlot.
   GatherSlot find(RequestId id) const;
 
   Gather& operator[](GatherSlot slot) { return gathers_[slot]; }
--- a/src/deps/slot_index.h
+++ b/src/deps/slot_index.h
@@ -1,5 +1,5 @@
-// An index from hashes to slots of an array: open addressing with linear probing and deletion by backward
-// shifting, without tombstones. It allocates only when it grows, and never shrinks.
+// An index from hashes to slots of an array: a hash table with open addressing, linear probing and deletion
+// by backward shifting, without tombstones. Allocates only when it grows, and never shrinks.
 //
 // A value type, used by one thread.
 #pragma once
@@ -8,11 +8,11 @@
 
 namespace granitegap::deps {
 
-// Spreads a value's entropy over all bits.
-inline std::uint64_t mix_bits(std::uint64_t x) {
-  x ^= x >> 32;
-  x *= 0x9e3779b97f4a7c15u;
-  return x ^ x >> 29;
+// Distributes the entropy of a value over all bits.
+inline std::uint64_t mix_bits(std::uint64_t value) {
+  value ^= value >> 32;
+  value *= 0x9e3779b97f4a7c15u;
+  return value ^ value >> 29;
 }
 
 class SlotIndex {
@@ -20,8 +20,8 @@
   using Slot = std::uint32_t;
   static constexpr Slot kNone = ~Slot(0);
 
-  // The slot of that hash for which `matches(slot)` holds, or kNone. It is called only where the whole hash
-  // agrees.
+  // Returns the slot with that hash for which `matches(slot)` holds, or kNone. Calls `matches` only for slots
+  // whose whole hash is equal.
   template <class Matches>
   Slot find(std::uint64_t hash, Matches matches) const {
     for (auto at = home(hash); cells_[at].slot != kNone; at = next(at))
@@ -29,21 +29,22 @@
     return kNone;
   }
 
-  // The pair must not be in the index yet.
+  // Adds a slot. The pair must not be in the index yet.
   void put(std::uint64_t hash, Slot slot) {
     if ((size_ + 1) * 2 > cells_.size()) grow();
     place({hash, slot});
     ++size_;
   }
 
-  // No effect when the slot is not in the index.
+  // Removes a slot. No effect when the slot is not in the index.
   void erase(std::uint64_t hash, Slot slot) {
     auto hole = home(hash);
     while (cells_[hole].slot != kNone && cells_[hole].slot != slot) hole = next(hole);
     if (cells_[hole].slot == kNone) return;
     --size_;
     for (auto at = next(hole); cells_[at].slot != kNone; at = next(at)) {
-      // A cell between its home and the hole stays where it is: moved, it would not be found.
+      // A cell whose home lies after the hole stays: moved into the hole, it would precede its home, where
+      // find() does not look.
       if (distance(home(cells_[at].hash), at) < distance(hole, at)) continue;
       cells_[hole] = cells_[at];
       hole = at;
--- a/src/deps/timer_queue.h
+++ b/src/deps/timer_queue.h
@@ -1,8 +1,8 @@
-// The deadlines of ScatterGather: a binary heap ordered by time, then by insertion.
+// The timers of ScatterGather: a binary heap ordered by time, then by insertion.
 //
-// Timers are not removed when they become obsolete: each names the generation of the slot that it was set
-// for, and the owner skips those that no longer apply. Used by one thread; push() allocates only when the
-// heap grows.
+// Obsolete timers are not removed. Each timer carries the generation of the slot for which it was set, and
+// ScatterGather skips timers that no longer apply. Used by one thread; push() allocates only when the heap
+// grows.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -14,20 +14,21 @@
 namespace granitegap::deps {
 
 enum class TimerKind : std::uint8_t {
-  part_deadline,    // of a gather's part
-  attempt_timeout,  // of one attempt of a call
-  hedge,            // an attempt has taken long enough for a hedged one
-  retry,            // a call's backoff is over
-  owner_timeout,    // of a call's request to the key's owner
+  part_deadline,    // a part of a gather reaches its deadline
+  attempt_timeout,  // an attempt times out
+  hedge,            // a hedged request is due
+  retry,            // the backoff of a call ends
+  owner_timeout,    // the request to the key owner times out
 };
 
+// A timer of one part or one call.
 struct Timer {
   TimePoint at;
-  std::uint64_t order = 0;  // of insertion; decides between equal times
+  std::uint64_t order = 0;  // order of insertion; decides between equal times
   TimerKind kind{};
-  SlotIndex::Slot slot = 0;  // of the gather (part_deadline) or of the call
-  std::uint32_t generation = 0;
-  std::uint32_t number = 0;  // of the part or of the attempt
+  SlotIndex::Slot slot = 0;      // slot of the gather (part_deadline) or of the call
+  std::uint32_t generation = 0;  // generation of the slot
+  std::uint32_t number = 0;      // number of the part or of the attempt
 };
 
 class TimerQueue {
@@ -39,8 +40,9 @@
     std::push_heap(heap_.begin(), heap_.end(), IsLater{});
   }
   bool empty() const { return heap_.empty(); }
-  // The earliest; the queue must not be empty.
+  // Returns the earliest timer. The queue must not be empty.
   const Timer& front() const { return heap_.front(); }
+  // Removes the earliest timer. The queue must not be empty.
   void pop() {
     std::pop_heap(heap_.begin(), heap_.end(), IsLater{});
     heap_.pop_back();
