--- a/src/deps/dependency_state.cpp
+++ b/src/deps/dependency_state.cpp
@@ -52,12 +52,12 @@
     return summary_;
   samples_since_summary_ = 0;
   summary_computed_ = now;
-  const auto quantile = [&](double q, std::uint32_t min_samples) {
-    return latency_.quantile(q, now, min_samples).value_or(Duration{});
+  const auto quantile = [&](double fraction, std::uint32_t min_samples) {
+    return latency_.quantile(fraction, now, min_samples).value_or(Duration{});
   };
   summary_.median = quantile(kMedian, kMinSamplesForTimeout);
-  // The window's median follows a change within seconds, the mean of the newest answers within a few of them:
-  // without it sudden slowness would be taken for failure.
+  // The median of the window follows a change within seconds, the mean of the newest latencies within a few
+  // responses. Without that mean a sudden increase of the latency would be treated as a failure.
   if (summary_.median.count() > 0) summary_.median = std::max(summary_.median, limit.recent_latency());
   summary_.timeout_base = quantile(kTimeoutQuantile, kMinSamplesForTimeout);
   summary_.hedge_delay =
--- a/src/deps/dependency_state.h
+++ b/src/deps/dependency_state.h
@@ -1,7 +1,7 @@
-// What ScatterGather knows and decides with for one dependency: its endpoints and limits, its recent
-// latencies, the queue of calls that wait for the concurrency limit, and the probes of its endpoints.
+// The state that ScatterGather keeps for one dependency: its endpoints and limits, its recent latencies, the
+// queue of calls that wait for the concurrency limit, and the probes of its endpoints.
 //
-// Used by one thread, without clock or I/O.
+// Used by one thread; uses no clock and does no I/O.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -15,33 +15,35 @@
 
 namespace granitegap::deps {
 
-// Recent latencies; zero where there are too few samples.
+// Quantiles of the recent latencies; zero where there are too few samples.
 struct LatencySummary {
   Duration median{};
-  Duration timeout_base{};  // the quantile that timeouts are a multiple of
-  Duration hedge_delay{};   // the quantile after which a hedged attempt starts
+  Duration timeout_base{};  // the 99th percentile, which attempt timeouts are a multiple of
+  Duration hedge_delay{};   // the declared hedge quantile, after which a hedged request starts
 };
 
-// The latest probe of one endpoint, as gossiped to the other members of the fleet.
+// The result of the latest probe of one endpoint, as disseminated to the other members of the fleet.
 struct ProbeResult {
-  std::uint64_t endpoint_key = 0;  // DependencyState::endpoint_keys
+  std::uint64_t endpoint_key = 0;  // from DependencyState::endpoint_keys
   TimePoint at{};
   bool is_down = true;  // false: the endpoint answered
 };
 
+// The state of one dependency.
 struct DependencyState {
   explicit DependencyState(const DependencySpec& declared);
-  // Takes a new declaration and keeps what has been learned.
+  // Applies a new declaration; keeps latencies, limits and the state of endpoints that remain declared.
   void update(const DependencySpec& declared);
 
   void record_latency(Duration latency, TimePoint now);
-  // Recomputed every 16 samples or 50 ms.
+  // Returns the summary of recent latencies, which is recomputed after 16 samples or 50 ms.
   const LatencySummary& latency_summary(TimePoint now);
 
   void record_probe(std::uint32_t endpoint, bool is_down, TimePoint now);
-  // Results older than this are not gossiped.
+  // Maximum age of a probe result that is disseminated.
   Duration probe_result_lifetime() const { return kProbeResultIntervals * spec.max_probe_interval; }
 
+  // Returns whether the concurrency limit admits another attempt.
   bool has_free_slot() const { return fleet_share != 0u && in_flight < limit.limit(); }
 
   DependencySpec spec;
@@ -49,15 +51,15 @@
   ConcurrencyLimit limit;
   RetryBudget budget;
   CircuitBreaker circuit;
-  std::uint32_t in_flight = 0;  // attempts
-  // This process's part of the fleet-wide limit; kNoCap where there is no such limit. Absent before the first
-  // division.
+  std::uint32_t in_flight = 0;  // number of attempts in flight
+  // The share of this process in the fleet-wide limit; kNoCap without such a limit. Absent until the limit is
+  // first divided.
   std::optional<std::uint32_t> fleet_share;
   CallQueue queue;  // calls that wait for the concurrency limit
 
-  std::vector<std::uint64_t> endpoint_keys;  // by endpoint: its name among the members of the fleet
+  std::vector<std::uint64_t> endpoint_keys;  // by endpoint: its hash, the same in every member of the fleet
   std::vector<ProbeResult> probe_results;
-  std::uint32_t next_probed = 0;  // the endpoint at which the choice of the next one to probe begins
+  std::uint32_t next_probed = 0;  // the endpoint at which the search for the next one to probe begins
 
  private:
   static constexpr int kProbeResultIntervals = 4;
