--- a/src/deps/cache_fill.cpp
+++ b/src/deps/cache_fill.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint32_t kMaxBackoffDoublings = 10;
 constexpr int kHexadecimal = 16;
 
-// Removes and returns the text up to the next '/', which is removed too.
+// Removes the text up to and including the next '/' and returns it without the '/'.
 std::string_view take_segment(std::string_view& text) {
   const auto end = std::min(text.find('/'), text.size());
   const auto segment = text.substr(0, end);
@@ -23,21 +23,24 @@
   return segment;
 }
 
+// Returns false unless the whole text is a number that fits.
 template <class Number>
-bool parse_number(std::string_view text, Number& to, int base = 10) {
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), to, base);
+bool parse_number(std::string_view text, Number& number, int base = 10) {
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number, base);
   return error == std::errc{} && end == text.data() + text.size();
 }
 
-bool parse_duration(std::string_view text, Duration& to) {
-  std::int64_t us = 0;
-  if (!parse_number(text, us) || us < 0 || us > kMaxDuration.count()) return false;
-  to = Duration(us);
+// Parses a number of microseconds from 0 to kMaxDuration.
+bool parse_duration(std::string_view text, Duration& duration) {
+  std::int64_t microseconds = 0;
+  if (!parse_number(text, microseconds) || microseconds < 0 || microseconds > kMaxDuration.count())
+    return false;
+  duration = Duration(microseconds);
   return true;
 }
 
-// Where a member accepts cache fills; absent when it does not.
-std::optional<EndpointSpec> fill_address_of(const membership::View::Peer& peer) {
+// Returns the address at which a member accepts cache fills; absent when it accepts none.
+std::optional<EndpointSpec> cache_fill_address(const membership::View::Peer& peer) {
   if (!membership::is_available(peer) || peer.metadata.cache_fill_port == 0) return std::nullopt;
   char host[INET6_ADDRSTRLEN];
   const int family = peer.address.v6 ? AF_INET6 : AF_INET;
@@ -58,7 +61,7 @@
   view_is_reliable_ = membership::is_reliable(view) && !view.name_conflict;
   std::vector<Candidate> candidates;
   for (const auto& peer : view.peers) {
-    auto address = fill_address_of(peer);
+    auto address = cache_fill_address(peer);
     if (!address) continue;
     Candidate candidate{{peer.hash, peer.boot_id, *std::move(address)}, {}, 0};
     const auto* known = find(peer.hash);
@@ -100,7 +103,7 @@
 
 void KeyOwnerSelector::on_failure(std::uint64_t member, TimePoint now) {
   auto* candidate = find(member);
-  // Of several requests that were in flight together the first failure counts.
+  // Of several requests that were in flight at the same time only the first failure counts.
   if (!candidate || now < candidate->skipped_until) return;
   const auto doublings = std::min(candidate->consecutive_failures, kMaxBackoffDoublings);
   candidate->skipped_until = now + std::min(kBaseBackoff * (std::int64_t(1) << doublings), kMaxBackoff);
@@ -143,7 +146,8 @@
   if (path == std::string_view::npos || path == 0 || path > kMaxHostBytes) return std::nullopt;
   request.dependency = target.substr(0, path);
   request.path = target.substr(path);
-  // The path becomes part of the request line to the dependency: it must not be able to end that line.
+  // The path becomes part of the request line to the dependency, so it must not contain a line end or a
+  // space.
   if (!is_printable(request.path)) return std::nullopt;
   return request;
 }
--- a/src/deps/cache_fill.h
+++ b/src/deps/cache_fill.h
@@ -1,12 +1,14 @@
-// Cache filling for the fleet: one member, the owner of a key, calls the dependency and serves the others.
+// Cache fills in the fleet: one member, the owner of a key, calls the dependency and serves the other
+// members.
 //
-// The owner of a key is the member with the highest score of rendezvous hashing (membership/views.h) among
-// this one and the members that serve and accept cache fills. All members with the same view agree on it, and
-// when one leaves only its keys move. A member that did not answer is skipped for a while, with exponential
-// backoff. While the view cannot be relied on there is no owner: each member calls the dependency itself.
+// The owner of a key is the member with the highest score in rendezvous hashing (membership/views.h) among
+// this member and the members that serve and accept cache fills. Members with the same view choose the same
+// owner, and when a member leaves only its keys move. A member that did not answer is skipped, with
+// exponential backoff. While the view is not reliable there is no owner: each member calls the dependency
+// itself.
 //
-// Values without clock or I/O, used by one thread. Errors: none is thrown; what cannot be determined or
-// parsed is absent.
+// Values without clock or I/O, used by one thread. Throws nothing; what cannot be determined or parsed is
+// absent.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -21,28 +23,29 @@
 
 // The member of the fleet that fills a key for the others.
 struct KeyOwner {
-  std::uint64_t member_hash = 0;  // membership::name_hash() of its name
+  std::uint64_t member_hash = 0;  // membership::name_hash() of the member's name
   membership::BootId boot_id{};
-  EndpointSpec address;  // where it accepts cache fills
+  EndpointSpec address;  // address at which the member accepts cache fills
 };
 
 // Chooses the owner of each key by rendezvous hashing.
 class KeyOwnerSelector {
  public:
-  // How long a member that did not answer is skipped; doubles with each failure in a row.
+  // How long a member that did not answer is skipped. The backoff doubles with each consecutive failure.
   static constexpr Duration kBaseBackoff = std::chrono::milliseconds(500),
                             kMaxBackoff = std::chrono::seconds(8);
 
-  // Takes a new view of the fleet. A member's backoff carries over unless it has restarted.
+  // Applies a new view of the fleet. Keeps the backoff of each member that has not restarted.
   void update_view(const membership::View& view);
-  // The other member that owns `key` (cache_fill_key()); absent when it is this one or cannot be determined.
+  // Returns the other member that owns `key` (cache_fill_key()). Absent when this member owns the key, or
+  // when the owner cannot be determined.
   std::optional<KeyOwner> find_owner(std::uint64_t key, TimePoint now) const;
 
-  // How a cache fill asked of a member ended. `member`: KeyOwner::member_hash.
+  // Record the result of a cache fill requested from a member. `member` is KeyOwner::member_hash.
   void on_failure(std::uint64_t member, TimePoint now);
   void on_success(std::uint64_t member);
 
-  // Members other than this one that accept cache fills.
+  // Returns the number of members other than this one that accept cache fills.
   std::size_t size() const { return candidates_.size(); }
 
  private:
@@ -58,34 +61,34 @@
   std::vector<Candidate> candidates_;  // ordered by member hash
 };
 
-// The key of one path of a dependency: the same in every process, unlike cache_key().
+// Returns the key of one path of a dependency. Unlike cache_key() it is the same in every process.
 std::uint64_t cache_fill_key(std::string_view dependency, std::string_view path);
 
-// What one member asks of a key's owner: the response for `path`, no older than `max_age`, within `timeout`.
+// A request to a key owner for the response for `path`, no older than `max_age`, within `timeout`.
 struct CacheFillRequest {
-  membership::BootId target_boot_id{};  // a later process on the same port must not answer
+  membership::BootId target_boot_id{};  // prevents an answer from a later process on the same port
   std::string dependency, path;
   Duration max_age{}, timeout{};
   bool operator==(const CacheFillRequest&) const = default;
 };
 
-// The request as the target of an HTTP GET: /fill/BOOT_ID/MAX_AGE/TIMEOUT/DEPENDENCY/PATH, the identifier in
-// hexadecimal, the durations in microseconds.
+// Encodes the request as the target of an HTTP GET: /fill/BOOT_ID/MAX_AGE/TIMEOUT/DEPENDENCY/PATH, with the
+// boot id in hexadecimal and the durations in microseconds.
 std::string to_request_target(const CacheFillRequest& request);
-// Absent when the target is not of that form.
+// Parses the target of an HTTP GET. Absent when it is not of that form.
 std::optional<CacheFillRequest> parse_request_target(std::string_view target);
 
-// The owner's answer.
+// The response of a key owner.
 struct CacheFillResponse {
-  Duration age{};  // since the dependency answered
+  Duration age{};  // time since the dependency answered
   std::string body;
 };
 
-// Most bytes that encode_fill_body() adds to the body.
+// Maximum number of bytes that encode_fill_body() adds to the body.
 inline constexpr std::size_t kMaxFillHeaderBytes = 24;
-// The answer as the body of an HTTP response: the age in microseconds, a newline, the dependency's body.
+// Encodes the body of the HTTP response: the age in microseconds, a newline, the body from the dependency.
 std::string encode_fill_body(Duration age, std::string_view body);
-// Absent when the bytes are not of that form.
+// Parses the body of the HTTP response. Absent when it is not of that form.
 std::optional<CacheFillResponse> parse_fill_body(const std::string& bytes);
 
 }  // namespace granitegap::deps
--- a/src/deps/negative_cache.h
+++ b/src/deps/negative_cache.h
@@ -1,6 +1,7 @@
-// Remembers for a short time which paths failed, so that they are not called again at once.
+// Records for a short time which paths failed, so that they are not called again at once.
 //
-// Fixed memory, direct-mapped: a newer failure may displace an older one, which then is called again sooner.
+// Direct-mapped with a fixed size: a newer failure may displace an older one, whose path is then called again
+// sooner.
 #pragma once
 #include <cstddef>
 #include <vector>
@@ -13,9 +14,11 @@
 class NegativeCache {
  public:
   NegativeCache() : entries_(kEntries) {}
-  void insert(const CacheKey& key, TimePoint until) { entries_[index_of(key)] = {key, until}; }
+  // Records a failure that applies until the given time.
+  void insert(const CacheKey& key, TimePoint until) { entries_[entry_index(key)] = {key, until}; }
+  // Returns whether a failure is recorded for the key.
   bool contains(const CacheKey& key, TimePoint now) const {
-    const auto& entry = entries_[index_of(key)];
+    const auto& entry = entries_[entry_index(key)];
     return entry.key == key && now < entry.until;
   }
 
@@ -25,7 +28,7 @@
     CacheKey key;
     TimePoint until{};
   };
-  static std::size_t index_of(const CacheKey& key) { return std::size_t(key.low % kEntries); }
+  static std::size_t entry_index(const CacheKey& key) { return std::size_t(key.low % kEntries); }
   std::vector<Entry> entries_;
 };
 
