--- a/src/deps/call_table.cpp
+++ b/src/deps/call_table.cpp
@@ -5,7 +5,7 @@
 namespace granitegap::deps {
 namespace {
 
-// A CallId is generation, slot and attempt number, from the highest bits to the lowest.
+// A CallId consists of generation, slot and attempt number, from the highest bits to the lowest.
 constexpr unsigned kAttemptBits = 4, kSlotBits = 24;
 constexpr std::uint64_t kAttemptMask = (1u << kAttemptBits) - 1, kSlotMask = (1u << kSlotBits) - 1;
 
@@ -23,7 +23,8 @@
   }
   const CallSlot slot = free_.back();
   free_.pop_back();
-  // Field by field: the slot's generation must stay, and its strings and vectors keep their capacity.
+  // Assigned field by field: the generation of the slot must not change, and strings and vectors keep their
+  // capacity.
   auto& call = calls_[slot];
   call.in_use = true;
   call.dependency = dependency;
@@ -35,8 +36,8 @@
   call.waiters.clear();
   call.is_probe = false;
   call.probed_endpoint.reset();
-  call.queued_before = kNoSlot;
-  call.queued_after = kNoSlot;
+  call.previous_queued = kNoSlot;
+  call.next_queued = kNoSlot;
   by_key_.put(key.low, slot);
   return slot;
 }
@@ -54,7 +55,7 @@
   return by_key_.find(key.low, [&](CallSlot slot) { return calls_[slot].key == key; });
 }
 
-CallId CallTable::id_of(CallSlot slot, std::uint32_t attempt) const {
+CallId CallTable::call_id(CallSlot slot, std::uint32_t attempt) const {
   return CallId(std::uint64_t(calls_[slot].generation) << (kAttemptBits + kSlotBits) |
                 std::uint64_t(slot) << kAttemptBits | attempt);
 }
@@ -63,15 +64,15 @@
   const auto bits = std::uint64_t(id);
   const auto attempt = std::uint32_t(bits & kAttemptMask);
   const auto slot = CallSlot(bits >> kAttemptBits & kSlotMask);
-  if (slot >= calls_.size() || !calls_[slot].in_use || id_of(slot, attempt) != id) return std::nullopt;
+  if (slot >= calls_.size() || !calls_[slot].in_use || call_id(slot, attempt) != id) return std::nullopt;
   return Reference{slot, attempt};
 }
 
 void CallTable::enqueue(CallQueue& queue, CallSlot slot) {
   auto& call = calls_[slot];
   call.state = SharedCall::State::queued;
-  call.queued_before = queue.newest;
-  (queue.newest == kNoSlot ? queue.oldest : calls_[queue.newest].queued_after) = slot;
+  call.previous_queued = queue.newest;
+  (queue.newest == kNoSlot ? queue.oldest : calls_[queue.newest].next_queued) = slot;
   queue.newest = slot;
   ++queue.size;
 }
@@ -79,12 +80,12 @@
 void CallTable::dequeue(CallQueue& queue, CallSlot slot) {
   auto& call = calls_[slot];
   if (call.state != SharedCall::State::queued) return;
-  (call.queued_before == kNoSlot ? queue.oldest : calls_[call.queued_before].queued_after) =
-      call.queued_after;
-  (call.queued_after == kNoSlot ? queue.newest : calls_[call.queued_after].queued_before) =
-      call.queued_before;
-  call.queued_before = kNoSlot;
-  call.queued_after = kNoSlot;
+  (call.previous_queued == kNoSlot ? queue.oldest : calls_[call.previous_queued].next_queued) =
+      call.next_queued;
+  (call.next_queued == kNoSlot ? queue.newest : calls_[call.next_queued].previous_queued) =
+      call.previous_queued;
+  call.previous_queued = kNoSlot;
+  call.next_queued = kNoSlot;
   call.state = SharedCall::State::calling;
   --queue.size;
 }
--- a/src/deps/call_table.h
+++ b/src/deps/call_table.h
@@ -1,9 +1,9 @@
 // The calls in flight to dependencies, each shared by all parts that need the same response (request
 // coalescing, "singleflight").
 //
-// Calls live in a slab: a slot is reused after release(), and each use has a generation, by which timers and
-// completions of an earlier use are recognized. References stay valid while other calls are created. Used by
-// one thread; it allocates only when the slab or an index grows.
+// Calls are stored in a slab whose slots are reused after release(). Each use of a slot has its own
+// generation, by which timers and completions of a previous use are detected. References stay valid while
+// other calls are created. Used by one thread; allocates only when the slab or an index grows.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -34,21 +34,22 @@
   std::uint32_t part = 0;
 };
 
-// A cache fill asked of the key's owner, instead of or before attempts.
+// A cache fill requested from the key owner, instead of or before attempts.
 struct OwnerRequest {
   KeyOwner owner;
-  std::string target;  // of the HTTP request
+  std::string target;  // target of the HTTP GET
   TimePoint started{};
   bool in_flight = false;
 };
 
+// A call to a dependency, with its attempts and the parts that wait for it.
 struct SharedCall {
   static constexpr std::size_t kMaxAttempts = 4;
   enum class State : std::uint8_t { queued, calling, backing_off };
 
   std::uint32_t generation = 0;
   bool in_use = false;
-  std::uint32_t dependency = 0;  // ScatterGather's number
+  std::uint32_t dependency = 0;  // the number that ScatterGather assigned
   State state = State::queued;
   CacheKey key;
   std::string path;
@@ -57,9 +58,9 @@
   OwnerRequest owner_request;
   std::vector<Waiter> waiters;
 
-  bool is_probe = false;                         // of a dependency whose circuit is open; without waiters
-  std::optional<std::uint32_t> probed_endpoint;  // the endpoint that the probe must go to
-  CallSlot queued_before = kNoSlot, queued_after = kNoSlot;  // neighbours in the CallQueue
+  bool is_probe = false;  // probes a dependency whose circuit breaker is open; has no waiters
+  std::optional<std::uint32_t> probed_endpoint;               // the endpoint that the probe must use
+  CallSlot previous_queued = kNoSlot, next_queued = kNoSlot;  // links of the CallQueue
 
   bool has_attempt_in_flight() const;
 };
@@ -72,29 +73,31 @@
 
 class CallTable {
  public:
-  // The attempt number in the id of a request to a key's owner.
+  // Attempt number that identifies the request to the key owner in a CallId.
   static constexpr std::uint32_t kOwnerAttempt = 15;
 
   CallSlot create(std::uint32_t dependency, const CacheKey& key);
-  // The call must not be queued.
+  // Releases the slot for reuse. The call must not be queued.
   void release(CallSlot slot);
-  // The call for that key, or kNoSlot.
+  // Returns the call for the key, or kNoSlot.
   CallSlot find(const CacheKey& key) const;
 
   SharedCall& operator[](CallSlot slot) { return calls_[slot]; }
   const SharedCall& operator[](CallSlot slot) const { return calls_[slot]; }
   std::size_t size() const { return by_key_.size(); }
-  // Whether the slot still holds the call that it held at that generation.
+  // Returns whether the slot still holds the call of that generation.
   bool is_current(CallSlot slot, std::uint32_t generation) const {
     return calls_[slot].in_use && calls_[slot].generation == generation;
   }
 
-  CallId id_of(CallSlot slot, std::uint32_t attempt) const;
+  // Returns the id of one attempt of a call.
+  CallId call_id(CallSlot slot, std::uint32_t attempt) const;
+  // A call and the number of one of its attempts.
   struct Reference {
     CallSlot slot = kNoSlot;
     std::uint32_t attempt = 0;
   };
-  // The call and attempt number of an id; absent when that call has ended.
+  // Returns the call and attempt number of an id; absent when the call has ended.
   std::optional<Reference> resolve(CallId id) const;
 
   void enqueue(CallQueue& queue, CallSlot slot);
--- a/src/deps/scatter_gather.cpp
+++ b/src/deps/scatter_gather.cpp
@@ -1,5 +1,5 @@
-// ScatterGather, the public interface: construction and declarations, gathers and their results, completions
-// and timers.
+// The public interface of ScatterGather: construction and declarations, gathers and their results,
+// completions and timers.
 #include "deps/scatter_gather.h"
 
 #include <algorithm>
@@ -27,7 +27,8 @@
   loaded_ = std::move(loaded);
 }
 
-// The number of each declared dependency. One that was declared before, by name, keeps its number and state.
+// Returns the number of each declared dependency. A dependency whose name was declared before keeps its
+// number and its state.
 std::vector<std::uint32_t> ScatterGather::update_dependencies(const Spec& spec) {
   std::vector<std::uint32_t> numbers;
   for (const auto& declared : spec.dependencies) {
@@ -79,7 +80,8 @@
   gather.deadline = now + std::clamp(request.timeout, Duration{}, dependency->max_timeout);
   gather.may_call = true;
   path_ = request.path;
-  // Never by way of another member: two whose views differ must not ask each other in turn.
+  // Never through another member: two members whose views differ would forward the request to each other in a
+  // loop.
   resolve_part(slot, 0, gather.loaded->dependency_numbers[spec_index], request.max_age, Route::direct, now);
   return true;
 }
@@ -194,8 +196,8 @@
   const auto call_slot = gather.parts[part].call;
   const auto& call = calls_[call_slot];
   const auto call_generation = call.generation;
-  // Attempts that time out at the same moment come first: ended by the part's deadline they would count as
-  // cancelled, and a dependency that hangs would go unnoticed.
+  // Attempts that time out at the same time are processed first. If the part's deadline ended them they would
+  // count as cancelled, and a hanging dependency would not be detected.
   for (std::uint32_t i = 0; call.generation == call_generation && i < call.attempt_count; ++i)
     if (call.attempts[i].in_flight && call.attempts[i].times_out <= now)
       on_attempt_timeout(call_slot, i, now);
@@ -206,7 +208,7 @@
 
 void ScatterGather::on_hedge_due(CallSlot slot, TimePoint now) {
   auto& dependency = dependencies_[calls_[slot].dependency];
-  // A hedge only improves latency: it never displaces a queued call and never exceeds the limit.
+  // A hedged request only improves latency, so it never displaces a queued call and never exceeds the limit.
   const bool has_capacity =
       !dependency.circuit.is_open() && dependency.queue.size == 0 && dependency.has_free_slot();
   if (!has_capacity || dependency.spec.max_attempts < 2) return;
--- a/src/deps/scatter_gather.h
+++ b/src/deps/scatter_gather.h
@@ -1,30 +1,31 @@
-// Gathers the parts that requests need from the dependencies: what to call, when to retry, hedge or shed, and
-// when to go on without a part.
+// Gathers the parts that requests need from the dependencies. Decides what to call, when to retry, hedge or
+// shed, and when to continue without a part.
 //
 //   begin() -> for each part that depends on no other:
 //     cached within its fresh age ................................ settled: fresh
+//     its path failed recently, or the circuit breaker is open ... falls back
 //     the same call is in flight ................................. joins it
-//     another member of the fleet owns its key ................... that member is asked first
-//     failed a moment ago, or the circuit breaker is open ........ falls back
+//     another member of the fleet owns its key ................... requested from that member first
 //     within the concurrency limit ............................... called
-//     room in the queue .......................................... queued for the limit
-//     else ....................................................... falls back: shed
+//     room in the queue .......................................... queued until the limit admits it
+//     otherwise .................................................. falls back: shed
 //   Falling back: cached within its stale age -> stale; a declared default -> fallback; else absent.
 //
-// A part settles once. When all have settled, or a required one is absent, GatherEnded follows exactly once
-// and no later than the gather's budget.
+// A part settles once. When all parts have settled, or a required part is absent, GatherEnded follows exactly
+// once and no later than the end of the gather's budget.
 //
 // A call is shared by all parts that need the same path of the same dependency. Its attempts are the first
-// one, a hedged one (Dean and Barroso, "The Tail at Scale", 2013) and retries with backoff; all but the first
-// are paid for by the RetryBudget. It ends with its first good response, when its attempts are used up, or
-// when no part waits for it any more; the attempts still in flight then are cancelled.
+// one, a hedged request (Dean and Barroso, "The Tail at Scale", 2013) and retries with backoff; all but the
+// first are charged to the RetryBudget. A call ends with its first successful response, when its attempts are
+// used up, or when no part waits for it any more; attempts still in flight are then cancelled.
 //
-// Pure decisions: no socket, no clock, deterministic under its seed. Used by one thread. Errors: none is
-// thrown; they are statuses of parts. Ownership: actions() accumulates until clear_actions(), a gather's
-// results stay until release().
+// Makes decisions only: no socket, no clock, deterministic for a given seed. Used by one thread. Throws
+// nothing; errors are statuses of parts. actions() accumulates until clear_actions(), and the results of a
+// gather stay until release().
 //
-// Sources: scatter_gather.cpp has the public interface and the timers, scatter_gather_parts.cpp resolves
-// parts, scatter_gather_calls.cpp makes calls, scatter_gather_fleet.cpp works with the other members.
+// Source files: scatter_gather.cpp has the public interface and the timers, scatter_gather_parts.cpp resolves
+// parts, scatter_gather_calls.cpp makes calls, scatter_gather_fleet.cpp works with the other members of the
+// fleet.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -53,77 +54,83 @@
 
 class ScatterGather {
  public:
-  // `seed`: of every random decision, and of the cache's keys. `guarded` false: the plain policy that
-  // benchmarks compare with: one attempt, no limit, no circuit breaker, no timeout but the budget's end.
+  // `seed` determines every random decision and the keys of the cache. With `guarded` false the plain policy
+  // applies, the baseline of the benchmarks: one attempt, no concurrency limit, no circuit breaker, and no
+  // timeout except the end of the budget.
   ScatterGather(std::shared_ptr<const Spec> spec, std::uint64_t seed, bool guarded = true);
 
   // ---- Gathers ----
 
-  // Whether requests of that class gather anything.
+  // Returns whether requests of the class gather anything.
   bool has_gather(ClassId cls) const;
 
-  // What the path templates are filled in with.
+  // The request's values that are substituted into path templates.
   struct RequestAttributes {
     std::uint64_t obj = 0;
     std::string_view body, cls;
   };
-  // Begins a request's gather; GatherEnded follows. No effect when its class gathers nothing or `id` is in
-  // use. `budget`: bounded by the declared one. `may_call` false: only cached responses and defaults.
+  // Begins the gather of a request; GatherEnded follows. No effect when the class gathers nothing or `id` is
+  // in use. `budget` is bounded by the declared one. With `may_call` false only cached responses and declared
+  // defaults are used.
   void begin(RequestId id, ClassId cls, const RequestAttributes& attributes, Duration budget, bool may_call,
              TimePoint now);
-  // Begins what another member asks of this one as the owner of a key. GatherEnded follows, and parts() has
-  // the single value if it is present. False when the dependency is not declared for it, or `id` is in use.
+  // Begins a cache fill that another member requests from this one as the owner of a key. GatherEnded
+  // follows, and parts() then has a single part. Returns false when the dependency is not declared with
+  // `fleet_cache_fill`, when `id` is in use, or under the plain policy.
   [[nodiscard]] bool begin_cache_fill(RequestId id, const CacheFillRequest& request, TimePoint now);
   // Ends a gather without GatherEnded and releases it.
   void cancel(RequestId id, TimePoint now);
-  // The gather's results, in the order of declaration; empty when there is no gather of that id.
+  // Returns the results of the gather in the order of declaration; empty when no gather has this id.
   std::vector<PartResult> parts(RequestId id) const;
-  // Forgets a gather that has ended.
+  // Releases a gather that has ended.
   void release(RequestId id);
 
   // ---- Events ----
 
-  // A started call has ended. Ignored when it had been cancelled.
+  // Handles the end of a started call. Ignored when the call has been cancelled.
   void on_call_completed(const CallCompletion& completion, TimePoint now);
-  // Fires the timers that are due; to be called at next_timer() at the latest.
+  // Fires the timers that are due. Must be called no later than next_timer().
   void tick(TimePoint now);
+  // Returns the time of the earliest timer; absent when none is set.
   std::optional<TimePoint> next_timer();
 
-  // What to carry out, in order, since the last clear_actions().
+  // Actions to carry out, in order, since the last clear_actions().
   std::span<const Action> actions() const { return actions_; }
   void clear_actions() { actions_.clear(); }
 
-  // A new declaration. Calls in flight go on, gathers keep the one that they began under, and what has been
-  // learned of the dependencies and endpoints that stay is kept.
+  // Applies a new declaration. Calls in flight continue, and gathers keep the declaration under which they
+  // began. Dependencies and endpoints that remain declared keep their latencies, limits and ejections.
   void update_spec(std::shared_ptr<const Spec> spec, TimePoint now);
 
   // ---- The fleet ----
 
-  // A new view of the members: it determines the owners of keys, the shares of fleet-wide limits, and which
-  // member probes an endpoint for all.
+  // Applies a new view of the members. It determines the owners of keys, the shares of fleet-wide limits, and
+  // which member probes an endpoint for the fleet.
   void on_membership_view(std::shared_ptr<const membership::View> view, TimePoint now);
-  // The results of this process's probes, to be gossiped.
+  // Returns the results of this process's probes, for dissemination to the other members.
   std::vector<membership::EndpointHealth> endpoint_health(TimePoint now) const;
 
   // ---- Warm state ----
 
-  // Adds what is known of the endpoints, and the hottest cached responses, for another process.
-  void export_state(warm_state::WarmState& to, TimePoint now) const;
+  // Adds the statistics of the endpoints and the hottest cached responses to `state`.
+  void export_state(warm_state::WarmState& state, TimePoint now) const;
+  // The number of endpoints and cached responses that restore() applied.
   struct Restored {
     std::size_t endpoints = 0, responses = 0;
   };
-  // Takes over what another process knew, unless this one knows better; the numbers that were of use.
-  Restored restore(const warm_state::WarmState& from, TimePoint now);
+  // Applies the state of another process. Does not change endpoints for which this process has statistics of
+  // its own, nor cached responses that are at least as recent.
+  Restored restore(const warm_state::WarmState& state, TimePoint now);
 
   // ---- Observation ----
 
-  // Dependencies have the numbers in StartCall and CircuitBreakerChanged.
+  // Dependencies are identified by the numbers that StartCall and CircuitBreakerChanged carry.
   const EndpointSpec& address(std::uint32_t dependency, std::uint32_t endpoint) const {
     return dependencies_[dependency].endpoints.address(endpoint);
   }
   const DependencySpec& dependency(std::uint32_t number) const { return dependencies_[number].spec; }
   const Counters& counters() const { return counters_; }
-  // Attempts in flight to a dependency.
+  // Returns the number of attempts in flight to a dependency.
   std::uint32_t in_flight(std::uint32_t dependency) const { return dependencies_[dependency].in_flight; }
   std::uint32_t concurrency_limit(std::uint32_t dependency) const {
     return dependencies_[dependency].limit.limit();
@@ -133,10 +140,10 @@
   std::size_t active_calls() const { return calls_.size(); }
 
  private:
-  // Where a part gets its value from when it is not cached.
+  // Where the value of a part that is not cached comes from.
   enum class Route : std::uint8_t {
-    owner_first,  // the key's owner, then the dependency
-    direct,       // the dependency
+    owner_first,  // the key owner, then the dependency
+    direct,       // the dependency only
   };
 
   void apply_spec(std::shared_ptr<const Spec> spec, TimePoint now);
@@ -152,7 +159,7 @@
 
   // ---- Parts: scatter_gather_parts.cpp ----
   void start_part(GatherSlot gather, std::uint32_t part, TimePoint now);
-  // The part's path is in path_.
+  // Expects the path of the part in path_.
   void resolve_part(GatherSlot gather, std::uint32_t part, std::uint32_t dependency, Duration max_age,
                     Route route, TimePoint now);
   TimePoint part_deadline(const Gather& gather, std::uint32_t part, TimePoint now) const;
@@ -177,7 +184,7 @@
   void cancel_attempts(CallSlot call);
   void on_attempt_succeeded(CallSlot call, std::uint32_t attempt, const CallCompletion& completion,
                             TimePoint now);
-  // `is_fair`: the failure is the endpoint's, not due to a short budget.
+  // `is_fair`: the failure counts against the endpoint, that is, a short budget did not cause it.
   void on_attempt_failed(CallSlot call, std::uint32_t attempt, CallOutcome outcome, bool is_fair,
                          std::optional<Duration> retry_after, TimePoint now);
   void record_attempt_failure(const SharedCall& call, std::uint32_t attempt, CallOutcome outcome,
@@ -194,7 +201,7 @@
   TimePoint latest_deadline(const SharedCall& call) const;
 
   // ---- The fleet: scatter_gather_fleet.cpp ----
-  bool ask_owner(CallSlot call, Duration max_age, TimePoint now);
+  bool request_from_owner(CallSlot call, Duration max_age, TimePoint now);
   void on_owner_completed(CallSlot call, const CallCompletion& completion, TimePoint now);
   void on_owner_timeout(CallSlot call, TimePoint now);
   void call_without_owner(CallSlot call, TimePoint now);
@@ -208,15 +215,15 @@
   std::uint64_t hash_seed_;
   std::mt19937_64 random_;
   std::shared_ptr<const LoadedSpec> loaded_;
-  std::deque<DependencyState> dependencies_;  // never shrinks: numbers stay valid
+  std::deque<DependencyState> dependencies_;  // never shrinks, so that dependency numbers stay valid
   GatherTable gathers_;
   CallTable calls_;
   TimerQueue timers_;
   NegativeCache failures_;
   ResponseCache cache_;
   std::vector<Action> actions_;
-  std::string path_;                              // of the part being resolved; kept for its capacity
-  std::shared_ptr<const membership::View> view_;  // null: no fleet
+  std::string path_;  // path of the part being resolved; a member so that its capacity is reused
+  std::shared_ptr<const membership::View> view_;  // null when the process belongs to no fleet
   KeyOwnerSelector owners_;
   Counters counters_;
 };
--- a/src/deps/scatter_gather_calls.cpp
+++ b/src/deps/scatter_gather_calls.cpp
@@ -1,5 +1,5 @@
-// ScatterGather, the calls to dependencies: the concurrency limit and its queue, attempts and their timeouts,
-// hedged attempts, retries with backoff, Retry-After, and the end of a call.
+// The calls of ScatterGather to dependencies: the concurrency limit and its queue, attempts and their
+// timeouts, hedged requests, retries with backoff, Retry-After, and the end of a call.
 #include <algorithm>
 #include <cmath>
 
@@ -8,7 +8,8 @@
 namespace granitegap::deps {
 namespace {
 
-// An attempt's timeout counts against the endpoint only if the attempt had this many median latencies.
+// The timeout of an attempt counts against the endpoint only if the attempt lasted at least this multiple of
+// the median latency.
 constexpr double kMinFairMedians = 1.5;
 constexpr std::uint32_t kMaxBackoffDoublings = 10;
 
@@ -20,18 +21,18 @@
 
 // ---- Admission ----
 
-// Starts the call within the concurrency limit, queues it beyond, or sheds it. The bounded queue keeps a slow
-// dependency from taking the connections and the memory of all others.
+// Starts the call if the concurrency limit has room, otherwise queues it, or sheds it. The bounded queue
+// keeps a slow dependency from using up the connections and the memory that the other dependencies need.
 void ScatterGather::admit_call(CallSlot slot, TimePoint now) {
   const auto& call = calls_[slot];
   auto& dependency = dependencies_[call.dependency];
   if (!guarded_ || (dependency.has_free_slot() && dependency.queue.size == 0))
     return start_attempt(slot, now);
-  // The calls ahead take turns of one median latency each; a call that cannot be served in time is not
-  // queued.
+  // The queue is expected to drain in rounds of `limit` calls that take one median latency each. A call that
+  // would end after its deadline is not queued.
   const auto limit = std::max(dependency.limit.limit(), 1u);
-  const auto turns_ahead = std::int64_t(dependency.queue.size / limit) + 1;
-  const auto expected_end = now + dependency.latency_summary(now).median * (turns_ahead + 1);
+  const auto rounds_ahead = std::int64_t(dependency.queue.size / limit) + 1;
+  const auto expected_end = now + dependency.latency_summary(now).median * (rounds_ahead + 1);
   if (dependency.queue.size >= dependency.spec.max_queued || expected_end > latest_deadline(call)) {
     ++counters_.shed;
     return give_up(slot, now);
@@ -39,7 +40,7 @@
   calls_.enqueue(dependency.queue, slot);
 }
 
-// Starts queued calls while the limit has room; sheds them all while the circuit breaker is open.
+// Starts queued calls while the limit has room. Gives up all of them if the circuit breaker is open.
 void ScatterGather::start_queued_calls(std::uint32_t number, TimePoint now) {
   auto& dependency = dependencies_[number];
   while (dependency.queue.oldest != kNoSlot && (dependency.circuit.is_open() || dependency.has_free_slot())) {
@@ -52,6 +53,7 @@
   }
 }
 
+// Returns the latest deadline of the parts that wait for the call.
 TimePoint ScatterGather::latest_deadline(const SharedCall& call) const {
   TimePoint latest{};
   for (const auto& waiter : call.waiters)
@@ -61,6 +63,7 @@
 
 // ---- Attempts ----
 
+// Starts an attempt and its timers. Gives the call up when no attempt can be made and none is in flight.
 void ScatterGather::start_attempt(CallSlot slot, TimePoint now) {
   auto& call = calls_[slot];
   auto& dependency = dependencies_[call.dependency];
@@ -82,25 +85,26 @@
   counters_.max_in_flight = std::max(counters_.max_in_flight, dependency.in_flight);
   ++counters_.calls;
   timers_.push(now + timeout, TimerKind::attempt_timeout, slot, call.generation, number);
-  actions_.emplace_back(StartCall{calls_.id_of(slot, number), call.dependency, *endpoint, &call.path});
+  actions_.emplace_back(StartCall{calls_.call_id(slot, number), call.dependency, *endpoint, &call.path});
 
   const bool may_hedge = guarded_ && number == 0 && !call.is_probe;
   if (!may_hedge || summary.hedge_delay.count() == 0 || summary.hedge_delay >= timeout) return;
   timers_.push(now + summary.hedge_delay, TimerKind::hedge, slot, call.generation, number);
 }
 
-// `remaining`: until the last waiter's deadline. Absent when no endpoint is available, or when an attempt
-// could not be back in time and would only take a slot from one that can.
+// Returns the endpoint for the next attempt. `remaining` is the time until the deadline of the last waiter.
+// Absent when no endpoint is available, or when an attempt is not expected to end in time: it would only take
+// a slot from an attempt that can.
 std::optional<std::uint32_t> ScatterGather::choose_endpoint(const SharedCall& call, Duration remaining,
                                                             const LatencySummary& summary, TimePoint now) {
   if (!call.is_probe) {
-    const bool is_hopeless = remaining.count() <= 0 || (guarded_ && remaining < summary.median);
-    if (is_hopeless) return std::nullopt;
+    const bool cannot_end_in_time = remaining.count() <= 0 || (guarded_ && remaining < summary.median);
+    if (cannot_end_in_time) return std::nullopt;
   }
   if (call.probed_endpoint) return call.probed_endpoint;
   std::optional<std::uint32_t> previous;
   if (call.attempt_count > 0) previous = call.attempts[call.attempt_count - 1].endpoint;
-  // The second candidate is drawn first. The order is part of what a seed determines.
+  // The second candidate is drawn first: a change of the order would change the decisions of every seed.
   const double random2 = random_fraction();
   const double random1 = random_fraction();
   return dependencies_[call.dependency].endpoints.pick(now, random1, random2, previous);
@@ -128,19 +132,20 @@
   auto& dependency = dependencies_[call.dependency];
   if (call.owner_request.in_flight) {
     call.owner_request.in_flight = false;
-    actions_.emplace_back(CancelCall{calls_.id_of(slot, CallTable::kOwnerAttempt)});
+    actions_.emplace_back(CancelCall{calls_.call_id(slot, CallTable::kOwnerAttempt)});
   }
   for (std::uint32_t number = 0; number < call.attempt_count; ++number) {
     if (!call.attempts[number].in_flight) continue;
     close_attempt(slot, number);
     dependency.endpoints.on_cancelled(call.attempts[number].endpoint);
     if (call.is_probe) dependency.circuit.on_probe_cancelled();
-    actions_.emplace_back(CancelCall{calls_.id_of(slot, number)});
+    actions_.emplace_back(CancelCall{calls_.call_id(slot, number)});
   }
 }
 
 // ---- Outcomes of attempts ----
 
+// `ok` and `not_found` both count as successes of the dependency.
 void ScatterGather::on_attempt_succeeded(CallSlot slot, std::uint32_t number,
                                          const CallCompletion& completion, TimePoint now) {
   const auto& call = calls_[slot];
@@ -176,8 +181,8 @@
     const auto median = dependency.latency_summary(now).median;
     is_fair = double(waited.count()) >= kMinFairMedians * double(median.count());
   }
-  actions_.emplace_back(CancelCall{calls_.id_of(slot, number)});
-  if (is_fair && guarded_) dependency.record_latency(waited, now);  // a lower bound of the real one
+  actions_.emplace_back(CancelCall{calls_.call_id(slot, number)});
+  if (is_fair && guarded_) dependency.record_latency(waited, now);  // a lower bound of the actual latency
   on_attempt_failed(slot, number, CallOutcome::limit_exceeded, is_fair, std::nullopt, now);
 }
 
@@ -195,12 +200,13 @@
                                            bool is_fair, std::optional<Duration> retry_after, TimePoint now) {
   auto& dependency = dependencies_[call.dependency];
   const auto endpoint = call.attempts[number].endpoint;
-  const bool asked_to_wait = outcome == CallOutcome::overloaded && retry_after && guarded_;
+  const bool has_retry_after = outcome == CallOutcome::overloaded && retry_after && guarded_;
   if (!is_fair) {
     dependency.endpoints.on_cancelled(endpoint);
     if (call.is_probe) dependency.circuit.on_probe_cancelled();
-  } else if (asked_to_wait) {
-    // An endpoint that sends Retry-After is overloaded but not broken: it is left alone, not ejected.
+  } else if (has_retry_after) {
+    // An endpoint that sends Retry-After is overloaded but works: it gets no calls for that time and is not
+    // ejected.
     const auto pause = std::clamp(*retry_after, Duration{}, dependency.spec.max_ejection_time);
     dependency.endpoints.on_cancelled(endpoint);
     dependency.endpoints.set_retry_after(endpoint, now + pause);
@@ -219,7 +225,8 @@
   dependency.budget.deposit(now);
   const auto opened_at = dependency.circuit.opened_at();
   if (!dependency.circuit.on_success(now)) return;
-  // Slow start, from one attempt: the requests that come now must not all fall on the recovering dependency.
+  // Slow start from one attempt in flight: a burst of pending requests must not overload the recovering
+  // dependency.
   dependency.limit.begin_slow_start();
   dependency.endpoints.begin_slow_start(now);
   actions_.emplace_back(CircuitBreakerChanged{number, false, now - opened_at});
@@ -241,6 +248,7 @@
   give_up(slot, now);
 }
 
+// Schedules a retry if the policy, the retry budget and the deadlines of the waiting parts allow one.
 bool ScatterGather::try_schedule_retry(CallSlot slot, TimePoint now) {
   auto& call = calls_[slot];
   auto& dependency = dependencies_[call.dependency];
@@ -262,8 +270,8 @@
   return true;
 }
 
-// Settles the waiting parts with a response of that age and caches it. Parts that do not accept the age, as
-// they joined a call that was answered by another member, go on waiting for the dependency itself.
+// Caches the response and settles the waiting parts with it. Parts that do not accept its age keep waiting
+// for the dependency itself: they joined a call that another member answered from its cache.
 void ScatterGather::deliver(CallSlot slot, const SharedBody& body, Duration age, TimePoint now) {
   cancel_attempts(slot);
   auto& call = calls_[slot];
@@ -272,7 +280,7 @@
   const auto accepts_age = [&](const Waiter& waiter) {
     return age.count() <= 0 || age <= gathers_[waiter.gather].parts[waiter.part].max_age;
   };
-  // Settling a part can start and end calls, this one included: the waiters are looked up anew each time.
+  // Settling a part can start and end calls, including this one, so the waiters are searched again each time.
   while (calls_.is_current(slot, generation)) {
     const auto next = std::find_if(call.waiters.rbegin(), call.waiters.rend(), accepts_age);
     if (next == call.waiters.rend()) break;
@@ -286,7 +294,7 @@
   release_call(slot);
 }
 
-// The call ends without a response: the waiting parts fall back.
+// Ends the call without a response; the waiting parts fall back.
 void ScatterGather::give_up(CallSlot slot, TimePoint now) {
   auto& call = calls_[slot];
   calls_.dequeue(dependencies_[call.dependency].queue, slot);
--- a/src/deps/scatter_gather_fleet.cpp
+++ b/src/deps/scatter_gather_fleet.cpp
@@ -1,5 +1,6 @@
-// ScatterGather among the other members of the fleet: cache fills asked of a key's owner, probes of a
-// dependency that is down, shares of fleet-wide limits, and warm state for and from other processes.
+// The part of ScatterGather that works with the other members of the fleet: cache fills requested from the
+// key owner, probes of an unavailable dependency, shares of fleet-wide limits, and warm state exchanged with
+// other processes.
 #include <algorithm>
 #include <utility>
 
@@ -8,30 +9,37 @@
 namespace granitegap::deps {
 namespace {
 
-constexpr Duration kMinOwnerTimeout = std::chrono::milliseconds(5);  // with less time the owner is not asked
-constexpr int kOwnerTimeShare = 2;            // the owner gets the remaining time divided by this
-constexpr int kOwnerTransitShare = 8;         // and is told of that time without this part, for the way back
-constexpr std::size_t kMaxHotEntries = 2048;  // looked at for an export: well under a millisecond
+// Without at least this much time no request is sent to the key owner.
+constexpr Duration kMinOwnerTimeout = std::chrono::milliseconds(5);
+// The request to the key owner may take the remaining time divided by this.
+constexpr int kOwnerTimeDivisor = 2;
+// The timeout sent to the key owner is shorter by this fraction (1/8), which leaves time for its response to
+// arrive.
+constexpr int kOwnerTransitDivisor = 8;
+// Maximum number of cache entries considered for an export, which then takes well under a millisecond.
+constexpr std::size_t kMaxHotEntries = 2048;
 
 }  // namespace
 
 // ---- Cache fills ----
 
-// One member calls the dependency for a key and serves the others: a fleet that restarts with empty caches
-// does not call for everything once per member. In vain it costs at most half of the remaining time.
-bool ScatterGather::ask_owner(CallSlot slot, Duration max_age, TimePoint now) {
+// Requests a cache fill from the key owner; returns false when none is sent. One member calls the dependency
+// for a key and serves the others, so that a fleet that restarts with empty caches does not call the
+// dependency for every key once per member. A request without result costs at most half of the remaining
+// time.
+bool ScatterGather::request_from_owner(CallSlot slot, Duration max_age, TimePoint now) {
   if (max_age.count() <= 0) return false;
   auto& call = calls_[slot];
   const auto& spec = dependencies_[call.dependency].spec;
   const auto owner = owners_.find_owner(cache_fill_key(spec.name, call.path), now);
-  const auto timeout = std::min((latest_deadline(call) - now) / kOwnerTimeShare, spec.max_timeout);
+  const auto timeout = std::min((latest_deadline(call) - now) / kOwnerTimeDivisor, spec.max_timeout);
   if (!owner || timeout < kMinOwnerTimeout) return false;
   ++counters_.owner_requests;
-  const auto owner_timeout = timeout - timeout / kOwnerTransitShare;
+  const auto owner_timeout = timeout - timeout / kOwnerTransitDivisor;
   const CacheFillRequest request{owner->boot_id, spec.name, call.path, max_age, owner_timeout};
   call.owner_request = {*owner, to_request_target(request), now, true};
   timers_.push(now + timeout, TimerKind::owner_timeout, slot, call.generation, CallTable::kOwnerAttempt);
-  actions_.emplace_back(StartCall{calls_.id_of(slot, CallTable::kOwnerAttempt), call.dependency, 0,
+  actions_.emplace_back(StartCall{calls_.call_id(slot, CallTable::kOwnerAttempt), call.dependency, 0,
                                   &call.owner_request.target, &call.owner_request.owner});
   return true;
 }
@@ -44,11 +52,12 @@
   if (response) {
     ++counters_.owner_hits;
     owners_.on_success(request.owner.member_hash);
-    // The owner may have answered as soon as it was asked: that is the oldest that the response can be.
+    // The age was computed at some time after the request was sent. Counting from the sending gives an upper
+    // bound of the age.
     const auto age = response->age + (now - request.started);
     return deliver(slot, std::make_shared<const std::string>(std::move(response->body)), age, now);
   }
-  // An owner that is reachable but has no response is not skipped.
+  // An owner that answers without a response is reachable, so later requests do not skip it.
   const bool is_reachable =
       completion.outcome == CallOutcome::not_found || completion.outcome == CallOutcome::overloaded;
   if (!is_reachable) owners_.on_failure(request.owner.member_hash, now);
@@ -56,7 +65,7 @@
 }
 
 void ScatterGather::on_owner_timeout(CallSlot slot, TimePoint now) {
-  actions_.emplace_back(CancelCall{calls_.id_of(slot, CallTable::kOwnerAttempt)});
+  actions_.emplace_back(CancelCall{calls_.call_id(slot, CallTable::kOwnerAttempt)});
   owners_.on_failure(calls_[slot].owner_request.owner.member_hash, now);
   call_without_owner(slot, now);
 }
@@ -70,13 +79,15 @@
 
 // ---- Probes ----
 
-// While the circuit breaker is open one call at a time probes the dependency. No part waits for it: the
-// request that occasioned it falls back at once, and a response is cached for the next one.
+// Starts a probe of the dependency; while the circuit breaker is open, at most one is in flight. No part
+// waits for a probe: the request that triggered it falls back at once, and the response is cached for later
+// requests.
 void ScatterGather::start_probe(std::uint32_t number, const CacheKey& key, const std::string& path,
                                 TimePoint now) {
   if (calls_.find(key) != kNoSlot) return;
   auto& dependency = dependencies_[number];
-  // Calls of a larger share may still be open: the probe waits for them, or the fleet's limit is passed.
+  // Calls started under a larger share may still be in flight. The probe waits until they end; otherwise the
+  // fleet-wide limit would be exceeded.
   if (dependency.spec.fleet_max_in_flight > 0 && !dependency.has_free_slot()) return;
   std::optional<std::uint32_t> endpoint;
   if (view_) {
@@ -94,13 +105,13 @@
   if (endpoint && call.in_use && call.attempt_count > 0) dependency.record_probe(*endpoint, true, now);
 }
 
-// An endpoint that another member found back, else the next of those that are this member's to probe; absent
-// when other members probe all of them.
+// Returns an endpoint that another member reports as recovered, otherwise the next endpoint that this member
+// is responsible for probing; absent when other members probe all endpoints.
 std::optional<std::uint32_t> ScatterGather::choose_endpoint_to_probe(DependencyState& dependency) const {
   const auto slots = std::uint32_t(dependency.endpoints.slot_count());
   std::optional<std::uint32_t> chosen;
-  for (std::uint32_t k = 0; k < slots; ++k) {
-    const auto endpoint = (dependency.next_probed + k) % slots;
+  for (std::uint32_t offset = 0; offset < slots; ++offset) {
+    const auto endpoint = (dependency.next_probed + offset) % slots;
     if (dependency.endpoints.is_removed(endpoint)) continue;
     const auto key = dependency.endpoint_keys[endpoint];
     if (membership::reported_recovered(*view_, key)) {
@@ -118,8 +129,8 @@
   if (!view_) return health;
   for (const auto& dependency : dependencies_) {
     for (const auto& result : dependency.probe_results) {
-      // A "down" of a dependency that this member no longer takes for down would make others wait for probes
-      // that it does not make.
+      // Once the circuit breaker has closed this member sends no more probes. If it still reported the
+      // endpoint as down, the others would wait for the results of those probes.
       const bool is_valid = !result.is_down || dependency.circuit.is_open();
       const bool is_recent = now - result.at < dependency.probe_result_lifetime();
       if (is_valid && is_recent && health.size() < membership::kMaxEndpointHealth)
@@ -146,7 +157,7 @@
   }
 }
 
-// Each member takes its part of the limits that are declared for the whole fleet.
+// Sets this member's share of each limit that is declared for the whole fleet.
 void ScatterGather::divide_fleet_limits() {
   const auto divisor = membership::limit_divisor(view_.get());
   for (std::uint32_t d = 0; d < dependencies_.size(); ++d) {
@@ -161,14 +172,14 @@
 
 // ---- Warm state ----
 
-void ScatterGather::export_state(warm_state::WarmState& to, TimePoint now) const {
+void ScatterGather::export_state(warm_state::WarmState& state, TimePoint now) const {
   for (const auto& dependency : dependencies_) {
     for (std::uint32_t i = 0; i < dependency.endpoints.slot_count(); ++i) {
       const auto stats = dependency.endpoints.stats(i, now);
       if (!stats) continue;
       const auto& address = dependency.endpoints.address(i);
-      to.endpoints.push_back({dependency.spec.name, address.host, address.port, stats->ejected_for,
-                              stats->ejections, stats->latency, stats->sample_age});
+      state.endpoints.push_back({dependency.spec.name, address.host, address.port, stats->ejected_for,
+                                 stats->ejections, stats->latency, stats->sample_age});
     }
   }
   std::size_t bytes = 0;
@@ -179,22 +190,22 @@
     if (!warm_state::is_within_limits(response) || !is_useful) continue;
     bytes += warm_state::size_of(response);
     if (bytes > warm_state::kMaxCachedResponseBytes ||
-        to.cached_responses.size() >= warm_state::kMaxCachedResponses)
+        state.cached_responses.size() >= warm_state::kMaxCachedResponses)
       break;
-    to.cached_responses.push_back(std::move(response));
+    state.cached_responses.push_back(std::move(response));
   }
 }
 
-ScatterGather::Restored ScatterGather::restore(const warm_state::WarmState& from, TimePoint now) {
+ScatterGather::Restored ScatterGather::restore(const warm_state::WarmState& state, TimePoint now) {
   Restored restored;
-  // From the coldest to the hottest, so that the hottest is the newest in the cache.
-  for (auto response = from.cached_responses.rbegin(); response != from.cached_responses.rend(); ++response)
+  // In order from the coldest to the hottest response, so that the hottest is the most recent cache entry.
+  for (auto response = state.cached_responses.rbegin(); response != state.cached_responses.rend(); ++response)
     restored.responses += restore_response(*response, now);
-  for (const auto& endpoint : from.endpoints) restored.endpoints += restore_endpoint(endpoint, now);
+  for (const auto& endpoint : state.endpoints) restored.endpoints += restore_endpoint(endpoint, now);
   return restored;
 }
 
-// The number of responses taken over: 0 or 1.
+// Returns the number of cache entries that were restored from the response.
 std::size_t ScatterGather::restore_response(const warm_state::CachedResponse& response, TimePoint now) {
   std::size_t restored = 0;
   for (std::uint32_t d = 0; d < dependencies_.size(); ++d) {
@@ -202,15 +213,15 @@
     if (response.age < Duration{} || response.age >= loaded_->max_useful_age(d)) continue;
     const auto key = cache_key(d, response.path, hash_seed_);
     const auto answered_at = now - response.age;
-    const auto own = cache_.stored_at(key);
-    if (own && *own >= answered_at) continue;
+    const auto cached_at = cache_.stored_at(key);
+    if (cached_at && *cached_at >= answered_at) continue;
     cache_.insert(key, d, response.path, response.body, answered_at);
     ++restored;
   }
   return restored;
 }
 
-// The number of endpoints taken over: 0 or 1.
+// Returns the number of endpoints whose statistics were restored.
 std::size_t ScatterGather::restore_endpoint(const warm_state::Endpoint& endpoint, TimePoint now) {
   const EndpointSpec address{endpoint.host, endpoint.port};
   const EndpointStats stats{endpoint.ejected_for, endpoint.latency, endpoint.latency_age,
--- a/src/deps/scatter_gather_parts.cpp
+++ b/src/deps/scatter_gather_parts.cpp
@@ -1,5 +1,5 @@
-// ScatterGather, the parts of a gather: from the cache, by a shared call, or by falling back; settling them
-// and ending the gather.
+// The part of ScatterGather that resolves the parts of a gather from the cache, with a shared call, or by
+// falling back; that settles parts, and that ends gathers.
 #include <algorithm>
 #include <utility>
 
@@ -7,6 +7,8 @@
 
 namespace granitegap::deps {
 
+// Expands the path template of the part and resolves it. Without a valid path the part settles without a
+// value.
 void ScatterGather::start_part(GatherSlot slot, std::uint32_t number, TimePoint now) {
   auto& gather = gathers_[slot];
   const auto& spec = gather.spec().parts[number];
@@ -18,9 +20,9 @@
   if (!path_template.expand(variables, path_) || path_.empty())
     return settle_without_value(slot, number, now);
   const auto dependency = gather.loaded->dependency_numbers[spec.dependency];
-  const bool by_owner = guarded_ && dependencies_[dependency].spec.fleet_cache_fill;
-  resolve_part(slot, number, dependency, spec.max_fresh_age, by_owner ? Route::owner_first : Route::direct,
-               now);
+  const bool uses_key_owner = guarded_ && dependencies_[dependency].spec.fleet_cache_fill;
+  resolve_part(slot, number, dependency, spec.max_fresh_age,
+               uses_key_owner ? Route::owner_first : Route::direct, now);
 }
 
 void ScatterGather::resolve_part(GatherSlot slot, std::uint32_t number, std::uint32_t dependency,
@@ -40,8 +42,9 @@
   join_or_start_call(slot, number, dependency, route, now);
 }
 
-// The parts that depend on this one need time too: each step of the longest chain from here on gets an equal
-// share of what is left of the budget.
+// Divides the rest of the budget evenly among the steps of the chain of dependent parts that starts with this
+// part, as the parts that depend on it need time too. Where several parts depend on one, the first is
+// followed.
 TimePoint ScatterGather::part_deadline(const Gather& gather, std::uint32_t number, TimePoint now) const {
   const auto& specs = gather.spec().parts;
   std::int64_t steps = 1;
@@ -57,7 +60,8 @@
   return std::min(deadline, now + timeout);
 }
 
-// False while the path is in the negative cache or the circuit breaker is open; then a probe may start.
+// Returns false while the path is in the negative cache or the circuit breaker is open. In the latter case it
+// may start a probe.
 bool ScatterGather::may_call_now(std::uint32_t number, const CacheKey& key, TimePoint now) {
   if (failures_.contains(key, now)) return false;
   const auto& circuit = dependencies_[number].circuit;
@@ -71,10 +75,10 @@
   auto& gather = gathers_[slot];
   auto& part = gather.parts[number];
   auto call_slot = calls_.find(part.key);
-  const bool joins = call_slot != kNoSlot;
-  // No part waits for a probe: it may take as long as any attempt ever may.
-  if (joins && calls_[call_slot].is_probe) return fall_back(slot, number, now);
-  if (joins) {
+  const bool joins_call = call_slot != kNoSlot;
+  // No part waits for a probe, as a probe may last for the dependency's longest timeout.
+  if (joins_call && calls_[call_slot].is_probe) return fall_back(slot, number, now);
+  if (joins_call) {
     ++counters_.coalesced;
   } else {
     call_slot = calls_.create(dependency, part.key);
@@ -83,11 +87,12 @@
   part.call = call_slot;
   calls_[call_slot].waiters.push_back({slot, number});
   timers_.push(part.deadline, TimerKind::part_deadline, slot, gather.generation, number);
-  if (joins) return;
-  if (route == Route::owner_first && ask_owner(call_slot, part.max_age, now)) return;
+  if (joins_call) return;
+  if (route == Route::owner_first && request_from_owner(call_slot, part.max_age, now)) return;
   admit_call(call_slot, now);
 }
 
+// Settles the part with a stale cached response, its declared default, or no value.
 void ScatterGather::fall_back(GatherSlot slot, std::uint32_t number, TimePoint now) {
   const auto& gather = gathers_[slot];
   const auto max_stale_age = gather.spec().parts[number].max_stale_age;
@@ -119,14 +124,14 @@
                 : status == PartStatus::fallback ? counters_.fallback
                                                  : counters_.absent;
   ++count;
-  // Without a required part the request fails whatever else comes: no more work is put into it.
+  // Without a required part the request fails, whatever the other parts return: the gather ends here.
   if (status == PartStatus::absent && gather.spec().parts[number].required)
     return end_gather(slot, false, now);
   settle_dependent_parts(slot, number, now);
   if (!gather.has_ended && gather.pending == 0) end_gather(slot, true, now);
 }
 
-// The parts that depend on the settled one are started with its value, or settled without one.
+// Starts the parts that depend on the settled part, or settles them without a value if it has none.
 void ScatterGather::settle_dependent_parts(GatherSlot slot, std::uint32_t settled, TimePoint now) {
   auto& gather = gathers_[slot];
   const auto& specs = gather.spec().parts;
@@ -152,7 +157,7 @@
   actions_.emplace_back(GatherEnded{gather.id, required_parts_present});
 }
 
-// The part no longer waits for its call; a call that no part waits for is cancelled.
+// Removes the part from the waiters of its call. Cancels the call when no part waits for it any more.
 void ScatterGather::detach_part(GatherSlot slot, std::uint32_t number, TimePoint now) {
   const auto call_slot = std::exchange(gathers_[slot].parts[number].call, kNoSlot);
   if (call_slot == kNoSlot) return;
