--- a/tests/scatter_gather_fixture.h
+++ b/tests/scatter_gather_fixture.h
@@ -9,19 +9,20 @@
 
 namespace granitegap::deps {
 
-// The statuses of a request's parts; the request must have ended.
-inline std::vector<PartStatus> statuses_of(DependencySimulation& simulation, RequestId id) {
+// Returns the statuses of the parts of a request. Expects that the request has ended.
+inline std::vector<PartStatus> part_statuses(DependencySimulation& simulation, RequestId id) {
   EXPECT_TRUE(simulation.outcomes.count(id));
   return simulation.outcomes[id].parts;
 }
 
-// Every request has ended once and no invariant was violated.
+// Expects that every request has ended exactly once and that no invariant was violated.
 inline void expect_no_violations(const DependencySimulation& simulation) {
   EXPECT_EQ(simulation.pending_requests(), 0u);
   EXPECT_TRUE(simulation.violations.empty()) << *simulation.violations.begin();
 }
 
-// Requests for different objects, one every `interval`, for that long.
+// Sends requests for consecutive objects from `first_obj` on, one every `interval`, for `duration`. Returns
+// their ids.
 inline std::vector<RequestId> send_requests(DependencySimulation& simulation, Duration duration,
                                             Duration interval, std::uint64_t first_obj) {
   std::vector<RequestId> ids;
@@ -32,8 +33,8 @@
   return ids;
 }
 
-// The share of the requests whose parts were all fresh.
-inline double share_complete(DependencySimulation& simulation, const std::vector<RequestId>& ids) {
+// Returns the fraction of the requests whose parts were all fresh.
+inline double complete_fraction(DependencySimulation& simulation, const std::vector<RequestId>& ids) {
   const auto complete = std::count_if(ids.begin(), ids.end(), [&](RequestId id) {
     const auto& parts = simulation.outcomes[id].parts;
     const auto is_fresh = [](PartStatus status) { return status == PartStatus::fresh; };
