--- a/tests/cache_fill_test.cpp
+++ b/tests/cache_fill_test.cpp
@@ -1,4 +1,5 @@
-// Cache filling for the fleet: the choice of a key's owner, and the requests and responses between members.
+// Tests the cache fills of the fleet: the choice of the key owner, and the encoding of requests and
+// responses.
 #include "deps/cache_fill.h"
 
 #include <gtest/gtest.h>
@@ -19,99 +20,103 @@
 
 TEST(KeyOwnerSelector, AllMembersAgreeAndKeysAreSpreadEvenly) {
   constexpr std::size_t kMembers = 8;
-  std::map<std::uint64_t, int> share;
-  std::vector<KeyOwnerSelector> all(kMembers);
-  for (std::size_t n = 0; n < kMembers; ++n) all[n].update_view(simulated_view(n, kMembers));
-  for (int k = 0; k < 800; ++k) {
-    const auto key = cache_fill_key("e", "/" + std::to_string(k));
-    std::set<std::uint64_t> named;
-    for (std::size_t n = 0; n < kMembers; ++n) {
-      const auto o = all[n].find_owner(key, {});
-      named.insert(o ? o->member_hash : simulated_member(n).hash);
+  std::map<std::uint64_t, int> keys_by_owner;
+  std::vector<KeyOwnerSelector> selectors(kMembers);
+  for (std::size_t member = 0; member < kMembers; ++member)
+    selectors[member].update_view(simulated_view(member, kMembers));
+  for (int path = 0; path < 800; ++path) {
+    const auto key = cache_fill_key("e", "/" + std::to_string(path));
+    std::set<std::uint64_t> owners;
+    for (std::size_t member = 0; member < kMembers; ++member) {
+      const auto owner = selectors[member].find_owner(key, {});
+      owners.insert(owner ? owner->member_hash : simulated_member(member).hash);
     }
-    ASSERT_EQ(named.size(), 1u);
-    ++share[*named.begin()];
+    ASSERT_EQ(owners.size(), 1u);
+    ++keys_by_owner[*owners.begin()];
   }
-  for (const auto& [who, keys] : share) EXPECT_NEAR(keys, 100, 40);
-  EXPECT_EQ(share.size(), kMembers);
+  for (const auto& [owner, keys] : keys_by_owner) EXPECT_NEAR(keys, 100, 40);
+  EXPECT_EQ(keys_by_owner.size(), kMembers);
   // When a member leaves, only its keys move.
-  auto less = simulated_view(0, kMembers);
-  less.peers.erase(less.peers.begin() + 2);
-  KeyOwnerSelector after;
-  after.update_view(less);
-  for (int k = 0; k < 800; ++k) {
-    const auto key = cache_fill_key("e", "/" + std::to_string(k));
-    const auto before = all[0].find_owner(key, {});
-    const auto now = after.find_owner(key, {});
+  auto view_after_leave = simulated_view(0, kMembers);
+  view_after_leave.peers.erase(view_after_leave.peers.begin() + 2);
+  KeyOwnerSelector selector_after_leave;
+  selector_after_leave.update_view(view_after_leave);
+  for (int path = 0; path < 800; ++path) {
+    const auto key = cache_fill_key("e", "/" + std::to_string(path));
+    const auto before = selectors[0].find_owner(key, {});
+    const auto after = selector_after_leave.find_owner(key, {});
     if (!before || before->member_hash != simulated_member(3).hash) {
-      EXPECT_EQ(before ? before->member_hash : 0, now ? now->member_hash : 0);
+      EXPECT_EQ(before ? before->member_hash : 0, after ? after->member_hash : 0);
     }
   }
 }
 
 TEST(KeyOwnerSelector, NoOwnerWithAnUnreliableViewOrWithoutEligibleMembers) {
-  const auto asked = [](const std::function<void(View&)>& change) {
-    auto v = simulated_view(0, 3);
-    change(v);
+  // Returns for how many of 100 keys another member is the owner after `change` of the view.
+  const auto keys_with_owner = [](const std::function<void(View&)>& change) {
+    auto view = simulated_view(0, 3);
+    change(view);
     KeyOwnerSelector selector;
-    selector.update_view(v);
-    int n = 0;
-    for (int k = 0; k < 100; ++k)
-      n += selector.find_owner(cache_fill_key("e", std::to_string(k)), {}).has_value();
-    return n;
+    selector.update_view(view);
+    int count = 0;
+    for (int path = 0; path < 100; ++path)
+      count += selector.find_owner(cache_fill_key("e", std::to_string(path)), {}).has_value();
+    return count;
   };
-  EXPECT_GT(asked([](View&) {}), 40);
-  EXPECT_EQ(asked([](View& v) { v.has_quorum = false; }), 0);
-  EXPECT_EQ(asked([](View& v) { v.uncertain = true; }), 0);
-  EXPECT_EQ(asked([](View& v) { v.local_connectivity = membership::LocalConnectivity::inbound_broken; }), 0);
-  EXPECT_EQ(asked([](View& v) { v.name_conflict = true; }), 0);
-  EXPECT_EQ(asked([](View& v) {
-              v.peers[0].metadata.cache_fill_port = 0;
-              v.peers[1].status = Status::suspect;
+  EXPECT_GT(keys_with_owner([](View&) {}), 40);
+  EXPECT_EQ(keys_with_owner([](View& view) { view.has_quorum = false; }), 0);
+  EXPECT_EQ(keys_with_owner([](View& view) { view.uncertain = true; }), 0);
+  EXPECT_EQ(keys_with_owner(
+                [](View& view) { view.local_connectivity = membership::LocalConnectivity::inbound_broken; }),
+            0);
+  EXPECT_EQ(keys_with_owner([](View& view) { view.name_conflict = true; }), 0);
+  EXPECT_EQ(keys_with_owner([](View& view) {
+              view.peers[0].metadata.cache_fill_port = 0;
+              view.peers[1].status = Status::suspect;
             }),
             0);
-  EXPECT_EQ(asked([](View& v) {
-              v.peers[0].metadata.stage = membership::Stage::draining;
-              v.peers[1].certain_status = Status::dead;
+  EXPECT_EQ(keys_with_owner([](View& view) {
+              view.peers[0].metadata.stage = membership::Stage::draining;
+              view.peers[1].certain_status = Status::dead;
             }),
             0);
 }
 
 TEST(KeyOwnerSelector, FailingOwnerIsSkippedWithBackoffUntilItRestarts) {
-  auto v = simulated_view(0, 2);
+  auto view = simulated_view(0, 2);
   KeyOwnerSelector selector;
-  selector.update_view(v);
+  selector.update_view(view);
   std::uint64_t key = 0;
   while (!selector.find_owner(key, {})) ++key;
   TimePoint now(1h);
   selector.on_failure(simulated_member(1).hash, now);
-  selector.on_failure(simulated_member(1).hash,
-                      now);  // a request that was in flight together with the first one
+  // The second failure is that of a request that was in flight at the same time as the first one.
+  selector.on_failure(simulated_member(1).hash, now);
   EXPECT_FALSE(selector.find_owner(key, now + 499ms));
   EXPECT_TRUE(selector.find_owner(key, now + 500ms));
   selector.on_failure(simulated_member(1).hash, now + 500ms);
   EXPECT_FALSE(selector.find_owner(key, now + 1400ms));
-  selector.update_view(v);  // a new view alone does not end the backoff
+  selector.update_view(view);  // a new view alone does not end the backoff
   EXPECT_FALSE(selector.find_owner(key, now + 1400ms));
   EXPECT_TRUE(selector.find_owner(key, now + 1500ms));
   selector.on_failure(simulated_member(1).hash, now + 1500ms);
-  v.peers[0].boot_id = BootId(7);
-  selector.update_view(v);
+  view.peers[0].boot_id = BootId(7);
+  selector.update_view(view);
   EXPECT_EQ(selector.find_owner(key, now + 1500ms)->boot_id, BootId(7));
 }
 
 TEST(CacheFillRequest, RoundTripsAndRejectsMalformedInput) {
-  const CacheFillRequest q{BootId(0xfedcba9876543210), "e.example.org:80", "/e?r=a%20b/c", 10s, 150ms};
-  EXPECT_EQ(parse_request_target(to_request_target(q)), q);
-  for (const char* bad : {"", "/", "/fill/", "/fill/1/2", "/fill/x/1/1/e/p", "/fill/1/-1/1/e/p",
-                          "/fill/1/1/99999999999999999999/e/p", "/fill/1/1/1/e", "/fill/1/1/1//p",
-                          "/fill/1/1/1/e/p q", "/fill/1/1/1/e/p\r\nHost: x", "/other/1/1/1/e/p"})
-    EXPECT_FALSE(parse_request_target(bad)) << bad;
+  const CacheFillRequest request{BootId(0xfedcba9876543210), "e.example.org:80", "/e?r=a%20b/c", 10s, 150ms};
+  EXPECT_EQ(parse_request_target(to_request_target(request)), request);
+  for (const char* malformed : {"", "/", "/fill/", "/fill/1/2", "/fill/x/1/1/e/p", "/fill/1/-1/1/e/p",
+                                "/fill/1/1/99999999999999999999/e/p", "/fill/1/1/1/e", "/fill/1/1/1//p",
+                                "/fill/1/1/1/e/p q", "/fill/1/1/1/e/p\r\nHost: x", "/other/1/1/1/e/p"})
+    EXPECT_FALSE(parse_request_target(malformed)) << malformed;
   EXPECT_FALSE(parse_request_target("/fill/1/1/1/e/" + std::string(5000, 'p')));
   EXPECT_EQ(parse_fill_body(encode_fill_body(3s, "a\nb"))->body, "a\nb");
   EXPECT_EQ(parse_fill_body(encode_fill_body(3s, ""))->age, 3s);
-  for (const char* bad : {"", "5", "-5\nx", "x\nx", "99999999999999999999\nx"})
-    EXPECT_FALSE(parse_fill_body(bad)) << bad;
+  for (const char* malformed : {"", "5", "-5\nx", "x\nx", "99999999999999999999\nx"})
+    EXPECT_FALSE(parse_fill_body(malformed)) << malformed;
 }
 
 }  // namespace
