--- a/src/deps/scatter_gather_fleet.cpp
+++ b/src/deps/scatter_gather_fleet.cpp
@@ -205,7 +205,7 @@
   return restored;
 }
 
-// Returns the number of cache entries that were restored from the response.
+// Returns the number of cache entries that were restored from the response: 0 or 1.
 std::size_t ScatterGather::restore_response(const warm_state::CachedResponse& response, TimePoint now) {
   std::size_t restored = 0;
   for (std::uint32_t d = 0; d < dependencies_.size(); ++d) {
@@ -221,7 +221,7 @@
   return restored;
 }
 
-// Returns the number of endpoints whose statistics were restored.
+// Returns the number of endpoints whose statistics were restored: 0 or 1.
 std::size_t ScatterGather::restore_endpoint(const warm_state::Endpoint& endpoint, TimePoint now) {
   const EndpointSpec address{endpoint.host, endpoint.port};
   const EndpointStats stats{endpoint.ejected_for, endpoint.latency, endpoint.latency_age,
