--- a/src/policy/drain.cpp
+++ b/src/policy/drain.cpp
@@ -1,5 +1,5 @@
 // Requests abandoned by their callers, graceful shutdown (drain), and the limits that the host sets for the
-// whole fleet.
+// entire fleet.
 // Part of the admission controller; see src/policy/controller_state.h and docs/design.md.
 #include <algorithm>
 #include <cmath>
--- a/tests/fake_host.h
+++ b/tests/fake_host.h
@@ -22,7 +22,7 @@
   std::uint64_t seed = 1;
   double arrivals_per_s = 30;
   int steps = 2000;
-  int drain_at = -1;
+  int drain_at = -1;  // step at which a drain starts; negative: none
   int call_ms = 300;
   int callers = 4;
   double open_connections = -1;     // above 0: reported as a constant gauge, and requests wait long unread
