--- a/src/recovery/recovery_controller.cpp
+++ b/src/recovery/recovery_controller.cpp
@@ -167,7 +167,7 @@
 
 // Ends the current step if it is complete, and evaluates it by the runs that ended in it. A step with too few
 // runs still ends after kMaxStepInIdleSteps, because runs may be too long for enough of them to end in one
-// step. It then verifies nothing, and reduces the share only if a run missed its objective.
+// step. Unless it is idle it then verifies nothing, and reduces the share only if a run missed its objective.
 void RecoveryController::end_step(TimePoint now) {
   const auto length = now - step_.began;
   if (length < options_.min_step) return;
@@ -199,8 +199,9 @@
 
 bool RecoveryController::is_calm(TimePoint now) const { return now - calm_since_ >= options_.calm_period; }
 
-// Enters service once the full share is advertised and either no request was rejected for the calm period or
-// the maximum time in slow start has passed. In the second case the bound on waits stays.
+// Enters service once the full share is advertised and either the calm period has passed, without a rejected
+// request and without a partial restart of the fleet, or the maximum time in slow start. In the second case
+// the bound on waits stays.
 void RecoveryController::complete_slow_start(TimePoint now) {
   const bool calm = is_calm(now);
   const bool overdue = now - phase_since_ >= kMaxSlowStartInCalmPeriods * options_.calm_period;
--- a/src/recovery/recovery_controller.h
+++ b/src/recovery/recovery_controller.h
@@ -48,9 +48,10 @@
   double partial_restart_share = 0.2, majority_restart_share = 0.5;
   Duration min_step = std::chrono::milliseconds(300);  // minimum length of a slow-start step
   std::uint32_t min_step_runs = 4;                     // minimum number of runs to evaluate a step
-  double min_success_share = 0.8;                      // of a step's runs that meet their latency objective
-  Duration idle_step = std::chrono::seconds(2);        // length of a step without requests
-  // Time without a rejected request after which the bound on waits is lifted.
+  double min_success_share = 0.8;                // minimum share of a step's runs within their objective
+  Duration idle_step = std::chrono::seconds(2);  // length of a step without requests
+  // Time without a rejected request and without a partial restart of the fleet after which the bound on waits
+  // is lifted.
   Duration calm_period = std::chrono::seconds(3);
   // A longer gap between two ticks counts as a pause (SIGSTOP, a suspended machine), after which warm state
   // is stale.
