--- a/src/membership/digest.cpp
+++ b/src/membership/digest.cpp
@@ -31,16 +31,16 @@
 
 }  // namespace
 
-std::size_t buckets_for(std::size_t members) {
+std::size_t bucket_count_for(std::size_t members) {
   return std::clamp(std::bit_ceil(members / kMembersPerBucket + 1), kMinBuckets, kMaxBuckets);
 }
 
-std::vector<std::uint32_t> digest_of(const Roster& roster, const Record& own, std::size_t buckets,
-                                     std::uint32_t seed) {
+std::vector<std::uint32_t> compute_digest(const Roster& roster, const Record& own, std::size_t buckets,
+                                          std::uint32_t seed) {
   std::vector<std::uint32_t> sums(buckets);
   const auto add = [&](std::uint64_t name, BootId boot_id, Incarnation incarnation, Status status,
                        const MemberMetadata* metadata) {
-    sums[bucket_of(name, buckets)] ^= hash_of(name, boot_id, incarnation, status, metadata, seed);
+    sums[bucket_index(name, buckets)] ^= hash_of(name, boot_id, incarnation, status, metadata, seed);
   };
   if (own.status == Status::alive)
     add(name_hash(own.name), own.boot_id, own.incarnation, own.status,
--- a/src/membership/digest.h
+++ b/src/membership/digest.h
@@ -20,15 +20,15 @@
 
 // The number of buckets for that many members: a power of two within the bounds, for about eight members
 // each.
-std::size_t buckets_for(std::size_t members);
+std::size_t bucket_count_for(std::size_t members);
 // The bucket of a member, of `buckets`, a power of two.
-inline std::size_t bucket_of(std::uint64_t name_hash, std::size_t buckets) {
+inline std::size_t bucket_index(std::uint64_t name_hash, std::size_t buckets) {
   return std::size_t(name_hash >> 32) & (buckets - 1);
 }
 
 // The digest of the members present and of `own`, this member's record. `buckets`: a power of two.
-std::vector<std::uint32_t> digest_of(const Roster& roster, const Record& own, std::size_t buckets,
-                                     std::uint32_t seed);
+std::vector<std::uint32_t> compute_digest(const Roster& roster, const Record& own, std::size_t buckets,
+                                          std::uint32_t seed);
 // The buckets whose sums differ; all where the digests differ in size, as with a member that just joined.
 Buckets differing_buckets(const std::vector<std::uint32_t>& mine, const std::vector<std::uint32_t>& theirs);
 
--- a/src/membership/member_join.cpp
+++ b/src/membership/member_join.cpp
@@ -47,7 +47,7 @@
   const bool known = i != kNoMember;
   SendOptions options;
   options.without_gossip = true;
-  if (known) options.updates.push_back(roster_.record_of(i, false));
+  if (known) options.updates.push_back(roster_.make_record(i, false));
   const auto before = outgoing_.size();
   send(d.from.address, Ack{ping.nonce, kNeverHeard}, std::move(options));
   if (outgoing_.size() == before) return;
--- a/src/membership/member_probe.cpp
+++ b/src/membership/member_probe.cpp
@@ -77,8 +77,8 @@
   for (auto i = roster_.oldest_contact(); started < max && i != kNoMember; i = roster_.next_contact(i)) {
     const auto& e = roster_.at(i);
     if (uncertain) {
-      if (e.status != Status::alive || e.last_heard_at >= partition_detector_.uncertain_since()) continue;
-    } else if (now_ - std::max(e.last_heard_at, e.status_since) < 4 * options_.period) {
+      if (e.status != Status::alive || e.last_received_at >= partition_detector_.uncertain_since()) continue;
+    } else if (now_ - std::max(e.last_received_at, e.status_since) < 4 * options_.period) {
       break;
     }
     if (is_probed(i)) continue;
@@ -88,7 +88,7 @@
   // No probe succeeds: the member heard last shows whether this one is at fault.
   if (local_health_.consecutive_failures() >= 2 && last_sender_ != kNoMember &&
       roster_.is_present(last_sender_) &&
-      now_ - roster_.at(last_sender_).last_heard_at <= 2 * options_.period)
+      now_ - roster_.at(last_sender_).last_received_at <= 2 * options_.period)
     start_probe(last_sender_);
 }
 
@@ -139,7 +139,7 @@
     return;
   }
   e.reachable = false;
-  const bool target_heard = e.last_heard_at >= probe.sent_at - 2 * options_.period;
+  const bool target_heard = e.last_received_at >= probe.sent_at - 2 * options_.period;
   const bool helpers_silent = probe.indirect_requested && probe.helper_replies == 0;
   local_health_.probe_failed(helpers_silent, target_heard);
   update_health();
--- a/src/membership/member_receive.cpp
+++ b/src/membership/member_receive.cpp
@@ -81,7 +81,7 @@
   if (!ping || bytes < kMinStaleAnswered) return;
   SendOptions options;
   options.without_gossip = true;
-  options.updates.push_back(roster_.record_of(i, true));
+  options.updates.push_back(roster_.make_record(i, true));
   send(d.from.address, Ack{ping->nonce, kNeverHeard}, std::move(options));
 }
 
@@ -93,7 +93,7 @@
   const auto* ping = std::get_if<Ping>(&d.body);
   const auto* ack = std::get_if<Ack>(&d.body);
   const bool via_secondary = (ping && ping->secondary_path) || (ack && ack->secondary_path);
-  if (!via_secondary) e.last_heard_at = now_;
+  if (!via_secondary) e.last_received_at = now_;
   if (d.from.incarnation > e.incarnation) apply(alive_record(d.from));
   const bool in_sync = std::holds_alternative<SyncChunk>(d.body);
   for (const auto& record : d.updates) apply(record, false, in_sync);
@@ -109,7 +109,7 @@
   std::uint32_t heard_ms = kNeverHeard;
   const auto origin = ping.origin.empty() ? from : roster_.find(ping.origin);
   if (origin != kNoMember && roster_.at(origin).known)
-    heard_ms = to_clamped_milliseconds(now_ - roster_.at(origin).last_heard_at, kMaxHeardMs);
+    heard_ms = to_clamped_milliseconds(now_ - roster_.at(origin).last_received_at, kMaxHeardMs);
   if (ping.secondary_path) return send_via_secondary(from, Ack{ping.nonce, heard_ms, true});
   if (ping.origin.empty()) roster_.record_contact(from);
   SendOptions options;
@@ -129,7 +129,7 @@
   if (relay == relays_.end()) return;
   // With the incarnation that it answered with: the requester may hold a suspicion that is refuted.
   SendOptions options;
-  options.updates.push_back(roster_.record_of(from, false));
+  options.updates.push_back(roster_.make_record(from, false));
   send(relay->requester, IndirectAck{relay->requester_nonce, relay->target, ack.heard_ms},
        std::move(options));
   relays_.erase(relay);
--- a/src/membership/member_send.cpp
+++ b/src/membership/member_send.cpp
@@ -32,7 +32,7 @@
   d.updates = std::move(options.updates);
   const auto about = options.about;
   if (about != kNoMember && roster_.at(about).known && roster_.at(about).status != Status::alive) {
-    d.updates.push_back(roster_.record_of(about, false));
+    d.updates.push_back(roster_.make_record(about, false));
     if (roster_.at(about).confirmations.has(own_hash_)) d.updates.back().suspected_by = own_hash_;
   }
   const auto used = max_encoded_size(d);
--- a/src/membership/member_suspicion.cpp
+++ b/src/membership/member_suspicion.cpp
@@ -11,7 +11,7 @@
 }  // namespace
 
 void Member::suspect(Index i) {
-  auto record = roster_.record_of(i, false);
+  auto record = roster_.make_record(i, false);
   if (record.status == Status::alive) ++counters_.suspicions;
   record.status = Status::suspect;
   record.suspected_by = own_hash_;
@@ -21,8 +21,8 @@
 
 void Member::set_suspicion_deadline(Index i) {
   auto& e = roster_.at(i);
-  const auto times = suspicion_times(options_, roster_.present() + 1);
-  auto time = suspicion_time(times, e.confirmations.confirmed(), options_.confirmations);
+  const auto times = suspicion_timeouts(options_, roster_.present() + 1);
+  auto time = suspicion_timeout(times, e.confirmations.confirmed(), options_.confirmations);
   // A member whose own health is poor gives others more time.
   if (!options_.baseline_mode) time *= local_health_.multiplier();
   e.suspicion_deadline = e.status_since + time;
@@ -78,12 +78,13 @@
   send_about(i, Ping{ping_nonce, e.name, {}});
   ping_via_secondary(i, ping_nonce);
   for (const auto helper : select_helpers(i, options_.indirect_probes))
-    send_about(helper, PingRequest{ping_nonce, e.name, e.address}, {roster_.record_of(i, false, own_hash_)});
+    send_about(helper, PingRequest{ping_nonce, e.name, e.address},
+               {roster_.make_record(i, false, own_hash_)});
 }
 
 void Member::declare_dead(Index i) {
   ++counters_.deaths;
-  auto record = roster_.record_of(i, false);
+  auto record = roster_.make_record(i, false);
   record.status = Status::dead;
   record.suspected_by = own_hash_;
   apply(record, true);
--- a/src/membership/member_sync.cpp
+++ b/src/membership/member_sync.cpp
@@ -28,14 +28,14 @@
 void Member::request_sync(Index with) {
   ++counters_.sync_requests;
   const auto seed = nonce();
-  auto sums = digest_of(roster_, own_record(true), buckets_for(roster_.present()), seed);
+  auto sums = compute_digest(roster_, own_record(true), bucket_count_for(roster_.present()), seed);
   send_about(with, SyncRequest{seed, true, std::move(sums)});
 }
 
 void Member::handle(const SyncRequest& request, const Datagram& d, Index) {
   if (outgoing_syncs_.size() >= kMaxOutgoingSyncs) return;
   const auto buckets = request.sums.empty() ? kMinBuckets : request.sums.size();
-  auto own_sums = digest_of(roster_, own_record(true), buckets, request.nonce);
+  auto own_sums = compute_digest(roster_, own_record(true), buckets, request.nonce);
   const auto wanted = differing_buckets(own_sums, request.sums);
   if (wanted.none()) {  // equal views: one empty chunk says so
     if (request.push) send(d.from.address, SyncChunk{request.nonce, 0, true});
@@ -76,12 +76,12 @@
     records.push_back(std::move(record));
     return true;
   };
-  const auto wanted = [&](std::uint64_t hash) { return sync.wanted[bucket_of(hash, sync.bucket_count)]; };
+  const auto wanted = [&](std::uint64_t hash) { return sync.wanted[bucket_index(hash, sync.bucket_count)]; };
   if (sync.next_chunk == 0 && wanted(own_hash_)) add(own_record(true));
   for (; sync.next_member < roster_.slot_count(); ++sync.next_member) {
     const auto& e = roster_.at(sync.next_member);
     if (!e.known || !wanted(e.hash)) continue;
-    if (!add(roster_.record_of(sync.next_member, true))) break;
+    if (!add(roster_.make_record(sync.next_member, true))) break;
   }
   return records;
 }
--- a/src/membership/member_updates.cpp
+++ b/src/membership/member_updates.cpp
@@ -47,7 +47,7 @@
     case MergeResult::died:
       return notify(ChangeKind::died, e.name, detected_locally);
     case MergeResult::left:
-      partition_detector_.report_heard(e.hash);
+      partition_detector_.report_not_silent(e.hash);
       return notify(ChangeKind::left, e.name, detected_locally);
     case MergeResult::metadata_updated:
       return notify(ChangeKind::metadata_updated, e.name, detected_locally);
@@ -61,7 +61,7 @@
   const auto& e = roster_.at(i);
   const bool joined = merged == MergeResult::joined;
   const bool refuted = merged == MergeResult::refuted;
-  partition_detector_.report_heard(e.hash);
+  partition_detector_.report_not_silent(e.hash);
   if (!refuted || before != Status::alive) {
     const auto kind = joined ? ChangeKind::joined : refuted ? ChangeKind::refuted : ChangeKind::restarted;
     notify(kind, e.name, detected_locally);
--- a/src/membership/partition_detector.h
+++ b/src/membership/partition_detector.h
@@ -28,7 +28,7 @@
   // `member` (name_hash()) became a suspect.
   void report_silent(std::uint64_t member, TimePoint now);
   // `member` is alive, or has left.
-  void report_heard(std::uint64_t member) { silent_.erase(member); }
+  void report_not_silent(std::uint64_t member) { silent_.erase(member); }
   // The fault was this member's own: silences reported so far don't count.
   void discard_silences() { silent_.clear(); }
   // Members that the quorum is counted of, and those of them alive, this one included.
--- a/src/membership/roster.cpp
+++ b/src/membership/roster.cpp
@@ -78,7 +78,7 @@
   free_.push_back(i);
 }
 
-Record Roster::record_of(Index i, bool with_metadata, std::uint64_t suspected_by) const {
+Record Roster::make_record(Index i, bool with_metadata, std::uint64_t suspected_by) const {
   const auto& e = entries_[i];
   Record r{e.name, e.address, e.boot_id, e.incarnation, e.status, 0, 0, std::nullopt};
   if (e.status == Status::suspect) r.suspected_by = suspected_by ? suspected_by : e.confirmations.first();
@@ -123,7 +123,7 @@
   e.status = r.status;
   e.known = true;
   e.status_since = now;
-  e.last_heard_at = now;
+  e.last_received_at = now;
   if (r.metadata) e.metadata = *r.metadata;
   index_[e.hash] = i;
   count(e, 1);
@@ -137,7 +137,7 @@
   if (r.incarnation <= e.incarnation) return MergeResult::ignored;
   set_status(i, Status::alive, now);
   e.status_since = now;
-  e.last_heard_at = now;
+  e.last_received_at = now;
   e.boot_id = r.boot_id;
   e.incarnation = r.incarnation;
   e.address = r.address;
--- a/src/membership/roster.h
+++ b/src/membership/roster.h
@@ -37,7 +37,7 @@
   MemberMetadata metadata;
   TimePoint status_since{};
   TimePoint suspicion_deadline{};    // of a suspect
-  TimePoint last_heard_at{};         // directly
+  TimePoint last_received_at{};      // directly
   std::int64_t clock_offset_ms = 0;  // least seen of (own clock - its sent_ms)
   TimePoint last_timely_at{};        // when its last datagram arrived that was not late
   RoundTrip round_trip;
@@ -73,7 +73,7 @@
   const MemberState& at(Index i) const { return entries_[i]; }
   void set_status(Index i, Status status, TimePoint now);
   // What is known of it as an update. `suspected_by` replaces the first member that suspects it.
-  Record record_of(Index i, bool with_metadata, std::uint64_t suspected_by = 0) const;
+  Record make_record(Index i, bool with_metadata, std::uint64_t suspected_by = 0) const;
   // Removes dead members and those that left, after Options::tombstone_ttl or over Options::max_tombstones;
   // calls `on_remove(Index)` before each. With `may_shrink` dead ones leave the quorum base in time.
   template <class OnRemove>
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -12,13 +12,13 @@
 
 namespace granitegap::membership {
 
-struct SuspicionTimes {
+struct SuspicionTimeouts {
   Duration min{}, max{};
 };
 // The bounds for a fleet of that many members.
-SuspicionTimes suspicion_times(const Options& options, std::size_t fleet);
+SuspicionTimeouts suspicion_timeouts(const Options& options, std::size_t fleet);
 // The timeout within `times` after `confirmed` of `required` confirmations.
-Duration suspicion_time(const SuspicionTimes& times, unsigned confirmed, unsigned required);
+Duration suspicion_timeout(const SuspicionTimeouts& times, unsigned confirmed, unsigned required);
 
 // The members that suspect one member, each once, by name_hash().
 class SuspicionConfirmations {
--- a/src/membership/views.cpp
+++ b/src/membership/views.cpp
@@ -11,7 +11,7 @@
 
 // What the health checker reports of it; null where that is this member, or it reports nothing.
 const EndpointHealth* report_of_health_checker(const View& v, std::uint64_t endpoint) {
-  const auto checker = health_checker_of(v, endpoint);
+  const auto checker = select_health_checker(v, endpoint);
   for (const auto& p : v.peers)
     if (p.hash == checker)
       for (const auto& f : p.metadata.endpoint_health)
@@ -67,7 +67,7 @@
   return base + Duration(std::int64_t(window * std::clamp(random, 0.0, 1.0)));
 }
 
-std::uint64_t health_checker_of(const View& v, std::uint64_t endpoint) {
+std::uint64_t select_health_checker(const View& v, std::uint64_t endpoint) {
   std::uint64_t best = v.own_hash, best_score = rendezvous_score(v.own_hash, endpoint);
   for (const auto& p : v.peers) {
     if (!is_available(p)) continue;
--- a/src/membership/views.h
+++ b/src/membership/views.h
@@ -58,7 +58,7 @@
 // Which member makes the health checks of an endpoint for the whole fleet while its dependency is
 // unavailable: the highest rendezvous_score() of this one and the available ones. Members of equal views
 // agree, and when one goes only its endpoints move. `endpoint`: name_hash() of dependency and address.
-std::uint64_t health_checker_of(const View& view, std::uint64_t endpoint);
+std::uint64_t select_health_checker(const View& view, std::uint64_t endpoint);
 // Whether this member is to check it itself: as the health checker; or because the view is not reliable, or
 // the health checker does not report that it checks (it may see no outage, or have no traffic).
 bool should_health_check(const View& view, std::uint64_t endpoint);
--- a/tests/membership_digest_test.cpp
+++ b/tests/membership_digest_test.cpp
@@ -29,7 +29,7 @@
     roster.merge(r, TimePoint(std::chrono::seconds(1)), i);
   }
   std::vector<std::uint32_t> digest(const Record& own, std::uint32_t seed = 7) const {
-    return digest_of(roster, own, 32, seed);
+    return compute_digest(roster, own, 32, seed);
   }
 };
 
@@ -46,7 +46,7 @@
     b.take(change);
     const auto d = differing_buckets(a.digest(record(999)), b.digest(record(999)));
     EXPECT_EQ(d.count(), 1u) << change.name;
-    EXPECT_TRUE(d[bucket_of(name_hash(change.name), 32)]);
+    EXPECT_TRUE(d[bucket_index(name_hash(change.name), 32)]);
   }
 }
 
@@ -83,9 +83,9 @@
 
 TEST(Digest, WhoKnowsNothingWantsEverything) {
   EXPECT_TRUE(differing_buckets({1, 2, 3, 4, 5, 6, 7, 8}, {}).all());
-  EXPECT_EQ(buckets_for(0), kMinBuckets);
-  EXPECT_EQ(buckets_for(100), 16u);
-  EXPECT_EQ(buckets_for(100000), kMaxBuckets);
+  EXPECT_EQ(bucket_count_for(0), kMinBuckets);
+  EXPECT_EQ(bucket_count_for(100), 16u);
+  EXPECT_EQ(bucket_count_for(100000), kMaxBuckets);
 }
 
 }  // namespace
--- a/tests/membership_views_test.cpp
+++ b/tests/membership_views_test.cpp
@@ -46,7 +46,7 @@
   auto less = v;
   less.peers[7].status = Status::dead;
   for (std::uint64_t d = 1; d <= 200; ++d) {
-    const auto before = health_checker_of(v, d), after = health_checker_of(less, d);
+    const auto before = select_health_checker(v, d), after = select_health_checker(less, d);
     if (before == v.peers[7].hash)
       ++moved;
     else
@@ -56,7 +56,7 @@
     auto other = v;
     other.own_hash = v.peers[0].hash;
     other.peers[0].hash = v.own_hash;
-    EXPECT_EQ(health_checker_of(other, d), before);
+    EXPECT_EQ(select_health_checker(other, d), before);
   }
   EXPECT_GT(moved, 0u);
   EXPECT_LT(moved, 40u);
@@ -65,8 +65,8 @@
 TEST(Views, WithoutAMajorityEachProbesAlone) {
   auto v = fleet(5);
   std::uint64_t d = 1;
-  while (health_checker_of(v, d) == v.own_hash) ++d;
-  const auto chosen = health_checker_of(v, d);
+  while (select_health_checker(v, d) == v.own_hash) ++d;
+  const auto chosen = select_health_checker(v, d);
   EXPECT_TRUE(should_health_check(v, d));  // the chosen one says nothing of it
   for (auto& p : v.peers)
     if (p.hash == chosen) p.metadata.endpoint_health = {{d, true}};
--- a/tools/fleet/health_check_simulation.cpp
+++ b/tools/fleet/health_check_simulation.cpp
@@ -133,7 +133,7 @@
     view.peers.push_back(std::move(peer));
   }
   const auto endpoint = std::string(kDependency) + " 127.0.0.1 " + std::to_string(kFirstPort);
-  const auto prober = membership::health_checker_of(view, membership::name_hash(endpoint));
+  const auto prober = membership::select_health_checker(view, membership::name_hash(endpoint));
   for (auto& server : servers_)
     if (membership::name_hash(server.name) == prober) server.is_alive = false;
 }
