--- a/src/membership/datagram.cpp
+++ b/src/membership/datagram.cpp
@@ -7,37 +7,44 @@
 namespace granitegap::membership {
 namespace {
 
-// Fixed parts, each with its tag: eight-byte numbers take 9, small ones up to 6, an address 27, the framing
-// of a message inside another 3.
-constexpr std::size_t kFixed64 = 9, kSmall = 6, kAddress = 27, kFrame = 3;
-constexpr std::size_t kEnvelope = 12 + 2 + kMaxNameBytes;  // magic, version, checksum; the cluster's name
+// Maximum encoded sizes in bytes, field tag included: 9 for a 64-bit number, 6 for a smaller number, 27 for
+// an address, 3 for the tag and length of a nested message.
+constexpr std::size_t kFixed64Bytes = 9, kNumberBytes = 6, kAddressBytes = 27, kFrameBytes = 3;
+// Magic, version and checksum; then the cluster's name.
+constexpr std::size_t kEnvelopeBytes = 12 + 2 + kMaxNameBytes;
 
-std::size_t text_size(const std::string& s) { return 3 + s.size(); }
+std::size_t max_string_size(const std::string& text) { return 3 + text.size(); }
 
 std::size_t max_encoded_size(const MemberMetadata& metadata) {
-  return kFrame + kSmall * 4 + 2 * kFixed64 + text_size(metadata.zone) +
-         (metadata.conflicting_address ? kAddress : 0) + (metadata.secondary_address ? kAddress : 0) +
-         (metadata.recovery_status == RecoveryStatus{} ? 0 : kFrame + 4 * kSmall) +
-         (metadata.cache_fill_port ? kSmall : 0) + metadata.links.size() * (kFrame + kFixed64 + 2) +
-         metadata.endpoint_health.size() * (kFrame + kFixed64 + 2);
+  return kFrameBytes + kNumberBytes * 4 + 2 * kFixed64Bytes + max_string_size(metadata.zone) +
+         (metadata.conflicting_address ? kAddressBytes : 0) +
+         (metadata.secondary_address ? kAddressBytes : 0) +
+         (metadata.recovery_status == RecoveryStatus{} ? 0 : kFrameBytes + 4 * kNumberBytes) +
+         (metadata.cache_fill_port ? kNumberBytes : 0) +
+         metadata.links.size() * (kFrameBytes + kFixed64Bytes + 2) +
+         metadata.endpoint_health.size() * (kFrameBytes + kFixed64Bytes + 2);
 }
 
 }  // namespace
 
-std::size_t max_encoded_size(const Record& r) {
-  return kFrame + text_size(r.name) + kAddress + 3 * kFixed64 + 2 * kSmall +
-         (r.metadata ? max_encoded_size(*r.metadata) : 0);
+std::size_t max_encoded_size(const Record& record) {
+  return kFrameBytes + max_string_size(record.name) + kAddressBytes + 3 * kFixed64Bytes + 2 * kNumberBytes +
+         (record.metadata ? max_encoded_size(*record.metadata) : 0);
 }
 
-std::size_t max_encoded_size(const Datagram& d) {
-  std::size_t sum = kEnvelope + kFrame + text_size(d.from.name) + kAddress + 2 * kFixed64 + kSmall;
-  sum += kFrame + 3 * kSmall + kFixed64;
-  if (const auto* ping = std::get_if<Ping>(&d.body)) sum += text_size(ping->target) + text_size(ping->origin);
-  if (const auto* request = std::get_if<PingRequest>(&d.body)) sum += text_size(request->target) + kAddress;
-  if (const auto* indirect = std::get_if<IndirectAck>(&d.body)) sum += text_size(indirect->target);
-  if (const auto* request = std::get_if<SyncRequest>(&d.body)) sum += 3 + 4 * request->sums.size();
-  for (const auto& r : d.updates) sum += max_encoded_size(r);
-  return sum + (d.padding ? 3 + d.padding : 0);
+std::size_t max_encoded_size(const Datagram& datagram) {
+  std::size_t size = kEnvelopeBytes + kFrameBytes + max_string_size(datagram.from.name) + kAddressBytes +
+                     2 * kFixed64Bytes + kNumberBytes;
+  size += kFrameBytes + 3 * kNumberBytes + kFixed64Bytes;
+  if (const auto* ping = std::get_if<Ping>(&datagram.body))
+    size += max_string_size(ping->target) + max_string_size(ping->origin);
+  if (const auto* request = std::get_if<PingRequest>(&datagram.body))
+    size += max_string_size(request->target) + kAddressBytes;
+  if (const auto* indirect = std::get_if<IndirectAck>(&datagram.body))
+    size += max_string_size(indirect->target);
+  if (const auto* request = std::get_if<SyncRequest>(&datagram.body)) size += 3 + 4 * request->sums.size();
+  for (const auto& record : datagram.updates) size += max_encoded_size(record);
+  return size + (datagram.padding ? 3 + datagram.padding : 0);
 }
 
 std::uint64_t name_hash(std::string_view name) {
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -1,7 +1,7 @@
-// What members of a fleet know of each other: values only, no socket and no clock.
+// Values that members of a fleet exchange about each other; no socket and no clock.
 //
-// Terms are those of SWIM (Das, Gupta, Motivala, DSN 2002) and of Lifeguard (Dadgar, Phillips, Currey, DSN-W
-// 2018): incarnation, suspicion, refutation, indirect probe, local health.
+// The terms are those of SWIM (Das, Gupta, Motivala, DSN 2002) and of Lifeguard (Dadgar, Phillips, Currey,
+// DSN-W 2018): incarnation, suspicion, refutation, indirect probe, local health.
 #pragma once
 #include <array>
 #include <chrono>
@@ -16,7 +16,7 @@
 
 namespace granitegap::membership {
 
-// A numeric UDP address; an IPv4 one is in the first four bytes. Without a port there is none.
+// A numeric UDP address; an IPv4 address is in the first four bytes. Port 0 means that there is no address.
 struct Address {
   std::array<std::uint8_t, 16> ip{};
   std::uint16_t port = 0;
@@ -25,26 +25,28 @@
   explicit operator bool() const { return port != 0; }
 };
 
-// Orders updates about one member (SWIM section 4.2): only the member itself raises it, to refute a
-// suspicion. Each process of a name starts above all it has learned of earlier ones.
+// Orders updates about one member (SWIM section 4.2). Only the member itself raises it, to refute a
+// suspicion. Each process starts above all incarnations that it knows of earlier processes with the same
+// name.
 using Incarnation = std::uint64_t;
-// Drawn at random by each process: tells two processes of one name apart even where a clock went back.
+// Random number drawn by each process: distinguishes two processes with the same name even if a clock went
+// back.
 enum class BootId : std::uint64_t {};
 
-// What a member is in the view of another, in the order of precedence within one incarnation.
+// Status of a member in the view of another, in the order of precedence within one incarnation.
 enum class Status : std::uint8_t { alive, suspect, dead, left };
-// The stage of its lifecycle that a member reports of itself.
+// Stage of its lifecycle that a member reports about itself.
 enum class Stage : std::uint8_t { starting, warming_up, serving, draining, leaving };
 
-// One direction of the direct link between the reporting member and `peer` that fails.
+// A direction that fails of the direct link between the reporting member and `peer`.
 struct LinkFault {
   std::uint64_t peer = 0;  // name_hash()
   bool inbound = false;    // true: datagrams of the peer don't arrive
   bool operator==(const LinkFault&) const = default;
 };
 
-// The result of health checks that the reporting member makes of an endpoint of a dependency: reported while
-// the endpoint is unavailable, and for a while after it recovered.
+// Result of the reporting member's health checks of an endpoint of a dependency. Reported while the endpoint
+// is unavailable, and for some time after it recovered.
 struct EndpointHealth {
   std::uint64_t endpoint = 0;  // name_hash() of the dependency's name and the address
   bool unavailable = false;
@@ -57,47 +59,47 @@
 
 // The recovery of a member after a restart (recovery/recovery_controller.h).
 struct RecoveryStatus {
-  std::uint8_t phase = 0;              // the controller's phase and one; 0: recovery is not controlled
-  std::uint8_t offered_percent = 100;  // of the capacity that it would announce
-  std::uint16_t donor_port = 0;        // TCP, on its advertised address: serves warm state; 0: does not
-  std::uint32_t full_service_ms = 0;   // that the last recovery took to full service; 0: not there yet
+  std::uint8_t phase = 0;              // the recovery controller's phase plus one; 0: there is no controller
+  std::uint8_t offered_percent = 100;  // of the capacity that it announces at full service
+  std::uint16_t donor_port = 0;        // TCP port on its advertised address that serves warm state; 0: none
+  std::uint32_t full_service_ms = 0;   // duration of the last recovery up to full service; 0: not reached yet
   bool operator==(const RecoveryStatus&) const = default;
 };
 
-// What a member publishes of itself; a higher version replaces a lower one within one process.
+// What a member publishes about itself. A higher version replaces a lower one of the same process.
 struct MemberMetadata {
   std::uint32_t version = 0;
   Stage stage = Stage::starting;
   std::uint8_t warmup_percent = 0, pressure_percent = 0;
-  std::uint64_t boot_incarnation = 0;  // the incarnation with which this process began
+  std::uint64_t boot_incarnation = 0;  // incarnation with which this process started
   std::string zone;
-  Address conflicting_address;  // of another process under its name, where there is one
+  Address conflicting_address;  // of another process with the same name, where there is one
   Address secondary_address;    // on a second network path, where it has one
   RecoveryStatus recovery_status;
-  std::uint16_t cache_fill_port = 0;  // TCP, on its advertised address: fills keys for others; 0: does not
-  BootId superseded_boot_id{};        // of an earlier process that this one has superseded
+  std::uint16_t cache_fill_port = 0;  // TCP port on its advertised address for cache fills by others; 0: none
+  BootId superseded_boot_id{};        // of an earlier process that this one superseded
   std::vector<LinkFault> links;
   std::vector<EndpointHealth> endpoint_health;
   bool operator==(const MemberMetadata&) const = default;
 };
 
-// One update about one member, as datagrams carry it.
+// One update about one member, as carried by datagrams.
 struct Record {
   std::string name;
   Address address;
   BootId boot_id{};
   Incarnation incarnation = 0;
   Status status = Status::alive;
-  std::uint64_t suspected_by = 0;  // of a suspect or dead member: name_hash() of the member that suspects it
-  std::uint32_t age_ms = 0;  // since it was first sent, as far as the members that forwarded it can tell
+  std::uint64_t suspected_by = 0;  // name_hash() of the member that suspects a suspect or dead one
+  std::uint32_t age_ms = 0;        // since it was first sent, as measured by the members that forwarded it
   std::optional<MemberMetadata> metadata;
   bool operator==(const Record&) const = default;
 };
 
-// XXH3 of the name, never 0: the same in every process.
+// Returns the XXH3 hash of the name, never 0; it is the same in every process.
 std::uint64_t name_hash(std::string_view name);
 
-// The enumerator as it is printed.
+// Returns the value as printed in logs and status output.
 const char* text_of(Status status);
 const char* text_of(Stage stage);
 
