--- a/src/membership/digest.cpp
+++ b/src/membership/digest.cpp
@@ -10,23 +10,23 @@
 
 constexpr std::size_t kMembersPerBucket = 8;
 
-std::uint32_t hash_of(std::uint64_t name, BootId boot_id, Incarnation incarnation, Status status,
-                      const MemberMetadata* metadata, std::uint32_t seed) {
-  std::array<std::uint64_t, 7> what{
+std::uint32_t hash_member(std::uint64_t name, BootId boot_id, Incarnation incarnation, Status status,
+                          const MemberMetadata* metadata, std::uint32_t seed) {
+  std::array<std::uint64_t, 7> fields{
       name, std::uint64_t(boot_id), incarnation, std::uint64_t(status) << 48, 0, 0, 0};
   if (metadata) {
-    what[3] |= std::uint64_t(metadata->stage) | std::uint64_t(metadata->conflicting_address.port) << 8 |
-               std::uint64_t(metadata->secondary_address.port) << 24;
-    // Without offered_percent: it changes in steps, and the last one comes with a new phase.
-    what[6] = std::uint64_t(metadata->recovery_status.phase) |
-              std::uint64_t(metadata->recovery_status.donor_port) << 8 |
-              std::uint64_t(metadata->recovery_status.full_service_ms) << 24;
-    what[4] = metadata->cache_fill_port;
-    for (const auto& l : metadata->links) what[4] += (l.peer ^ l.inbound) * 0x9e3779b97f4a7c15ull;
-    for (const auto& f : metadata->endpoint_health)
-      what[5] += (f.endpoint ^ f.unavailable) * 0x9e3779b97f4a7c15ull;
+    fields[3] |= std::uint64_t(metadata->stage) | std::uint64_t(metadata->conflicting_address.port) << 8 |
+                 std::uint64_t(metadata->secondary_address.port) << 24;
+    // offered_percent is left out: it changes in steps, and the last step comes with a new phase.
+    fields[6] = std::uint64_t(metadata->recovery_status.phase) |
+                std::uint64_t(metadata->recovery_status.donor_port) << 8 |
+                std::uint64_t(metadata->recovery_status.full_service_ms) << 24;
+    fields[4] = metadata->cache_fill_port;
+    for (const auto& link : metadata->links) fields[4] += (link.peer ^ link.inbound) * 0x9e3779b97f4a7c15ull;
+    for (const auto& health : metadata->endpoint_health)
+      fields[5] += (health.endpoint ^ health.unavailable) * 0x9e3779b97f4a7c15ull;
   }
-  return std::uint32_t(XXH3_64bits_withSeed(what.data(), sizeof what, seed));
+  return std::uint32_t(XXH3_64bits_withSeed(fields.data(), sizeof fields, seed));
 }
 
 }  // namespace
@@ -40,23 +40,24 @@
   std::vector<std::uint32_t> sums(buckets);
   const auto add = [&](std::uint64_t name, BootId boot_id, Incarnation incarnation, Status status,
                        const MemberMetadata* metadata) {
-    sums[bucket_index(name, buckets)] ^= hash_of(name, boot_id, incarnation, status, metadata, seed);
+    sums[bucket_index(name, buckets)] ^= hash_member(name, boot_id, incarnation, status, metadata, seed);
   };
   if (own.status == Status::alive)
     add(name_hash(own.name), own.boot_id, own.incarnation, own.status,
         own.metadata ? &*own.metadata : nullptr);
   for (auto i = roster.oldest_contact(); i != kNoMember; i = roster.next_contact(i)) {
-    const auto& e = roster.at(i);
-    add(e.hash, e.boot_id, e.incarnation, e.status, e.metadata.version ? &e.metadata : nullptr);
+    const auto& member = roster.at(i);
+    add(member.hash, member.boot_id, member.incarnation, member.status,
+        member.metadata.version ? &member.metadata : nullptr);
   }
   return sums;
 }
 
-Buckets differing_buckets(const std::vector<std::uint32_t>& mine, const std::vector<std::uint32_t>& theirs) {
-  Buckets b;
-  if (mine.size() != theirs.size() || mine.size() > kMaxBuckets) return b.set();
-  for (std::size_t i = 0; i < mine.size(); ++i) b[i] = mine[i] != theirs[i];
-  return b;
+Buckets differing_buckets(const std::vector<std::uint32_t>& own, const std::vector<std::uint32_t>& other) {
+  Buckets differing;
+  if (own.size() != other.size() || own.size() > kMaxBuckets) return differing.set();
+  for (std::size_t i = 0; i < own.size(); ++i) differing[i] = own[i] != other[i];
+  return differing;
 }
 
 }  // namespace granitegap::membership
