--- a/src/membership/fleet_limit.cpp
+++ b/src/membership/fleet_limit.cpp
@@ -11,15 +11,15 @@
     case LimitDivisorReason::no_view:
       return "no view of the fleet yet";
     case LimitDivisorReason::not_admitted:
-      return "the others have not all heard of this process yet";
+      return "this process is not yet known to all other members";
     case LimitDivisorReason::unsettled:
-      return "the fleet is not settled yet";
+      return "the number of members is not settled yet";
     case LimitDivisorReason::members_alive:
       return "members alive";
-    case LimitDivisorReason::members_gone:
-      return "members alive, and gone ones that may still run";
+    case LimitDivisorReason::members_possibly_running:
+      return "members alive and unreachable members that may still run";
     case LimitDivisorReason::view_uncertain:
-      return "view uncertain";
+      return "at least the agreed fleet size, as the view is uncertain or has no quorum";
   }
   return "unknown";
 }
@@ -33,7 +33,7 @@
   LimitDivisor divisor{1 + std::size_t(alive), view->limit_reserved, LimitDivisorReason::members_alive};
   if (*view->limit_holders > divisor.members) {
     divisor.members = *view->limit_holders;
-    divisor.reason = LimitDivisorReason::members_gone;
+    divisor.reason = LimitDivisorReason::members_possibly_running;
   }
   const bool is_certain = view->has_quorum && !view->uncertain;
   if (!is_certain) {
--- a/src/membership/fleet_limit.h
+++ b/src/membership/fleet_limit.h
@@ -1,4 +1,4 @@
-// How a limit that is declared for the whole fleet is divided among its members.
+// Division of a limit that is declared for the whole fleet into shares of its members.
 //
 // Values and pure functions. Threads: any. No errors.
 #pragma once
@@ -9,29 +9,31 @@
 
 struct View;
 
-// Why a limit is divided by so many.
+// How the divisor of a limit was determined.
 enum class LimitDivisorReason : std::uint8_t {
-  no_view,         // nothing is known of the fleet yet
-  not_admitted,    // the others have not all heard of this process: it takes nothing
-  unsettled,       // started, cut off or stopped not long ago: others may be there
-  members_alive,   // the members that are alive
-  members_gone,    // and such that are not, but may still run
-  view_uncertain,  // the agreed fleet, as the view is uncertain or has no quorum
+  no_view,                   // there is no view of the fleet yet
+  not_admitted,              // not all other members know this process yet: it takes no share
+  unsettled,                 // started, isolated or paused recently: there may be members not yet known
+  members_alive,             // the number of members alive
+  members_possibly_running,  // members alive, and others that may still run
+  view_uncertain,            // at least the agreed fleet size: the view is uncertain or has no quorum
 };
-// The reason as it is printed.
+// Returns the reason as printed in logs.
 const char* text_of(LimitDivisorReason reason);
 
-// What a limit is divided by.
+// The divisor of a fleet-wide limit.
 struct LimitDivisor {
-  std::size_t members = 0;   // this one included; 0: unknown
-  std::size_t reserved = 0;  // attempts kept back for members that were removed and may still run
+  // Members that share the limit, this one included; 0: unknown.
+  std::size_t members = 0;
+  // Attempts reserved for removed members that may still run, one for each.
+  std::size_t reserved = 0;
   LimitDivisorReason reason = LimitDivisorReason::no_view;
   bool operator==(const LimitDivisor&) const = default;
 };
 
-// Null: no view yet.
+// Returns the divisor that follows from `view`; null means that there is no view yet.
 LimitDivisor limit_divisor(const View* view);
-// This member's part of the limit: never less than 1, but 0 for one that is not admitted.
+// Returns this member's share of `limit`: at least 1, but 0 where this member is not admitted.
 std::uint32_t share_of_limit(std::uint32_t limit, const LimitDivisor& divisor);
 
 }  // namespace granitegap::membership
--- a/src/membership/limit_holders.cpp
+++ b/src/membership/limit_holders.cpp
@@ -8,8 +8,8 @@
     in_minority_since_.reset();
   else if (!in_minority_since_)
     in_minority_since_ = now;
-  const bool is_cut_off = in_minority_since_ && now - *in_minority_since_ >= trust_time();
-  if (is_cut_off) {
+  const bool is_isolated = in_minority_since_ && now - *in_minority_since_ >= isolation_timeout();
+  if (is_isolated) {
     count_.reset();
     window_began_at_.reset();
     return before != count_;
@@ -33,7 +33,7 @@
 }
 
 void LimitHolders::on_pause(Duration pause) {
-  if (pause < trust_time()) return;
+  if (pause < isolation_timeout()) return;
   count_.reset();
   window_began_at_.reset();
 }
