--- a/src/membership/local_health.h
+++ b/src/membership/local_health.h
@@ -2,15 +2,12 @@
 // members.
 //
 // - Pause: a wake-up that is late by more than half a period. Probes that timed out during a pause do not
-// count,
-//   and no member is suspected during the grace period that follows.
+//   count, and no member is suspected during the grace period that follows.
 // - Health multiplier: lengthens this member's timeouts after pauses, after failed probes that no helper
-// replied
-//   to, and after refutations; falls with each probe that succeeds.
+//   replied to, and after refutations; falls with each probe that succeeds.
 // - Local connectivity: inbound_broken where nothing at all is received; outbound_broken where no probe of
-// this
-//   member is answered, directly or indirectly, although datagrams of the targets arrive, more often in a row
-//   than the usual loss explains.
+//   this member is answered, directly or indirectly, although datagrams of the targets arrive, more often in
+//   a row than the usual loss explains.
 //
 // Threads: one. No errors.
 #pragma once
@@ -57,7 +54,7 @@
   bool in_grace_period(TimePoint now) const { return now < grace_period_until_; }
   // Returns when the last valid datagram of any member arrived or the last pause ended, whichever is later.
   TimePoint last_received_at() const { return last_received_at_; }
-  bool received_since(TimePoint t) const { return last_received_at_ >= t; }
+  bool received_since(TimePoint time) const { return last_received_at_ >= time; }
 
  private:
   void raise_score(unsigned by);
--- a/tests/fleet_limit_test.cpp
+++ b/tests/fleet_limit_test.cpp
@@ -182,7 +182,7 @@
 }
 
 // Neither of two members can remove the other: the remaining one keeps its half, however long the other is
-// gone.
+// unreachable.
 TEST(FleetLimit, RemainingMemberOfTwoKeepsItsHalf) {
   LimitedFleet fleet(2, 8, 1);
   fleet.form();
