--- a/src/membership/limit_holders.h
+++ b/src/membership/limit_holders.h
@@ -9,7 +9,7 @@
 //
 // A member that was declared dead may be isolated and still run. It is counted for as long as it is in the
 // quorum base. An isolated member gives up its share once the others may have had a quorum without it for
-// half of that time. Where neither side can have a quorum, as with equal halves or in a fleet of two, no
+// isolation_timeout(). Where neither side can have a quorum, as with equal halves or in a fleet of two, no
 // member is removed and all keep their shares.
 //
 // Threads: one. No errors.
