--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -187,7 +187,7 @@
   }));
 }
 
-std::size_t Member::removed_members() const {
+std::size_t Member::dead_outside_quorum_base() const {
   const auto& tombstones = roster_.tombstones();
   return std::size_t(std::count_if(tombstones.begin(), tombstones.end(), [this](Index i) {
     const auto& e = roster_.at(i);
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -157,7 +157,7 @@
   // Members that may hold a share of fleet-wide limits, this one included; absent while that is unsettled.
   std::optional<std::size_t> limit_holders() const { return limit_holders_.count(); }
   // Dead members that no longer count for the fleet, but are remembered: each may still run, cut off.
-  std::size_t removed_members() const;
+  std::size_t dead_outside_quorum_base() const;
   // Of another process that uses this member's name, where there is one.
   const std::optional<Address>& conflicting_address() const { return conflict_.address; }
   // Lifeguard's local health multiplier.
--- a/src/membership/views.cpp
+++ b/src/membership/views.cpp
@@ -49,7 +49,7 @@
   v.name_conflict = member.conflicting_address().has_value();
   v.limit_holders = member.limit_holders();
   v.limit_admitted = member.limit_admitted();
-  v.limit_reserved = member.removed_members();
+  v.limit_reserved = member.dead_outside_quorum_base();
   v.at = now;
   return v;
 }
