--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -1,3 +1,4 @@
+// Clock, protocol periods, certainty of the view, quorum and holders of fleet-wide limits.
 #include "membership/member.h"
 
 #include <algorithm>
@@ -47,10 +48,12 @@
 TimePoint Member::next_wake() const {
   auto at = next_period_at_;
   for (const auto& probe : probes_) at = std::min(at, std::min(probe.late_at, probe.ends_at));
-  for (const auto i : suspects_) {
-    const auto& e = roster_.at(i);
-    // Suspects whose time is over wait until they may be declared dead.
-    if (e.status == Status::suspect && e.suspicion_deadline > now_) at = std::min(at, e.suspicion_deadline);
+  for (const auto member : suspects_) {
+    const auto& state = roster_.at(member);
+    // Suspects past their deadline need no wake-up: wake() checks them each time until they may be declared
+    // dead.
+    if (state.status == Status::suspect && state.suspicion_deadline > now_)
+      at = std::min(at, state.suspicion_deadline);
   }
   for (const auto& relay : relays_) at = std::min(at, relay.nack_at);
   for (const auto& sync : outgoing_syncs_) at = std::min(at, sync.next_at);
@@ -58,22 +61,23 @@
   return at;
 }
 
-// Whatever comes first after a pause, a datagram or the due wake-up: the pause is noticed before anything is
-// decided by the clock.
+// Advances the clock and detects pauses of the process. It runs first both for a datagram and for a wake-up,
+// so that a pause is detected before any decision uses the clock.
 void Member::advance_clock(TimePoint now) {
   now_ = std::max(now_, now);
   const auto late = local_health_.detect_pause(now_, next_wake());
   if (late && *late >= options_.period) after_pause(*late);
 }
 
-// Probes that were out when the pause began prove nothing: their answers may have waited here.
+// Discards probes that were pending when the pause began: their answers may have been queued locally during
+// the pause.
 void Member::after_pause(Duration late) {
   ++counters_.pauses;
   probes_.clear();
   relays_.clear();
   partition_detector_.discard_silences();
   limit_holders_.on_pause(late);
-  for (const auto i : suspects_) roster_.at(i).suspicion_deadline += late;
+  for (const auto member : suspects_) roster_.at(member).suspicion_deadline += late;
   next_period_at_ = std::max(next_period_at_, now_);
 }
 
@@ -88,7 +92,7 @@
     next_period_at_ += options_.period;
     if (next_period_at_ <= now_) next_period_at_ = now_ + options_.period;
   }
-  judge_suspects();
+  check_suspicion_deadlines();
 }
 
 void Member::advance_probes() {
@@ -118,7 +122,7 @@
   }
 }
 
-// ---- Once a period ----
+// ---- Work of each period ----
 
 void Member::run_period() {
   ++period_count_;
@@ -129,36 +133,36 @@
   update_limit_holders();
   expire_name_conflict();
   if (leave_.started) return;
-  contact_absent();
-  if (!limit_admitted_) announce_to_unaware();
+  contact_absent_members();
+  if (!limit_admitted_) announce_to_unaware_members();
   start_period_probes();
   request_due_sync();
 }
 
 void Member::prune_roster() {
   const bool may_shrink = partition_detector_.has_quorum() && !partition_detector_.uncertain();
-  roster_.prune_tombstones(now_, may_shrink, [&](Index i) {
-    dissemination_queue_.drop(roster_.at(i).hash);
-    notify(ChangeKind::removed, roster_.at(i).name);
+  roster_.prune_tombstones(now_, may_shrink, [&](Index member) {
+    dissemination_queue_.drop(roster_.at(member).hash);
+    notify(ChangeKind::removed, roster_.at(member).name);
   });
 }
 
-// New members count for the quorum only once a quorum is seen: the minority side of a partition must not gain
-// one by members that join there.
+// Adds new members to the quorum base only while there is a quorum: the minority side of a partition must not
+// gain a quorum through members that join there.
 void Member::admit_to_quorum_base() {
   if (!partition_detector_.has_quorum() && fleet_size() > options_.min_fleet_size) return;
-  for (const auto i : std::exchange(quorum_base_pending_, {}))
-    if (roster_.is_present(i)) roster_.set_counts_for_quorum(i, true);
+  for (const auto member : std::exchange(quorum_base_pending_, {}))
+    if (roster_.is_present(member)) roster_.set_counts_for_quorum(member, true);
 }
 
-// ---- Holders of shares of fleet-wide limits ----
+// ---- Holders of fleet-wide limits ----
 
 void Member::update_limit_holders() {
-  if (limit_holders_.update(now_, members_that_may_run(), others_may_have_quorum()))
+  if (limit_holders_.update(now_, possibly_running_members(), others_may_have_quorum()))
     notify(ChangeKind::limit_holders, self_.name, true);
 }
 
-// Whether those of the fleet that are not heard here may be a majority by themselves.
+// Returns whether the members that this one does not hear from may form a majority by themselves.
 bool Member::others_may_have_quorum() const {
   const bool hears_others = local_health_.local_connectivity() == LocalConnectivity::ok;
   const auto heard = 1 + (hears_others ? roster_.quorum_base_alive() : 0);
@@ -166,32 +170,34 @@
   return 2 * unheard > fleet_size();
 }
 
-// A suspect runs until the contrary is shown. A dead member may be cut off, and is counted as long as the
-// fleet is held to be so large.
-std::size_t Member::members_that_may_run() const {
-  std::size_t gone = 0;
-  for (const auto i : roster_.tombstones())
-    if (roster_.at(i).known && roster_.at(i).counts_for_quorum) ++gone;
-  const auto members = 1 + roster_.present() + gone + unheard_seeds();
+// Returns the number of members that may be running, including this one. Suspects count as running. A member
+// declared dead may only be cut off, so it counts as long as it is in the quorum base.
+std::size_t Member::possibly_running_members() const {
+  std::size_t dead_or_left = 0;
+  for (const auto member : roster_.tombstones())
+    if (roster_.at(member).known && roster_.at(member).counts_for_quorum) ++dead_or_left;
+  const auto members = 1 + roster_.present() + dead_or_left + count_unheard_seeds();
   return std::max(members, options_.min_fleet_size);
 }
 
-// Seeds of which nothing was heard since the start, for as long as a dead member would count.
-std::size_t Member::unheard_seeds() const {
+// Returns the number of seeds that have not been heard from since the start; 0 once quorum_shrink_delay has
+// passed, after which a dead member no longer counts either.
+std::size_t Member::count_unheard_seeds() const {
   if (now_ - started_at_ >= options_.quorum_shrink_delay) return 0;
   const auto absent = absent_seeds();
   return std::size_t(std::count_if(absent.begin(), absent.end(), [this](const Address& seed) {
     const auto& tombstones = roster_.tombstones();
-    return std::none_of(tombstones.begin(), tombstones.end(),
-                        [&](Index i) { return roster_.at(i).known && roster_.at(i).address == seed; });
+    return std::none_of(tombstones.begin(), tombstones.end(), [&](Index member) {
+      return roster_.at(member).known && roster_.at(member).address == seed;
+    });
   }));
 }
 
 std::size_t Member::dead_outside_quorum_base() const {
   const auto& tombstones = roster_.tombstones();
-  return std::size_t(std::count_if(tombstones.begin(), tombstones.end(), [this](Index i) {
-    const auto& e = roster_.at(i);
-    return e.known && e.status == Status::dead && !e.counts_for_quorum;
+  return std::size_t(std::count_if(tombstones.begin(), tombstones.end(), [this](Index member) {
+    const auto& state = roster_.at(member);
+    return state.known && state.status == Status::dead && !state.counts_for_quorum;
   }));
 }
 
@@ -205,7 +211,7 @@
 // ---- Health, certainty, quorum ----
 
 void Member::update_health() {
-  // A process that yielded its name is no member of the fleet: nobody sends to it.
+  // A process that yielded its name is not a member of the fleet, so no member sends to it.
   local_health_.update(now_, conflict_.yielded ? 0 : roster_.present());
   const auto connectivity = local_health_.local_connectivity();
   if (std::exchange(previous_connectivity_, connectivity) != connectivity) on_connectivity_changed();
@@ -213,7 +219,8 @@
   update_certainty();
 }
 
-// Certainty and quorum follow from what is known now, whenever something is decided by them.
+// Recomputes certainty and quorum from the current view: each period, after a failed probe and before members
+// are declared dead.
 void Member::update_certainty() {
   const auto connectivity = local_health_.local_connectivity();
   const bool cut_off = connectivity != LocalConnectivity::ok || conflict_.yielded;
@@ -235,12 +242,13 @@
 
 void Member::on_certainty_changed() {
   if (was_uncertain_) {
-    // The certain view is the one before they fell silent.
-    for (const auto i : suspects_)
-      if (partition_detector_.recently_silent(roster_.at(i).hash))
-        roster_.at(i).certain_status = Status::alive;
+    // The last certain view is the one from before these members fell silent.
+    for (const auto member : suspects_)
+      if (partition_detector_.recently_silent(roster_.at(member).hash))
+        roster_.at(member).certain_status = Status::alive;
   } else {
-    for (Index i = 0; i < roster_.slot_count(); ++i) roster_.at(i).certain_status = roster_.at(i).status;
+    for (Index member = 0; member < roster_.slot_count(); ++member)
+      roster_.at(member).certain_status = roster_.at(member).status;
     next_sync_at_ = std::min(next_sync_at_, now_);
   }
   notify(ChangeKind::view_certainty, self_.name, true);
--- a/src/membership/member_suspicion.cpp
+++ b/src/membership/member_suspicion.cpp
@@ -1,4 +1,4 @@
-// From suspect to dead (SWIM section 4.2, Lifeguard section IV-B).
+// Suspicion of members and declaration of their death (SWIM section 4.2, Lifeguard section IV-B).
 #include <algorithm>
 
 #include "membership/member.h"
@@ -6,26 +6,26 @@
 namespace granitegap::membership {
 namespace {
 
-constexpr std::size_t kMaxSuspectPings = 4;  // a period
+constexpr std::size_t kMaxSuspectPings = 4;  // per period
 
 }  // namespace
 
-void Member::suspect(Index i) {
-  auto record = roster_.record_of(i, false);
+void Member::suspect(Index member) {
+  auto record = roster_.record_of(member, false);
   if (record.status == Status::alive) ++counters_.suspicions;
   record.status = Status::suspect;
   record.suspected_by = own_hash_;
   apply(record, true);
-  if (!options_.baseline_mode) send_about(i, Ping{nonce(), roster_.at(i).name, {}});
+  if (!options_.baseline_mode) send_about(member, Ping{nonce(), roster_.at(member).name, {}});
 }
 
-void Member::set_suspicion_deadline(Index i) {
-  auto& e = roster_.at(i);
+void Member::set_suspicion_deadline(Index member) {
+  auto& state = roster_.at(member);
   const auto times = suspicion_times(options_, roster_.present() + 1);
-  auto time = suspicion_time(times, e.confirmations.confirmed(), options_.confirmations);
-  // A member whose own health is poor gives others more time.
+  auto time = suspicion_time(times, state.confirmations.confirmed(), options_.confirmations);
+  // The timeout is longer while this member's own health is poor.
   if (!options_.baseline_mode) time *= local_health_.multiplier();
-  e.suspicion_deadline = e.status_since + time;
+  state.suspicion_deadline = state.status_since + time;
 }
 
 bool Member::may_declare_dead() const {
@@ -36,69 +36,76 @@
   return now_ - partition_detector_.certain_since() >= options_.period;
 }
 
-// Each period: one datagram lost on the way there or back must not decide.
+// Pings the members that this one suspects, in each period, so that a single lost ping or answer does not
+// decide the outcome.
 void Member::ping_own_suspects() {
   if (options_.baseline_mode) return;
   std::size_t pinged = 0;
-  for (const auto i : suspects_) {
-    const auto& e = roster_.at(i);
-    if (e.status != Status::suspect || !e.confirmations.has(own_hash_)) continue;
+  for (const auto member : suspects_) {
+    const auto& state = roster_.at(member);
+    if (state.status != Status::suspect || !state.confirmations.has(own_hash_)) continue;
     if (++pinged > kMaxSuspectPings) return;
-    send_about(i, Ping{nonce(), e.name, {}});
+    send_about(member, Ping{nonce(), state.name, {}});
   }
 }
 
-void Member::judge_suspects() {
-  std::erase_if(suspects_,
-                [&](Index i) { return !roster_.at(i).known || roster_.at(i).status != Status::suspect; });
-  const bool some_due = std::any_of(suspects_.begin(), suspects_.end(),
-                                    [&](Index i) { return now_ >= roster_.at(i).suspicion_deadline; });
+void Member::check_suspicion_deadlines() {
+  std::erase_if(suspects_, [&](Index member) {
+    return !roster_.at(member).known || roster_.at(member).status != Status::suspect;
+  });
+  const bool some_due = std::any_of(suspects_.begin(), suspects_.end(), [&](Index member) {
+    return now_ >= roster_.at(member).suspicion_deadline;
+  });
   if (!some_due) return;
-  // Others may have fallen silent since the period began: without a quorum by now nobody is declared dead.
+  // Other members may have fallen silent since the period began. If that cost the quorum, no member may be
+  // declared dead.
   if (!options_.baseline_mode) update_certainty();
   if (!may_declare_dead()) return;
   const auto suspects = suspects_;
-  for (const auto i : suspects) {
-    auto& e = roster_.at(i);
-    if (e.status != Status::suspect || now_ < e.suspicion_deadline) continue;
-    if (e.final_probe_sent || options_.baseline_mode) {
-      declare_dead(i);
+  for (const auto member : suspects) {
+    auto& state = roster_.at(member);
+    if (state.status != Status::suspect || now_ < state.suspicion_deadline) continue;
+    if (state.final_probe_sent || options_.baseline_mode) {
+      declare_dead(member);
       continue;
     }
-    e.final_probe_sent = true;
-    e.suspicion_deadline = now_ + std::max(2 * probe_timeout(e), options_.period / 2);
-    send_final_probe(i);
+    state.final_probe_sent = true;
+    state.suspicion_deadline = now_ + std::max(2 * probe_timeout(state), options_.period / 2);
+    send_final_probe(member);
   }
 }
 
-// By every way: directly, by the second path, and by helpers, who may have heard the refutation already.
-void Member::send_final_probe(Index i) {
-  const auto& e = roster_.at(i);
+// Probes a suspect on every path: directly, on the secondary path and through helpers, which may already have
+// received the refutation.
+void Member::send_final_probe(Index member) {
+  const auto& state = roster_.at(member);
   const auto ping_nonce = nonce();
-  send_about(i, Ping{ping_nonce, e.name, {}});
-  ping_via_secondary(i, ping_nonce);
-  for (const auto helper : select_helpers(i, options_.indirect_probes))
-    send_about(helper, PingRequest{ping_nonce, e.name, e.address}, {roster_.record_of(i, false, own_hash_)});
+  send_about(member, Ping{ping_nonce, state.name, {}});
+  ping_via_secondary(member, ping_nonce);
+  for (const auto helper : select_helpers(member, options_.indirect_probes))
+    send_about(helper, PingRequest{ping_nonce, state.name, state.address},
+               {roster_.record_of(member, false, own_hash_)});
 }
 
-void Member::declare_dead(Index i) {
+void Member::declare_dead(Index member) {
   ++counters_.deaths;
-  auto record = roster_.record_of(i, false);
+  auto record = roster_.record_of(member, false);
   record.status = Status::dead;
   record.suspected_by = own_hash_;
   apply(record, true);
 }
 
-// This member found itself cut off: members that nobody else suspects are alive again.
+// Sets the members that only this one suspects back to alive, because this member found that it is cut off
+// itself.
 void Member::withdraw_own_suspicions() {
   partition_detector_.discard_silences();
-  for (const auto i : std::vector<Index>(suspects_)) {
-    auto& e = roster_.at(i);
-    if (e.status != Status::suspect) continue;
-    if (e.confirmations.first() != own_hash_ || e.confirmations.confirmed()) continue;
-    roster_.set_status(i, Status::alive, now_);
-    dissemination_queue_.drop(e.hash);
-    update_certain_status(i);
+  for (const auto member : std::vector<Index>(suspects_)) {
+    auto& state = roster_.at(member);
+    if (state.status != Status::suspect) continue;
+    if (state.confirmations.first() != own_hash_ || state.confirmations.confirmed()) continue;
+    roster_.set_status(member, Status::alive, now_);
+    dissemination_queue_.drop(state.hash);
+    update_certain_status(member);
   }
 }
 
