--- a/src/membership/member_leave.cpp
+++ b/src/membership/member_leave.cpp
@@ -1,4 +1,5 @@
-// Graceful leave: announced to several members, until enough acknowledge it or kLeaveRounds times.
+// Graceful leave, announced to several members until kMinLeaveAcks acknowledge it, at most kLeaveRounds
+// times.
 #include <utility>
 
 #include "membership/member.h"
@@ -28,10 +29,10 @@
   ++leave_.rounds;
   leave_.next_round_at = now_ + options_.period / 4;
   if (leave_.rounds > kLeaveRounds) return;
-  for (const auto i : select_helpers(kNoMember, 2 + options_.indirect_probes)) {
+  for (const auto member : select_helpers(kNoMember, 2 + options_.indirect_probes)) {
     const auto ping_nonce = nonce();
     leave_.nonces.push_back(ping_nonce);
-    send_about(i, Ping{ping_nonce, roster_.at(i).name, {}}, {own_record(true)});
+    send_about(member, Ping{ping_nonce, roster_.at(member).name, {}}, {own_record(true)});
   }
   if (roster_.present() == 0) leave_.rounds = kLeaveRounds;
 }
--- a/src/membership/member_metadata.cpp
+++ b/src/membership/member_metadata.cpp
@@ -1,4 +1,4 @@
-// What this member publishes of itself.
+// Metadata that this member publishes about itself.
 #include <algorithm>
 #include <cstdlib>
 
@@ -7,9 +7,9 @@
 namespace granitegap::membership {
 namespace {
 
-// A change of load under this many percent points waits, and a larger one until the last one is so old.
+// Minimum change of load, in percentage points, that is published.
 constexpr int kMinLoadChange = 10;
-constexpr unsigned kLoadChangeEvery = 4;  // periods
+constexpr unsigned kLoadChangeInterval = 4;  // periods between published changes of load
 
 }  // namespace
 
@@ -31,14 +31,15 @@
   publish_metadata(now);
 }
 
-// Load changes with every request: gossip of a large fleet would carry little else.
+// Returns whether the change is too small or too early to publish. Load changes with every request, so the
+// gossip of a large fleet would otherwise carry little else.
 bool Member::is_small_load_change(Stage stage, std::uint8_t warmup_percent, std::uint8_t pressure_percent,
                                   const std::vector<EndpointHealth>& endpoint_health, TimePoint now) const {
   if (metadata_.stage != stage || metadata_.endpoint_health != endpoint_health) return false;
   const int change = std::max(std::abs(int(metadata_.warmup_percent) - int(warmup_percent)),
                               std::abs(int(metadata_.pressure_percent) - int(pressure_percent)));
   return change < kMinLoadChange ||
-         now - load_published_at_ < options_.period * std::int64_t(kLoadChangeEvery);
+         now - load_published_at_ < options_.period * std::int64_t(kLoadChangeInterval);
 }
 
 void Member::update_metadata(const RecoveryStatus& recovery_status, TimePoint now) {
@@ -58,10 +59,10 @@
 void Member::publish_links_and_conflict() {
   metadata_.conflicting_address = conflict_.address.value_or(Address{});
   metadata_.links.clear();
-  for (const auto i : monitored_links_) {
-    const auto& e = roster_.at(i);
-    if (e.known && e.link_broken && metadata_.links.size() < kMaxLinkFaults)
-      metadata_.links.push_back({e.hash, e.link_inbound});
+  for (const auto member : monitored_links_) {
+    const auto& state = roster_.at(member);
+    if (state.known && state.link_broken && metadata_.links.size() < kMaxLinkFaults)
+      metadata_.links.push_back({state.hash, state.link_inbound});
   }
   publish_metadata(now_);
 }
