--- a/src/membership/member_send.cpp
+++ b/src/membership/member_send.cpp
@@ -1,4 +1,4 @@
-// Building datagrams and choosing members at random.
+// Construction of datagrams and random selection of members.
 #include <algorithm>
 
 #include "membership/member.h"
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::uint32_t kMaxSentMs = 0xfffffff0;
-constexpr std::size_t kPaddingFrame = 3;  // bytes around the padding on the wire
+constexpr std::size_t kPaddingOverhead = 3;  // bytes of the padding field other than the padding
 constexpr int kMaxRandomDraws = 32;
 
 }  // namespace
@@ -25,29 +25,31 @@
 }
 
 void Member::send(const Address& to, Body body, SendOptions options) {
-  Datagram d;
-  d.from = {self_.name, self_.address, self_.boot_id, incarnation_,
-            to_clamped_milliseconds(now_ - started_at_, kMaxSentMs)};
-  d.body = std::move(body);
-  d.updates = std::move(options.updates);
+  Datagram datagram;
+  datagram.from = {self_.name, self_.address, self_.boot_id, incarnation_,
+                   to_clamped_milliseconds(now_ - started_at_, kMaxSentMs)};
+  datagram.body = std::move(body);
+  datagram.updates = std::move(options.updates);
   const auto about = options.about;
   if (about != kNoMember && roster_.at(about).known && roster_.at(about).status != Status::alive) {
-    d.updates.push_back(roster_.record_of(about, false));
-    if (roster_.at(about).confirmations.has(own_hash_)) d.updates.back().suspected_by = own_hash_;
+    datagram.updates.push_back(roster_.record_of(about, false));
+    if (roster_.at(about).confirmations.has(own_hash_)) datagram.updates.back().suspected_by = own_hash_;
   }
-  const auto used = max_encoded_size(d);
+  const auto used = max_encoded_size(datagram);
   if (used > kMaxDatagram) return;
-  if (!options.without_gossip && !std::holds_alternative<SyncChunk>(d.body)) {
+  if (!options.without_gossip && !std::holds_alternative<SyncChunk>(datagram.body)) {
     const auto fleet = roster_.present() + 1;
-    dissemination_queue_.fill(d.updates, kMaxDatagram - used,
+    dissemination_queue_.fill(datagram.updates, kMaxDatagram - used,
                               retransmit_limit(options_, fleet, dissemination_queue_.size()),
                               dissemination_time(options_, fleet), now_);
   }
-  if (options.pad_to > used + kPaddingFrame) d.padding = std::uint16_t(options.pad_to - used - kPaddingFrame);
-  outgoing_.push_back({to, std::move(d)});
+  if (options.pad_to > used + kPaddingOverhead)
+    datagram.padding = std::uint16_t(options.pad_to - used - kPaddingOverhead);
+  outgoing_.push_back({to, std::move(datagram)});
 }
 
-// A suspect is told of the suspicion first of all, so that it can refute it.
+// Sends a datagram to a member. The record of a member that is not `alive` in this view precedes the gossip,
+// so that the member can refute it.
 void Member::send_about(Index member, Body body, std::vector<Record> updates) {
   SendOptions options;
   options.about = member;
@@ -55,14 +57,14 @@
   send(roster_.at(member).address, std::move(body), std::move(options));
 }
 
-// Only where both ends have a secondary path, and the other end itself has published its own.
+// Sends a datagram on the secondary path if this member has one and the other end has published one.
 void Member::send_via_secondary(Index to, Body body) {
-  const auto& e = roster_.at(to);
-  if (!self_.secondary_address || !e.metadata.secondary_address) return;
+  const auto& state = roster_.at(to);
+  if (!self_.secondary_address || !state.metadata.secondary_address) return;
   const auto before = outgoing_.size();
   SendOptions options;
   options.about = to;
-  send(e.metadata.secondary_address, std::move(body), std::move(options));
+  send(state.metadata.secondary_address, std::move(body), std::move(options));
   if (outgoing_.size() > before) outgoing_.back().via_secondary = true;
 }
 
@@ -70,36 +72,40 @@
   if (!options_.baseline_mode) send_via_secondary(target, Ping{nonce, roster_.at(target).name, {}, true});
 }
 
+// Returns a random member that is present, or kNoMember.
 Index Member::random_present(bool alive_only) {
   if (roster_.present() == 0) return kNoMember;
   for (int draw = 0; draw < kMaxRandomDraws; ++draw) {
     if (probe_round_.empty()) break;
-    const auto i = probe_round_[random_() % probe_round_.size()];
-    if (roster_.is_present(i) && (!alive_only || roster_.at(i).status == Status::alive)) return i;
+    const auto member = probe_round_[random_() % probe_round_.size()];
+    if (roster_.is_present(member) && (!alive_only || roster_.at(member).status == Status::alive))
+      return member;
   }
-  for (auto i = roster_.oldest_contact(); i != kNoMember; i = roster_.next_contact(i))
-    if (!alive_only || roster_.at(i).status == Status::alive) return i;
+  for (auto member = roster_.oldest_contact(); member != kNoMember; member = roster_.next_contact(member))
+    if (!alive_only || roster_.at(member).status == Status::alive) return member;
   return kNoMember;
 }
 
-// At random, from different zones as far as there are enough, and none whose link with this member is broken.
+// Selects helpers at random, from different zones as far as possible. Excludes members whose link with this
+// one is broken or has shown faults.
 std::vector<Index> Member::select_helpers(Index target, unsigned max) {
   std::vector<Index> selected;
-  const auto suitable = [&](Index i) {
-    const auto& e = roster_.at(i);
-    return i != target && e.status == Status::alive && !e.link_broken && e.link_fault_count == 0 &&
-           std::find(selected.begin(), selected.end(), i) == selected.end();
+  const auto suitable = [&](Index member) {
+    const auto& state = roster_.at(member);
+    return member != target && state.status == Status::alive && !state.link_broken &&
+           state.link_fault_count == 0 &&
+           std::find(selected.begin(), selected.end(), member) == selected.end();
   };
-  const auto in_new_zone = [&](Index i) {
+  const auto in_new_zone = [&](Index member) {
     return std::none_of(selected.begin(), selected.end(), [&](Index other) {
-      return roster_.at(other).metadata.zone == roster_.at(i).metadata.zone;
+      return roster_.at(other).metadata.zone == roster_.at(member).metadata.zone;
     });
   };
   for (unsigned draw = 0; draw < 6 * max && selected.size() < max; ++draw) {
-    const auto i = random_present(true);
-    if (i == kNoMember) break;
+    const auto member = random_present(true);
+    if (member == kNoMember) break;
     const bool any_zone = draw >= 3 * max;
-    if (suitable(i) && (any_zone || in_new_zone(i))) selected.push_back(i);
+    if (suitable(member) && (any_zone || in_new_zone(member))) selected.push_back(member);
   }
   return selected;
 }
