--- a/tests/membership_identity_test.cpp
+++ b/tests/membership_identity_test.cpp
@@ -1,55 +1,57 @@
-// Restarts, name conflicts and replays in a simulated fleet: which process and which update wins.
+// Restarts, name conflicts and replays in a simulated fleet: which process and which update takes precedence.
 #include "membership_simulation.h"
 
 namespace granitegap::membership {
 namespace {
 
 TEST(MemberIdentity, ImmediateRestartWithEarlierClockSupersedesOldProcess) {
-  Fleet f(12);
-  f.form();
-  f.run_for(5s);
-  const auto before = f.member(4).incarnation();
-  f.kill(4);
-  f.start(4, 5);  // far below
-  EXPECT_TRUE(f.run_until([&] { return f.has_converged() && f.member(4).incarnation() > before; }, 5s));
-  f.run_for(10s);
-  EXPECT_TRUE(f.declared_dead_by.empty());
-  EXPECT_FALSE(f.member(4).conflicting_address());
+  Fleet fleet(12);
+  fleet.form();
+  fleet.run_for(5s);
+  const auto before = fleet.member(4).incarnation();
+  fleet.kill(4);
+  fleet.start(4, 5);  // an incarnation far below the previous one
+  EXPECT_TRUE(
+      fleet.run_until([&] { return fleet.has_converged() && fleet.member(4).incarnation() > before; }, 5s));
+  fleet.run_for(10s);
+  EXPECT_TRUE(fleet.declared_dead_by.empty());
+  EXPECT_FALSE(fleet.member(4).conflicting_address());
   for (std::size_t n = 0; n < 12; ++n)
     if (n != 4) {
-      const auto& r = f.member(n).roster();
-      EXPECT_EQ(r.at(r.find("n4")).boot_id, f.identity(4).boot_id);
+      const auto& roster = fleet.member(n).roster();
+      EXPECT_EQ(roster.at(roster.find("n4")).boot_id, fleet.identity(4).boot_id);
     }
 }
 
-TEST(MemberIdentity, NameConflictIsReportedByBothAndTheViewIsStable) {
-  Fleet f(10);
-  f.form();
-  const auto other = f.clone(4);
-  f.start(other);
-  EXPECT_TRUE(f.run_until(
-      [&] { return f.member(4).conflicting_address() && f.member(other).conflicting_address(); }, 10s));
-  EXPECT_EQ(*f.member(4).conflicting_address(), f.identity(other).address);
-  EXPECT_EQ(*f.member(other).conflicting_address(), f.identity(4).address);
-  f.run_for(5s);
+TEST(MemberIdentity, NameConflictIsReportedByBothAndViewStaysStable) {
+  Fleet fleet(10);
+  fleet.form();
+  const auto other = fleet.clone(4);
+  fleet.start(other);
+  EXPECT_TRUE(fleet.run_until(
+      [&] { return fleet.member(4).conflicting_address() && fleet.member(other).conflicting_address(); },
+      10s));
+  EXPECT_EQ(*fleet.member(4).conflicting_address(), fleet.identity(other).address);
+  EXPECT_EQ(*fleet.member(other).conflicting_address(), fleet.identity(4).address);
+  fleet.run_for(5s);
   std::size_t changes = 0;
-  f.on_change = [&](auto who, const Change& c) {
+  fleet.on_change = [&](auto who, const Change& c) {
     changes += who != 4 && who != other && c.name == "n4" && c.kind != ChangeKind::metadata_updated;
   };
-  f.run_for(20s);
+  fleet.run_for(20s);
   EXPECT_EQ(changes, 0u);
-  f.kill(other);
-  EXPECT_TRUE(f.run_until([&] { return !f.member(4).conflicting_address(); }, 20s));
-  EXPECT_TRUE(f.run_until(
+  fleet.kill(other);
+  EXPECT_TRUE(fleet.run_until([&] { return !fleet.member(4).conflicting_address(); }, 20s));
+  EXPECT_TRUE(fleet.run_until(
       [&] {
         for (std::size_t n = 0; n < 10; ++n)
-          if (n != 4 && f.status_of(n, 4) != Status::alive) return false;
+          if (n != 4 && fleet.status_of(n, 4) != Status::alive) return false;
         return true;
       },
       20s));
 }
 
-// One member, and what a peer gossips of another process that has superseded it.
+// A member that receives gossip from a peer about another process that superseded it.
 struct SupersededMember {
   TimePoint now{1h};
   Member member{{}, Identity{"n1", "z", address(1), {}, BootId(1), 10}, 1, now};
@@ -62,17 +64,17 @@
     return a;
   }
   void gossip_of_other_process(Incarnation incarnation, Status status) {
-    MemberMetadata t;
-    t.version = 1;
-    t.superseded_boot_id = BootId(1);
-    Datagram d;
-    d.from.name = "n0";
-    d.from.address = address(0);
-    d.from.boot_id = BootId(9);
-    d.from.incarnation = d.from.sent_ms = 1;
-    d.body = GossipOnly{};
-    d.updates.push_back({"n1", address(2), BootId(2), incarnation, status, 0, 0, t});
-    member.receive(d, 500, now);
+    MemberMetadata metadata;
+    metadata.version = 1;
+    metadata.superseded_boot_id = BootId(1);
+    Datagram datagram;
+    datagram.from.name = "n0";
+    datagram.from.address = address(0);
+    datagram.from.boot_id = BootId(9);
+    datagram.from.incarnation = datagram.from.sent_ms = 1;
+    datagram.body = GossipOnly{};
+    datagram.updates.push_back({"n1", address(2), BootId(2), incarnation, status, 0, 0, metadata});
+    member.receive(datagram, 500, now);
   }
   void advance(Duration time) {
     for (const auto end = now + time; now < end;) {
@@ -82,79 +84,87 @@
   }
 };
 
-// At a tie others would reject both: the dead process' incarnation is this one's own.
+// The other process died with the incarnation of this one. At such a tie other members would reject both, so
+// this one must raise its incarnation.
 TEST(MemberIdentity, SurvivorOfNameConflictRaisesAnEqualIncarnation) {
-  SupersededMember s;
-  s.gossip_of_other_process(10, Status::dead);
-  EXPECT_EQ(s.member.incarnation(), 11u);
-  s.gossip_of_other_process(10, Status::dead);  // late
-  EXPECT_EQ(s.member.incarnation(), 11u);
+  SupersededMember superseded;
+  superseded.gossip_of_other_process(10, Status::dead);
+  EXPECT_EQ(superseded.member.incarnation(), 11u);
+  superseded.gossip_of_other_process(10, Status::dead);  // a late repetition
+  EXPECT_EQ(superseded.member.incarnation(), 11u);
 }
 
 TEST(MemberIdentity, ReclaimedNameGetsIncarnationAboveTheConflictingProcess) {
-  SupersededMember s;
-  s.gossip_of_other_process(10, Status::alive);
-  ASSERT_TRUE(s.member.conflicting_address());
-  s.gossip_of_other_process(17, Status::alive);
-  EXPECT_EQ(s.member.incarnation(), 10u);
-  s.advance(10s);
-  EXPECT_FALSE(s.member.conflicting_address());
-  EXPECT_GT(s.member.incarnation(), 17u);
+  SupersededMember superseded;
+  superseded.gossip_of_other_process(10, Status::alive);
+  ASSERT_TRUE(superseded.member.conflicting_address());
+  superseded.gossip_of_other_process(17, Status::alive);
+  EXPECT_EQ(superseded.member.incarnation(), 10u);
+  superseded.advance(10s);
+  EXPECT_FALSE(superseded.member.conflicting_address());
+  EXPECT_GT(superseded.member.incarnation(), 17u);
 }
 
-TEST(MemberIdentity, ReplayOfEarlierProcessChangesNothing) {
-  Fleet f(10);
-  f.form();
-  const auto old =
-      ping_of({"n3", f.identity(3).address, f.identity(3).boot_id, f.member(3).incarnation(), 4000}, 7, "n0");
-  f.kill(3);
-  f.start(3);
-  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 5s));
-  const auto boot_id = f.identity(3).boot_id;
-  const auto stale = f.member(0).counters().stale_boot_id;
-  for (int k = 0; k < 20; ++k) f.inject(0, old);
-  f.run_for(5s);
-  EXPECT_EQ(f.member(0).counters().stale_boot_id, stale + 20);
-  const auto& r = f.member(0).roster();
-  EXPECT_EQ(r.at(r.find("n3")).boot_id, boot_id);
-  EXPECT_TRUE(f.has_converged());
+TEST(MemberIdentity, ReplayFromPreviousProcessChangesNothing) {
+  Fleet fleet(10);
+  fleet.form();
+  const auto old = ping_of(
+      {"n3", fleet.identity(3).address, fleet.identity(3).boot_id, fleet.member(3).incarnation(), 4000}, 7,
+      "n0");
+  fleet.kill(3);
+  fleet.start(3);
+  EXPECT_TRUE(fleet.run_until([&] { return fleet.has_converged(); }, 5s));
+  const auto boot_id = fleet.identity(3).boot_id;
+  const auto stale = fleet.member(0).counters().stale_boot_id;
+  for (int k = 0; k < 20; ++k) fleet.inject(0, old);
+  fleet.run_for(5s);
+  EXPECT_EQ(fleet.member(0).counters().stale_boot_id, stale + 20);
+  const auto& roster = fleet.member(0).roster();
+  EXPECT_EQ(roster.at(roster.find("n3")).boot_id, boot_id);
+  EXPECT_TRUE(fleet.has_converged());
 }
 
-TEST(MemberIdentity, ReplayAfterRemovalRevivesNobody) {
+TEST(MemberIdentity, ReplayAfterRemovalAddsNoMember) {
   Options options;
   options.quorum_shrink_delay = 5s;
   options.tombstone_ttl = 10s;
-  Fleet f(8, 1, options);
-  f.form();
-  const Record late{
-      "n3",   f.identity(3).address, f.identity(3).boot_id, f.member(3).incarnation(), Status::alive, 0,
-      30'000, std::nullopt};
-  const Sender speaker{"n3", f.identity(3).address, f.identity(3).boot_id, f.member(3).incarnation(), 4000};
-  f.kill(3);
-  EXPECT_TRUE(f.run_until([&] { return f.member(0).roster().find("n3") == kNoMember; }, 60s));
-  f.inject(0, {speaker, Ping{7, "n0", {}}, {}, 0});
-  f.inject(0, {{"n1", f.identity(1).address, f.identity(1).boot_id, f.member(1).incarnation(),
-                std::uint32_t(f.elapsed().count() / 1000)},
-               GossipOnly{},
-               {late},
-               0});
-  f.run_for(3s);
-  EXPECT_EQ(f.member(0).roster().find("n3"), kNoMember);
-  EXPECT_GE(f.member(0).counters().late, 1u);
+  Fleet fleet(8, 1, options);
+  fleet.form();
+  const Record late{"n3",
+                    fleet.identity(3).address,
+                    fleet.identity(3).boot_id,
+                    fleet.member(3).incarnation(),
+                    Status::alive,
+                    0,
+                    30'000,
+                    std::nullopt};
+  const Sender removed_member{"n3", fleet.identity(3).address, fleet.identity(3).boot_id,
+                              fleet.member(3).incarnation(), 4000};
+  fleet.kill(3);
+  EXPECT_TRUE(fleet.run_until([&] { return fleet.member(0).roster().find("n3") == kNoMember; }, 60s));
+  fleet.inject(0, {removed_member, Ping{7, "n0", {}}, {}, 0});
+  fleet.inject(0, {{"n1", fleet.identity(1).address, fleet.identity(1).boot_id, fleet.member(1).incarnation(),
+                    std::uint32_t(fleet.elapsed().count() / 1000)},
+                   GossipOnly{},
+                   {late},
+                   0});
+  fleet.run_for(3s);
+  EXPECT_EQ(fleet.member(0).roster().find("n3"), kNoMember);
+  EXPECT_GE(fleet.member(0).counters().late, 1u);
 }
 
-TEST(MemberIdentity, DeadMemberThatReturnsAfterRemovalJoinsAsNew) {
+TEST(MemberIdentity, DeadMemberThatRestartsAfterRemovalJoinsAsNew) {
   Options options;
   options.quorum_shrink_delay = 5s;
   options.tombstone_ttl = 10s;
-  Fleet f(8, 1, options);
-  f.form();
-  f.kill(3);
-  EXPECT_TRUE(f.run_until([&] { return f.member(0).roster().find("n3") == kNoMember; }, 60s));
-  EXPECT_EQ(f.member(0).fleet_size(), 7u);
-  f.start(3);
-  EXPECT_TRUE(f.run_until([&] { return f.has_converged(); }, 10s));
-  EXPECT_TRUE(f.run_until([&] { return f.member(0).fleet_size() == 8; }, 5s));
+  Fleet fleet(8, 1, options);
+  fleet.form();
+  fleet.kill(3);
+  EXPECT_TRUE(fleet.run_until([&] { return fleet.member(0).roster().find("n3") == kNoMember; }, 60s));
+  EXPECT_EQ(fleet.member(0).fleet_size(), 7u);
+  fleet.start(3);
+  EXPECT_TRUE(fleet.run_until([&] { return fleet.has_converged(); }, 10s));
+  EXPECT_TRUE(fleet.run_until([&] { return fleet.member(0).fleet_size() == 8; }, 5s));
 }
 
 }  // namespace
