--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -47,7 +47,7 @@
 // What this process publishes of itself to its fleet.
 struct MemberStatus {
   membership::Stage stage = membership::Stage::starting;
-  std::uint8_t warmth_percent = 0;  // 100: warmed up
+  std::uint8_t warmup_percent = 0;  // 100: warmed up
   std::uint8_t load_percent = 0;    // from the credit advertised; 100: no capacity is left
   std::vector<membership::EndpointHealth> endpoint_health;
   membership::RecoveryStatus recovery_status;
@@ -216,7 +216,7 @@
   void update_recovery();
   void log_recovery();
   membership::RecoveryStatus recovery_status() const;
-  double warmth(TimePoint now) const;
+  double warmup_fraction(TimePoint now) const;
 
   // ---- Health and shutdown: edge_health.cpp ----
   void start_controller(bool cold, TimePoint started_at);
--- a/src/edge/edge_recovery.cpp
+++ b/src/edge/edge_recovery.cpp
@@ -150,11 +150,11 @@
   if (credit_) status.load_percent = load_percent(*credit_);
   if (recovery_) status.recovery_status = recovery_status();
   if (!controller_) return status;
-  status.warmth_percent = percent(warmth(now));
+  status.warmup_percent = percent(warmup_fraction(now));
   const bool is_leaving = draining_since_ || lifecycle_.phase() == lifecycle::Phase::quiesced;
   if (is_leaving)
     status.stage = membership::Stage::draining;
-  else if (status.warmth_percent < 100)
+  else if (status.warmup_percent < 100)
     status.stage = membership::Stage::warming_up;
   else
     status.stage = membership::Stage::serving;
@@ -171,7 +171,7 @@
 }
 
 // 0 to 1: how far the cores' slow start has come.
-double Edge::warmth(TimePoint now) const {
+double Edge::warmup_fraction(TimePoint now) const {
   if (!settings_.settings.cold.value_or(true)) return 1;
   const auto warm_up = settings_.settings.warm_up.value_or(kDefaultWarmUp);
   return double((now - kernel_started_at_).count()) / std::max(double(warm_up.count()), 1.0);
--- a/src/server/server_fleet.cpp
+++ b/src/server/server_fleet.cpp
@@ -120,7 +120,7 @@
   hooks.local_state = [this] {
     auto s = edge_actor_.edge().member_status(clocks_().steady);
     if (state_transfer_) s.recovery_status.donor_port = state_transfer_->port();
-    return membership_udp::Actor::LocalState{s.stage, s.warmth_percent, s.load_percent,
+    return membership_udp::Actor::LocalState{s.stage, s.warmup_percent, s.load_percent,
                                              std::move(s.endpoint_health), s.recovery_status};
   };
   hooks.view = [this](std::shared_ptr<const membership::View> view) {
