--- a/src/edge/edge_requests.cpp
+++ b/src/edge/edge_requests.cpp
@@ -164,11 +164,12 @@
 // ---- Idempotency keys ----
 
 void Edge::apply(const CacheResult& cache) {
-  if (const auto* open = open_.find(cache.id)) keys_.remember(open->request, cache.id, now_.unix + cache.ttl);
+  if (const auto* open = open_.find(cache.id))
+    keys_.cache_result(open->request, cache.id, now_.unix + cache.ttl);
 }
 
 void Edge::apply(const EvictResult& evict) {
-  if (const auto* open = open_.find(evict.id)) keys_.forget(open->request, evict.id);
+  if (const auto* open = open_.find(evict.id)) keys_.evict_result(open->request, evict.id);
 }
 
 void Edge::apply(const ReuseResult& reuse) {
@@ -205,7 +206,7 @@
   const auto open = open_.remove(id);
   keys_.record_end(open.request, id, state, payload);
   keys_.remove_queued(open.request, id);
-  if (!open.ran) keys_.forget(open.request, id);
+  if (!open.ran) keys_.evict_result(open.request, id);
   for (const auto follower : open.followers) finish_follower(follower, state, payload);
 }
 
--- a/src/edge/idempotency_table.cpp
+++ b/src/edge/idempotency_table.cpp
@@ -6,16 +6,17 @@
 namespace granitegap::edge {
 namespace {
 
-// An attempt is stamped in whole milliseconds and its window is judged 50 ms wider; the rest is for the time
-// between its writing and its reading here. Guards against running what was written inside the window.
+// Added to the idempotency window so that no attempt written within the window runs a second time. Arrival
+// stamps are in whole milliseconds, and attempts up to 50 ms after the window still count as within it; the
+// rest of the margin covers the time between the writing and the reading of an attempt.
 constexpr Duration kWindowMargin = std::chrono::seconds(1);
 
-std::size_t hash_of(const std::string& body) { return std::hash<std::string>{}(body); }
+std::size_t hash_body(const std::string& body) { return std::hash<std::string>{}(body); }
 
 }  // namespace
 
-bool IdempotencyTable::is_empty(const Entry& entry) {
-  return entry.queued.empty() && !entry.remembered && !entry.run;
+bool IdempotencyTable::is_unused(const Entry& entry) {
+  return entry.queued.empty() && !entry.cached_result && !entry.run;
 }
 
 IdempotencyTable::Entry* IdempotencyTable::find(const Request& request) {
@@ -31,54 +32,55 @@
 bool IdempotencyTable::has_different_body(const Request& request) const {
   if (request.idempotency_key.empty()) return false;
   const auto* entry = find(request);
-  return entry && entry->body_hash != hash_of(request.body);
+  return entry && entry->body_hash != hash_body(request.body);
 }
 
 std::optional<RequestId> IdempotencyTable::add_attempt(const Request& request, RequestId id,
                                                        std::uint64_t batch) {
   if (request.idempotency_key.empty()) return std::nullopt;
   auto& entry = keys_[{request.cls, request.idempotency_key}];
-  entry.body_hash = hash_of(request.body);
+  entry.body_hash = hash_body(request.body);
   std::optional<RequestId> original;
-  if (entry.remembered && request.arrived_at <= entry.remembered->until) {
-    const auto attempt = entry.remembered->attempt;
-    const bool is_queued = std::any_of(entry.queued.begin(), entry.queued.end(),
-                                       [&](const Queued& queued) { return queued.id == attempt; });
-    if (is_queued || entry.run) original = attempt;
+  if (entry.cached_result && request.arrived_at <= entry.cached_result->until) {
+    const auto attempt = entry.cached_result->attempt;
+    const bool original_is_queued =
+        std::any_of(entry.queued.begin(), entry.queued.end(),
+                    [&](const QueuedAttempt& queued) { return queued.id == attempt; });
+    if (original_is_queued || entry.run) original = attempt;
   } else if (entry.run && request.arrived_at <= entry.run->arrived_at + rules(request.cls).window) {
     original = entry.run->attempt;
   }
   if (!original) {
     const auto same_batch = std::find_if(entry.queued.begin(), entry.queued.end(),
-                                         [&](const Queued& queued) { return queued.batch == batch; });
+                                         [&](const QueuedAttempt& queued) { return queued.batch == batch; });
     if (same_batch != entry.queued.end()) original = same_batch->id;
   }
   entry.queued.push_back({id, batch});
   return original;
 }
 
-void IdempotencyTable::remember(const Request& request, RequestId id, UnixTime until) {
+void IdempotencyTable::cache_result(const Request& request, RequestId id, UnixTime until) {
   if (request.idempotency_key.empty()) return;
-  keys_[{request.cls, request.idempotency_key}].remembered = Remembered{id, until};
+  keys_[{request.cls, request.idempotency_key}].cached_result = CachedResult{id, until};
 }
 
-void IdempotencyTable::forget(const Request& request, RequestId id) {
+void IdempotencyTable::evict_result(const Request& request, RequestId id) {
   auto* entry = find(request);
-  if (entry && entry->remembered && entry->remembered->attempt == id) entry->remembered.reset();
+  if (entry && entry->cached_result && entry->cached_result->attempt == id) entry->cached_result.reset();
 }
 
 void IdempotencyTable::remove_queued(const Request& request, RequestId id) {
   auto* entry = find(request);
   if (!entry) return;
-  std::erase_if(entry->queued, [&](const Queued& queued) { return queued.id == id; });
-  if (is_empty(*entry)) keys_.erase({request.cls, request.idempotency_key});
+  std::erase_if(entry->queued, [&](const QueuedAttempt& queued) { return queued.id == id; });
+  if (is_unused(*entry)) keys_.erase({request.cls, request.idempotency_key});
 }
 
 void IdempotencyTable::record_start(const Request& request, RequestId id) {
   if (request.idempotency_key.empty()) return;
   auto& entry = keys_[{request.cls, request.idempotency_key}];
   entry.run = Run{id, request.arrived_at, RunState::running, nullptr};
-  std::erase_if(entry.queued, [&](const Queued& queued) { return queued.id == id; });
+  std::erase_if(entry.queued, [&](const QueuedAttempt& queued) { return queued.id == id; });
 }
 
 void IdempotencyTable::record_end(const Request& request, RequestId id, RunState state, PayloadPtr payload) {
@@ -109,12 +111,13 @@
   for (auto it = keys_.begin(); it != keys_.end();) {
     auto& [key, entry] = *it;
     const auto& rule = rules(key.first);
-    if (entry.remembered && entry.remembered->until + rule.max_read_delay < now) entry.remembered.reset();
+    if (entry.cached_result && entry.cached_result->until + rule.max_read_delay < now)
+      entry.cached_result.reset();
     const bool run_is_over = entry.run && entry.run->state != RunState::running;
-    if (run_is_over && !entry.remembered &&
+    if (run_is_over && !entry.cached_result &&
         entry.run->arrived_at + rule.window + kWindowMargin + rule.max_read_delay < now)
       entry.run.reset();
-    it = is_empty(entry) ? keys_.erase(it) : std::next(it);
+    it = is_unused(entry) ? keys_.erase(it) : std::next(it);
   }
 }
 
--- a/src/edge/idempotency_table.h
+++ b/src/edge/idempotency_table.h
@@ -1,10 +1,11 @@
-// The table of idempotency keys: which attempts are one request, which of them ran, and with what payload.
+// Table of idempotency keys: which attempts belong to one request, which of them ran, and with what payload.
 //
-// A key is unique within its class. All attempts with the same key are one request; of these at most one runs
-// within the class's window, counted from the arrival of the attempt that ran. The others get its payload.
+// A key is unique within its class. All attempts with the same key belong to one request. At most one of them
+// runs within the class's idempotency window, which starts at the arrival of the attempt that ran; the others
+// are answered with its payload.
 //
 // Threads: not safe for concurrent calls. Ownership: payloads are shared with the responses that carry them.
-// Errors: calls about a request without a key, or about an unknown one, change nothing.
+// Errors: calls for a request without a key, or for an unknown request, change nothing.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -18,71 +19,77 @@
 
 namespace granitegap::edge {
 
+// Tracks the attempts and the latest run of every idempotency key in use.
 class IdempotencyTable {
  public:
   enum class RunState : std::uint8_t { running, succeeded, failed };
-  // The run that counts for a key.
+  // The latest run of a key.
   struct Run {
-    RequestId attempt{};  // the one that ran
-    UnixTime arrived_at;  // of that attempt; the window counts from here
+    RequestId attempt{};  // the attempt that ran
+    UnixTime arrived_at;  // arrival of that attempt; the window starts here
     RunState state = RunState::running;
     PayloadPtr payload;  // null unless succeeded
   };
-  // Of one class.
+  // The rules of one class.
   struct Rules {
-    Duration window{};          // no second run of a key within it
-    Duration max_read_delay{};  // how long after its arrival an attempt may still be read
+    Duration window{};          // idempotency window: a key runs at most once within it
+    Duration max_read_delay{};  // maximum time between an attempt's arrival and its being read
   };
-  // One entry by class id; every request handed in must be of one of these classes.
+  // `by_class` is indexed by class id. Every request passed to the table must be of one of these classes.
   explicit IdempotencyTable(std::vector<Rules> by_class) : rules_(std::move(by_class)) {}
 
-  // Whether the key is in use with another body: the request is then no attempt at what the key stands for.
+  // Returns whether the request's key is in use with a different body. The request is then not an attempt at
+  // the same work and must not share its payload.
   [[nodiscard]] bool has_different_body(const Request& request) const;
-  // Takes in an attempt, which counts as queued from here on. Returns the attempt that it repeats, if any:
-  // the one remembered, the one that ran, or one that came in the same `batch`.
+  // Adds an attempt to the queue of its key. Returns the attempt that it duplicates, if any: the one whose
+  // result is cached, the one that ran, or one that arrived in the same `batch`.
   std::optional<RequestId> add_attempt(const Request& request, RequestId id, std::uint64_t batch);
-  // Has later attempts that arrive by `until` be repeats of this one.
-  void remember(const Request& request, RequestId id, UnixTime until);
-  // Undoes remember(), if it was for this attempt.
-  void forget(const Request& request, RequestId id);
-  // The attempt has left the queue: it runs now, or it is over.
+  // Links attempts that arrive by `until` to this attempt as duplicates.
+  void cache_result(const Request& request, RequestId id, UnixTime until);
+  // Undoes cache_result() if the cached result is that of this attempt.
+  void evict_result(const Request& request, RequestId id);
+  // Removes the attempt from the queue of its key, because it has started or its request is closed.
   void remove_queued(const Request& request, RequestId id);
+  // Records the attempt as the key's run and removes it from the queue.
   void record_start(const Request& request, RequestId id);
+  // Records the result if the attempt is the key's latest run.
   void record_end(const Request& request, RequestId id, RunState state, PayloadPtr payload);
-  // The kernel never ran the attempt recorded as started: the key may run again.
+  // Deletes the recorded run of the attempt, because the kernel never ran it. The key may then run again.
   void discard_run(const Request& request, RequestId id);
 
-  // The run in whose window this attempt arrived, with a margin: the attempt must not run. Null: none. The
-  // pointer is valid until the next call that changes the table.
+  // Returns the run within whose retention() this attempt arrived, so that the attempt must not run; null if
+  // there is none. The pointer is valid until the next call that changes the table.
   [[nodiscard]] const Run* run_within_window(const Request& request) const;
-  // The latest run of the key, however long ago; null: none. Valid as above.
+  // Returns the latest run of the key that the table still holds, whatever its age; null if there is none.
+  // The pointer is valid until the next call that changes the table.
   [[nodiscard]] const Run* find_run(const Request& request) const;
-  // The window of the class, as set by its rules.
+  // Returns the idempotency window of the class.
   [[nodiscard]] Duration window(ClassId cls) const { return rules(cls).window; }
-  // How long after the arrival of the attempt that ran no other one runs: the window and a margin.
+  // Returns how long after the arrival of the attempt that ran no other attempt may run: the window plus a
+  // margin.
   [[nodiscard]] Duration retention(ClassId cls) const;
-  // Drops what no attempt can refer to any more.
+  // Removes entries that no attempt read after `now` can refer to.
   void expire(UnixTime now);
   [[nodiscard]] std::size_t size() const { return keys_.size(); }
 
  private:
-  struct Remembered {
+  struct CachedResult {
     RequestId attempt{};
-    UnixTime until;
+    UnixTime until;  // latest arrival of an attempt that is linked as a duplicate
   };
-  struct Queued {
+  struct QueuedAttempt {
     RequestId id{};
     std::uint64_t batch = 0;
   };
   struct Entry {
-    std::optional<Remembered> remembered;
+    std::optional<CachedResult> cached_result;
     std::optional<Run> run;
-    std::vector<Queued> queued;  // in order of arrival
-    std::size_t body_hash = 0;   // the same for all attempts
+    std::vector<QueuedAttempt> queued;  // in order of arrival
+    std::size_t body_hash = 0;          // the same for all attempts
   };
   using Key = std::pair<ClassId, std::string>;
 
-  static bool is_empty(const Entry& entry);
+  static bool is_unused(const Entry& entry);
   const Rules& rules(ClassId cls) const { return rules_.at(std::size_t(cls)); }
   Entry* find(const Request& request);
   const Entry* find(const Request& request) const;
