--- a/src/edge/name_registry.h
+++ b/src/edge/name_registry.h
@@ -1,4 +1,4 @@
-// The names of request classes and tenants in the platform's settings, and their ids.
+// Maps the names of request classes and tenants in the settings to their ids.
 //
 // A plain value: safe to read from any thread once built. Nothing here throws.
 #pragma once
@@ -16,14 +16,14 @@
 struct NameRegistry {
   std::vector<std::string> classes;
   std::vector<std::string> tenants;
-  std::vector<bool> key_required;  // by class: its requests carry an idempotency key
+  std::vector<bool> key_required;  // by class: whether its requests carry an idempotency key
 
-  // The id of the class with this name; nothing for an unknown name.
+  // Returns the id of the class with this name, or nullopt if the name is unknown.
   [[nodiscard]] std::optional<ClassId> find_class(std::string_view name) const;
-  // The id of the tenant with this name. For an empty or unknown name the id is one past the list, which the
-  // admission controller reads as "no tenant of its own".
+  // Returns the id of the tenant with this name. For an empty or unknown name the id is one past the end of
+  // the list, which the admission controller treats as a request without a tenant of its own.
   [[nodiscard]] TenantId find_tenant(std::string_view name) const;
-  // Whether requests of the class are idempotent by key, so that all attempts at one request share a key.
+  // Returns whether requests of the class are idempotent by key: all attempts of one request share a key.
   [[nodiscard]] bool requires_idempotency_key(ClassId id) const {
     return std::size_t(id) < key_required.size() && key_required[std::size_t(id)];
   }
