--- a/src/edge/fleet_messages.h
+++ b/src/edge/fleet_messages.h
@@ -1,5 +1,5 @@
-// What the edge learns from the fleet and from its own previous incarnation: membership views, warm state
-// and the end of the state transfer. Plain values.
+// Messages to the edge about the fleet and about the previous incarnation of this process: membership views,
+// warm state and the end of the state transfer. Plain values.
 #pragma once
 #include <cstddef>
 #include <memory>
@@ -10,28 +10,29 @@
 
 namespace granitegap::edge {
 
-// The newest view of the membership.
+// The latest membership view.
 struct MembershipUpdate {
   std::shared_ptr<const membership::View> view;
 };
 
-// What the disk has kept of the previous incarnation of this process.
+// What was read from disk about the previous incarnation of this process.
 struct PreviousIncarnationFound {
   recovery::PreviousIncarnation previous;
 };
 
-// Warm state of an earlier incarnation or of other members, already aged by its age.
+// Warm state of a previous incarnation or of other members. The ages in it include the age of the state
+// itself.
 struct WarmStateReceived {
   warm_state::WarmState state;
-  std::size_t donors = 0;  // members it came from; 0: an earlier incarnation
+  std::size_t donors = 0;  // number of members that sent it; 0: restored from a previous incarnation
 };
 
-// No donor is left to ask, or there was none.
+// The state transfer has ended: no donor is left to query, or there was none.
 struct StateTransferFinished {
-  std::size_t donors = 0;  // members that warm state came from
+  std::size_t donors = 0;  // number of members that sent warm state
 };
 
-// Asks for a new state transfer: the memory of this process is empty or out of date.
+// Requests a new state transfer, because the warm state of this process is empty or out of date.
 struct StateTransferRequested {};
 
 }  // namespace granitegap::edge
--- a/src/edge/kernel_messages.h
+++ b/src/edge/kernel_messages.h
@@ -1,5 +1,5 @@
-// What the edge exchanges with the kernel link: commands to start, stop and resume runs, and the kernel's
-// reports on them. Plain values; `rid` is the Request's.
+// Messages between the edge and the kernel link: commands to start, stop and resume runs, and the kernel's
+// reports on them. Plain values; `rid` is Request::rid.
 #pragma once
 #include <chrono>
 #include <cstdint>
@@ -13,21 +13,23 @@
 
 // ---- Commands to the kernel ----
 
+// Starts a run.
 struct StartRun {
   std::string rid;
   ClassId cls{};
   std::string body;
 };
-// Continues a run that was stopped where the kernel can pause runs.
+// Resumes a run that was stopped by a kernel that can pause runs.
 struct ResumeRun {
   std::string rid;
 };
-// Asks for a run to be preempted; its RunReport tells whether it was.
+// Requests the preemption of a run. RunReport::outcome shows whether the run was preempted.
 struct StopRun {
   std::string rid;
 };
+// Requests a Gauges report.
 struct PollGauges {};
-// Answered by a DeepHealthCheckResult with the same tag.
+// Checks the health of the kernel, which replies with a DeepHealthCheckResult with the same tag.
 struct DeepHealthCheck {
   std::uint64_t tag = 0;
 };
@@ -35,39 +37,45 @@
 
 // ---- Reports from the kernel ----
 
+// The kernel has started, or the link to it was re-established.
 struct KernelStarted {
-  bool cold = true;  // its caches have to warm up
+  bool cold = true;  // whether its caches still have to warm up
   std::chrono::milliseconds uptime{};
 };
 
+// The outcome of a run.
 enum class RunOutcome : std::uint8_t {
   ok,
   error,
   stopped,    // preempted
-  never_ran,  // the kernel dropped it before it began
+  never_ran,  // dropped by the kernel before it began
 };
+// A run has ended or was preempted.
 struct RunReport {
   std::string rid;
   RunOutcome outcome{};
-  Duration duration{};  // core time
-  std::string body;     // for ok
+  Duration duration{};  // core time used
+  std::string body;     // the result; only for RunOutcome::ok
 };
 
-// The run waits until a downstream call has been made for it.
+// The run is blocked until a call to a dependency has been made for it.
 struct DependencyCallRequested {
   std::string rid;
 };
 
 enum class CommandKind : std::uint8_t { start, resume, stop, other };
+// The kernel rejected a command and did not carry it out.
 struct CommandRejected {
   CommandKind kind{};
   std::string rid;
 };
 
+// The kernel's load gauges.
 struct Gauges {
-  std::vector<float> values;  // in the order of the settings
+  std::vector<float> values;  // in the order of the gauges in the settings
 };
 
+// The result of the DeepHealthCheck with the same tag.
 struct DeepHealthCheckResult {
   std::uint64_t tag = 0;
   bool healthy = false;
--- a/src/edge/open_requests.h
+++ b/src/edge/open_requests.h
@@ -1,8 +1,8 @@
-// The requests that the edge has taken in and whose work is not over, found by id, by the kernel's name for
-// the run, and by connection.
+// Table of the requests that the edge has accepted and whose work is not finished, indexed by id, by rid (the
+// kernel's id of the run), and by connection.
 //
 // Ownership: the table owns its entries; references stay valid until the entry is removed. Not safe for
-// concurrent calls. Errors: ids that are not in the table are programming errors, except for find().
+// concurrent calls. Errors: passing an id that is not in the table is a programming error, except to find().
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -18,44 +18,49 @@
 
 namespace granitegap::edge {
 
+// The processing stage of an open request.
 enum class RequestStage : std::uint8_t {
-  queued,             // the controller has not let it run yet
-  gathering,          // it may run, and gathers parts from dependencies first
-  running,            // the kernel runs it
-  paused,             // the kernel has stopped its run, which can be resumed
-  awaiting_original,  // repeats another attempt, and waits for that one's payload
+  queued,             // the admission controller has not started it yet
+  gathering,          // started by the controller; parts are being gathered from dependencies
+  running,            // the kernel is running it
+  paused,             // the kernel has paused its run, which can be resumed
+  awaiting_original,  // duplicates another attempt and waits for the payload of that attempt
 };
 
+// The state of one open request.
 struct OpenRequest {
   Request request;
   TimePoint stage_began_at;
   RequestStage stage = RequestStage::queued;
-  bool ran = false;                     // a run of it was started, at any time
-  bool answered = false;                // its response is given, or nobody can receive one
-  bool preempted = false;               // a run of it was stopped, at any time
-  bool read_after_grace = false;        // read so long after the notice to stop that it must not run
-  std::optional<RequestId> original{};  // the attempt that it repeats
-  std::vector<RequestId> followers{};   // repeats that wait for this one's payload
-  bool calls_began = false;             // while gathering: the calls are under way
-  std::vector<GatheredPart> parts{};    // gathered before its run
+  bool ran = false;                     // whether a run of it was ever started
+  bool answered = false;                // whether its response was sent, or its connection is closed
+  bool preempted = false;               // whether a run of it was ever preempted
+  bool read_after_grace = false;        // read after the drain's grace period, so that it must not run
+  std::optional<RequestId> original{};  // the attempt that it duplicates
+  std::vector<RequestId> followers{};   // duplicates that wait for the payload of this attempt
+  bool calls_began = false;             // in stage gathering: whether its gather has begun
+  std::vector<GatheredPart> parts{};    // the parts gathered before its run
   TimePoint gathered_at{};
 };
 
+// Owns the open requests.
 class OpenRequests {
  public:
-  // The id and the rid must be new.
+  // Adds an entry. The id and the rid must not be in the table.
   void add(RequestId id, OpenRequest open);
-  // Takes the entry out. The id must be in the table.
+  // Removes and returns the entry. The id must be in the table.
   OpenRequest remove(RequestId id);
 
-  // Null for an id that is not in the table.
+  // Returns null for an id that is not in the table.
   [[nodiscard]] OpenRequest* find(RequestId id);
   // The id must be in the table.
   [[nodiscard]] OpenRequest& at(RequestId id) { return by_id_.at(id); }
+  // Returns nullopt for a rid that is not in the table.
   [[nodiscard]] std::optional<RequestId> find_by_rid(const std::string& rid) const;
-  // What is open on a connection, in order of arrival.
+  // Returns the requests that are open on a connection, in order of arrival.
   [[nodiscard]] std::vector<RequestId> requests_of(PeerId peer) const;
-  // The same, and the connection is forgotten: later calls return nothing for these requests.
+  // Returns the same as requests_of() and removes the connection's index entry: later calls for the
+  // connection do not return these requests.
   [[nodiscard]] std::vector<RequestId> take_peer(PeerId peer);
   [[nodiscard]] std::size_t size() const { return by_id_.size(); }
 
