--- a/src/edge/edge_actor.cpp
+++ b/src/edge/edge_actor.cpp
@@ -6,8 +6,8 @@
 namespace granitegap::edge {
 namespace {
 
-// A request is 4 KiB at most, so that a full mailbox takes about a quarter of the memory. Guards against a
-// flood that is read faster than it is decided on.
+// Mailbox capacity per MB of memory. A request is at most 4 KiB, so a full mailbox takes about a quarter of
+// the memory. The bound limits memory use when requests are read faster than the edge processes them.
 constexpr std::size_t kMessagesPerMb = 64;
 
 }  // namespace
@@ -31,8 +31,8 @@
     const auto timer = edge_.next_timer();
     const auto until = timer ? Clock::time_point(timer->time_since_epoch()) : Clock::time_point::max();
     auto inputs = co_await mailbox_.take(until);
-    // Lets everything that is ready join the batch; and guards against a controller so busy that its timers
-    // are always due, which would never let a socket be served.
+    // Yields to the executor, so that all inputs that are ready join this batch. Without the yield, sockets
+    // would never be served while the controller's timers are continuously due.
     co_await boost::asio::post(boost::asio::use_awaitable);
     for (auto& input : co_await mailbox_.take(Clock::time_point::min())) inputs.push_back(std::move(input));
     for (auto& output : edge_.step(clocks_(), std::move(inputs))) dispatch_(std::move(output));
