--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -1,4 +1,4 @@
-// The step: inputs, timers, the controller's actions.
+// Edge::step(): inputs, timers and the actions of the admission controller.
 #include "edge/edge.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace granitegap::edge {
 namespace {
 
-constexpr Duration kMaxGaugeAge = std::chrono::milliseconds(500);  // older gauges tell nothing of now
+constexpr Duration kMaxGaugeAge = std::chrono::milliseconds(500);  // older gauges are not reported
 constexpr Duration kKeyExpiryInterval = std::chrono::milliseconds(250);
 constexpr Duration kDefaultWindow = std::chrono::seconds(60);
 constexpr Duration kDefaultDeadline = std::chrono::seconds(5);
@@ -24,9 +24,9 @@
 
 }  // namespace
 
-Edge::Edge(ParsedSettings settings, NameRegistry catalog, std::uint64_t seed)
+Edge::Edge(ParsedSettings settings, NameRegistry names, std::uint64_t seed)
     : settings_(std::move(settings)),
-      catalog_(std::move(catalog)),
+      names_(std::move(names)),
       seed_(seed),
       keys_(idempotency_rules(settings_.settings)),
       retry_jitter_(seed) {}
@@ -43,8 +43,8 @@
   return std::move(outputs_);
 }
 
-// Applying actions may end further requests, such as a repeat whose payload is at hand. Another round reports
-// that to the controller, until there is nothing left to report.
+// Applying actions may end further requests, such as a duplicate whose payload is available. Each round
+// reports the new events to the controller, until there are none.
 void Edge::run_controller() {
   for (;;) {
     for (const auto& ended : std::exchange(ended_gathers_, {})) finish_gather(ended);
@@ -66,9 +66,8 @@
 
 Duration Edge::longest_key_retention() const {
   Duration longest{};
-  for (std::size_t i = 0; i < catalog_.classes.size(); ++i)
-    if (catalog_.requires_idempotency_key(ClassId(i)))
-      longest = std::max(longest, keys_.retention(ClassId(i)));
+  for (std::size_t i = 0; i < names_.classes.size(); ++i)
+    if (names_.requires_idempotency_key(ClassId(i))) longest = std::max(longest, keys_.retention(ClassId(i)));
   return longest;
 }
 
@@ -83,7 +82,7 @@
 }
 
 void Edge::apply(const SetTimer& set) {
-  timers_.push({now_.steady + std::max(set.delay, Duration(1)), timer_order_++, set.token});
+  timers_.push({now_.steady + std::max(set.delay, Duration(1)), next_timer_order_++, set.token});
 }
 
 void Edge::on(const Gauges& gauges) {
@@ -91,7 +90,7 @@
   gauges_received_at_ = now_.steady;
 }
 
-// Timers never wait for gauges: the newest at hand go with them, or none.
+// Timers do not wait for gauges: the events carry the latest ones received, or none if those are too old.
 void Edge::fire_timers() {
   bool fired = false;
   while (!timers_.empty() && timers_.top().at <= now_.steady) {
@@ -100,7 +99,7 @@
     events_.emplace_back(with_gauges(token, fresh_gauges(), settings_.gauges));
     fired = true;
   }
-  if (fired) command(PollGauges{});
+  if (fired) send_command(PollGauges{});
   if (!scatter_gather_) return;
   scatter_gather_->tick(now_.steady);
   dispatch_calls();
@@ -113,7 +112,7 @@
 
 // ---- The log ----
 
-void Edge::apply(const Log& log) { log_event("module: " + log.message, "module"); }
+void Edge::apply(const Log& log) { log_event("admission controller: " + log.message, "module"); }
 
 void Edge::log_event(std::string text, std::string_view event, std::string subject) {
   outputs_.emplace_back(LogEvent{std::move(text), event, std::move(subject)});
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -1,15 +1,15 @@
-// The protocol-neutral core of the tile server: admits, runs and answers requests. It keeps the open
-// requests, the idempotency keys, the timers, and the state of health, drain and recovery around the
-// admission controller, which takes the decisions.
+// The protocol-neutral core of the tile server: admits, runs and answers requests. The edge keeps the open
+// requests, the idempotency keys, the timers, and the state of health, drain and recovery; the admission
+// controller makes the admission decisions.
 //
-// It reads no clock and does no I/O: whoever owns it hands in Inputs with the time, and carries out the
-// Outputs in order. Everything is exchanged by value.
+// The edge reads no clock and does no I/O: its owner passes in Inputs with the time and carries out the
+// Outputs in order. All data is exchanged by value.
 //
-// Each open request has one owner, its entry here, and one state. The entry goes when the work for it is over
-// and its response given; a response is made in one place only, and only once.
+// Each open request has exactly one entry, in OpenRequests, and one stage. The entry is removed when the work
+// for the request has ended and its response was made. A response is made in one place only, and only once.
 //
-// Threads: one thread at a time, with no call during another. Errors: none are thrown for what an input
-// holds; inputs about unknown or finished requests are ignored.
+// Threads: one thread at a time, without reentrant calls. Errors: no content of an input causes an exception;
+// inputs about unknown or finished requests are ignored.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -35,90 +35,91 @@
 
 namespace granitegap::edge {
 
-// How one process at a shared listening socket leases an idempotency key before it runs the request.
+// How a process that shares its listening socket leases an idempotency key before it runs the request.
 struct KeyLeaseHooks {
-  // Whether this process now holds the lease, so that the request may run here. The lease lasts for
-  // `retention`, counted from the request's arrival.
+  // Returns whether this process now holds the lease, so that the request may run here. The lease lasts for
+  // `retention` from the request's arrival.
   std::function<bool(const Request& request, Duration retention, UnixTime now)> acquire;
-  // Gives the lease back: the request never ran.
+  // Releases the lease of a request that never ran.
   std::function<void(const Request& request)> release;
 };
 
-// What this process publishes of itself to its fleet.
+// The status that this process publishes to its fleet.
 struct MemberStatus {
   membership::Stage stage = membership::Stage::starting;
   std::uint8_t warmup_percent = 0;  // 100: warmed up
-  std::uint8_t load_percent = 0;    // from the credit advertised; 100: no capacity is left
+  std::uint8_t load_percent = 0;    // derived from the advertised credit; 100: no capacity is left
   std::vector<membership::EndpointHealth> endpoint_health;
   membership::RecoveryStatus recovery_status;
 };
 
+// Admits, runs and answers requests, as the head of this file describes.
 class Edge {
  public:
-  // `seed` feeds all random choices: the same inputs then give the same outputs.
-  Edge(ParsedSettings settings, NameRegistry catalog, std::uint64_t seed);
+  // `seed` seeds all random choices: equal inputs and seeds give equal outputs.
+  Edge(ParsedSettings settings, NameRegistry names, std::uint64_t seed);
 
-  // ---- Optional parts; each at most once, before the first step ----
+  // ---- Optional features; each is enabled at most once, before the first step ----
 
-  // Makes one payload of the kernel's result and the gathered parts.
+  // Combines the kernel's result and the gathered parts into one payload.
   using Compose = std::function<Payload(std::string result, const std::vector<GatheredPart>& parts)>;
-  // Has classes gather parts from downstream dependencies before they run. With `guarded` false there are no
-  // retry budgets, limits or circuit breakers: a baseline for measurements.
+  // Lets requests gather parts from downstream dependencies before they run, as `spec` declares by class.
+  // With `guarded` false there are no retry budgets, limits or circuit breakers: a baseline for measurements.
   void enable_dependencies(std::shared_ptr<const deps::Spec> spec, Compose compose, bool guarded = true);
-  // Rejects requests with an idempotency key for as long as an earlier incarnation may have run them.
-  // `max_clock_back`: how far the wall clock may have been set back. `has_folder`: whether a shutdown record
-  // may exist.
-  void enable_restart_quarantine(Duration max_clock_back, bool has_folder, TimePoint started);
+  // Rejects requests with an idempotency key for as long as a previous incarnation may have run them.
+  // `max_clock_setback`: the maximum by which the wall clock may have been set back. `has_state_directory`:
+  // whether a shutdown record may exist.
+  void enable_restart_quarantine(Duration max_clock_setback, bool has_state_directory, TimePoint started);
   // Limits admission while this process recovers from a restart.
   void enable_recovery_ramp(const recovery::RecoveryOptions& options, TimePoint started);
-  // Another process may serve at the same listening socket: keys are leased before their requests run.
+  // For processes that share the listening socket with another one: leases keys before their requests run.
   void set_key_lease_hooks(KeyLeaseHooks hooks) { key_leases_ = std::move(hooks); }
 
   // ---- Work ----
 
-  // Handles all inputs since the last step, in order. Returns what to do now, in order.
+  // Handles all inputs since the last step, in order. Returns the outputs to carry out, in order.
   [[nodiscard]] std::vector<Output> step(Now now, std::vector<Input> inputs);
-  // When the next step is due without an input; nothing: not before one comes.
+  // Returns when the next step is due if no input arrives; nullopt: not before the next input.
   [[nodiscard]] std::optional<TimePoint> next_timer();
 
-  // ---- State, for the components around ----
+  // ---- State ----
 
-  // What operators and the process end have set. Whoever changes it hands in a LifecycleChanged.
+  // The lifecycle state that operators and the shutdown set. A change must be followed by a LifecycleChanged.
   lifecycle::Lifecycle& lifecycle() { return lifecycle_; }
   const lifecycle::Lifecycle& lifecycle() const { return lifecycle_; }
-  // Whether health checks succeed.
+  // Returns whether health checks succeed.
   [[nodiscard]] bool healthy() const { return controller_healthy_ && lifecycle_.accepts_traffic(); }
-  // The admission controller reports bad health, whatever operators have set.
+  // Returns whether the admission controller reports bad health, regardless of the lifecycle.
   [[nodiscard]] bool controller_unhealthy() const { return !controller_healthy_; }
-  // Every request has got its response.
+  // Returns whether every request has its response.
   [[nodiscard]] bool has_no_pending_responses() const { return pending_responses_ == 0; }
-  // Requests whose work is not over yet, answered or not.
+  // Number of requests whose work has not ended, answered or not.
   [[nodiscard]] std::size_t open_requests() const { return open_.size(); }
-  // Null without a recovery ramp. Valid as long as the edge.
+  // Returns null without a recovery ramp. The pointer is valid for the lifetime of the edge.
   [[nodiscard]] const recovery::RecoveryController* recovery() const {
     return recovery_ ? &*recovery_ : nullptr;
   }
   [[nodiscard]] MemberStatus member_status(TimePoint now) const;
-  // How long the restart quarantine lasts from `now`; Duration::max() where its end is not known yet.
+  // Returns the remaining time of the restart quarantine; Duration::max() if its end is not known yet.
   [[nodiscard]] Duration key_quarantine_left(TimePoint now) const;
-  // The longest time for which a key must not run again, over all classes.
+  // Returns the maximum, over all classes, of the time for which a key must not run again.
   [[nodiscard]] Duration longest_key_retention() const;
-  // What another incarnation of this process, or another member, can start from.
+  // Returns the warm state that the next incarnation of this process, or another member, can start from.
   [[nodiscard]] warm_state::WarmState export_warm_state(TimePoint now) const;
 
  private:
   struct Timer {
     TimePoint at;
-    std::uint64_t order;  // timers due at the same time fire in the order in which they were set
+    std::uint64_t order;  // breaks ties: timers due at the same time fire in the order they were set
     TimerToken token;
     bool operator>(const Timer& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
   struct Fleet {
-    double missing_share = 0;  // of the members agreed on
+    double missing_share = 0;  // share of the agreed members that is missing
     std::mt19937_64 retry_jitter;
   };
   struct RetryAdvice {
-    Duration retry_after{};  // 0: none
+    Duration retry_after{};  // 0: no Retry-After
     bool do_not_retry_elsewhere;
   };
 
@@ -145,7 +146,7 @@
   void on(const WarmStateReceived& received);
   void on(const StateTransferFinished& finished);
 
-  // ---- Actions of the controller ----
+  // ---- Actions of the admission controller ----
   void apply(const Run& run);
   void apply(const Reject& rejection);
   void apply(const Fail& failure);
@@ -169,30 +170,31 @@
   std::span<const float> fresh_gauges() const;
   void log_event(std::string text, std::string_view event, std::string subject = {});
   template <class KernelCommand>
-  void command(KernelCommand to_send) {
+  void send_command(KernelCommand to_send) {
     outputs_.emplace_back(std::in_place_type<Command>, std::move(to_send));
   }
 
   // ---- Requests: edge_requests.cpp ----
   bool is_acceptable(const Request& request) const;
-  bool has_bad_stamp(const Request& request) const;
-  bool is_past_grace() const;
+  bool has_invalid_arrival_time(const Request& request) const;
+  bool is_past_drain_grace() const;
   void abandon(RequestId id, OpenRequest& open);
   void stop_work(RequestId id, OpenRequest& open);
-  // The only place where the response to an open request is made; further calls for it do nothing.
+  // Makes the response to an open request. No other function does; further calls for the request do nothing.
   void respond(OpenRequest& open, Outcome outcome, PayloadPtr payload = nullptr,
                RetryAdvice advice = {{}, false});
-  // For requests that are not taken in.
+  // Rejects a request that has no entry in the table.
   void reject(const ReplyAddress& to, Duration retry_after = {});
   Duration spread_retry_after(Duration advised);
   void finish_follower(RequestId id, IdempotencyTable::RunState state, const PayloadPtr& payload);
-  // Ends the request; its followers get the payload.
+  // Removes the request's entry and answers its followers with the payload.
   void close_request(RequestId id, IdempotencyTable::RunState state, const PayloadPtr& payload);
 
   // ---- Runs: edge_runs.cpp ----
   void enter_stage(OpenRequest& open, RequestStage stage);
   void start_run(RequestId id, OpenRequest& open);
-  bool refuse_run(RequestId id, OpenRequest& open);  // true: it must not run, and is closed
+  // Returns true if the request must not run; it is then answered and closed.
+  bool close_if_run_forbidden(RequestId id, OpenRequest& open);
   bool acquire_key_lease(const Request& request);
   std::optional<RequestId> find_running(const std::string& rid);
   void finish_run(RequestId id, RunResult result, Duration duration, const PayloadPtr& payload);
@@ -212,7 +214,8 @@
   void log_fleet_share(const deps::FleetShareChanged& changed);
 
   // ---- Recovery and membership: edge_recovery.cpp ----
-  bool reject_quarantined(const Request& request);  // true: it is rejected
+  // Returns true if the request was rejected.
+  bool reject_quarantined(const Request& request);
   void update_recovery();
   void log_recovery();
   membership::RecoveryStatus recovery_status() const;
@@ -224,14 +227,14 @@
   void fail_deep_checks();
 
   ParsedSettings settings_;
-  NameRegistry catalog_;
+  NameRegistry names_;
   std::uint64_t seed_;
-  std::optional<AdmissionController> controller_;  // from the kernel's first start on
+  std::optional<AdmissionController> controller_;  // created at the kernel's first start
 
-  // Of the step under way.
+  // State of the current step.
   Now now_{};
   std::uint64_t batch_ = 0;
-  std::vector<Event> events_;  // not reported to the controller yet
+  std::vector<Event> events_;  // to be reported to the controller
   std::vector<Output> outputs_;
   std::vector<deps::GatherEnded> ended_gathers_;
 
@@ -243,30 +246,31 @@
   TimePoint keys_expired_at_;
 
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
-  std::uint64_t timer_order_ = 0;
+  std::uint64_t next_timer_order_ = 0;
   std::vector<float> gauges_;
   TimePoint gauges_received_at_;
 
-  std::optional<deps::ScatterGather> scatter_gather_;  // where dependencies are declared
+  std::optional<deps::ScatterGather> scatter_gather_;  // empty unless dependencies are enabled
   Compose compose_;
-  std::map<RequestId, std::uint64_t> cache_fills_;  // for other members: the tags of their queries
-  bool logged_call_request_ = false;
+  std::map<RequestId, std::uint64_t>
+      cache_fills_;                   // cache fills for other members: the tags of their queries
+  bool logged_call_request_ = false;  // that line is logged once per process
 
   lifecycle::Lifecycle lifecycle_;
   bool controller_healthy_ = true;
-  bool health_from_store_ = false;
-  std::optional<double> credit_;  // as the controller advertises it
+  bool health_from_state_ = false;
+  std::optional<double> advertised_credit_;  // none before the controller advertises it
   std::map<std::uint64_t, ReplyAddress> deep_checks_;
-  std::uint64_t next_deep_check_ = 1;
+  std::uint64_t next_deep_check_tag_ = 1;
   TimePoint kernel_started_at_{};
   std::optional<UnixTime> draining_since_;
   bool admission_closed_ = false;
 
-  std::optional<Fleet> fleet_;                             // once there is a membership view
-  std::optional<recovery::RestartQuarantine> quarantine_;  // where it is enabled
-  std::optional<recovery::RecoveryController> recovery_;   // where the ramp is enabled
-  std::mt19937_64 retry_jitter_;                           // of Retry-After during the recovery
-  AdmissionLimits admission_limits_;                       // as the controller knows it
+  std::optional<Fleet> fleet_;                             // empty until the first membership view
+  std::optional<recovery::RestartQuarantine> quarantine_;  // empty unless the quarantine is enabled
+  std::optional<recovery::RecoveryController> recovery_;   // empty unless the ramp is enabled
+  std::mt19937_64 retry_jitter_;                           // spreads Retry-After during a recovery
+  AdmissionLimits admission_limits_;                       // the limits last reported to the controller
   TimePoint recovery_ticked_at_{};
 };
 
--- a/src/edge/edge_dependencies.cpp
+++ b/src/edge/edge_dependencies.cpp
@@ -1,4 +1,4 @@
-// Downstream calls: the parts of a request, and cache fills for other members.
+// Calls to downstream dependencies: the parts of a request, and cache fills for other members.
 #include <chrono>
 #include <utility>
 
@@ -24,7 +24,7 @@
   return scatter_gather_ && open.parts.empty() && scatter_gather_->has_gather(open.request.cls);
 }
 
-// Only requests of classes with declared parts ask for calls: the kernel's protocol has none.
+// Only requests that gather parts before their run make calls: the kernel's protocol has no calls.
 void Edge::apply(const Call& call) {
   auto* open = open_.find(call.id);
   if (!open || open->stage != RequestStage::gathering) return apply(Fail{call.id});
@@ -39,13 +39,13 @@
 
 void Edge::begin_gather(RequestId id, OpenRequest& open, Duration budget, bool may_call) {
   if (open.calls_began) return;
-  if (!scatter_gather_->has_gather(open.request.cls)) {  // a new declaration came in between
+  if (!scatter_gather_->has_gather(open.request.cls)) {  // the declaration was replaced in the meantime
     if (may_call) events_.emplace_back(CallEnded{id, CallResult::ok, {}});
     return start_run(id, open);
   }
   open.calls_began = true;
   open.stage_began_at = now_.steady;
-  const auto& cls = catalog_.classes[std::size_t(open.request.cls)];
+  const auto& cls = names_.classes[std::size_t(open.request.cls)];
   scatter_gather_->begin(id, open.request.cls, {open.request.read_key, open.request.body, cls}, budget,
                          may_call, now_.steady);
   dispatch_calls();
@@ -73,7 +73,7 @@
   close_request(ended.id, IdempotencyTable::RunState::failed, nullptr);
 }
 
-// The parts have aged while the request ran, except for declared defaults.
+// Adds the time since the gather to the ages of the parts. Declared defaults have no age.
 PayloadPtr Edge::make_payload(OpenRequest& open, std::string result) {
   if (open.parts.empty() || !compose_)
     return std::make_shared<const Payload>(Payload{std::move(result), {}, {}});
@@ -112,8 +112,9 @@
   dispatch_calls();
 }
 
-// At once, as a call's path is only lent. Ends of gathers wait for the next round: they may end requests that
-// a caller of this function still refers to.
+// Converts the pending actions into outputs. Must be called right after the actions were made, because the
+// path of a StartCall is only borrowed. The ends of gathers are deferred to the next round of
+// run_controller(): they may close requests that a caller of this function still references.
 void Edge::dispatch_calls() {
   const Overloaded dispatch{
       [this](const deps::StartCall& start) { outputs_.emplace_back(make_call(start)); },
@@ -144,16 +145,20 @@
 void Edge::log_dependency_change(const deps::CircuitBreakerChanged& changed) {
   const auto& name = scatter_gather_->dependency(changed.dependency).name;
   if (changed.is_open)
-    return log_event(name + " is out: going on without it, and probing", "dependency_out", name);
+    return log_event("dependency " + name + " is unavailable: circuit breaker open, sending only probes",
+                     "dependency_out", name);
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(changed.was_open_for).count();
-  log_event(name + " is back after " + std::to_string(ms) + " ms", "dependency_back", name);
+  log_event("dependency " + name + " is available again after " + std::to_string(ms) +
+                " ms: circuit breaker closed, calls resume",
+            "dependency_back", name);
 }
 
 void Edge::log_fleet_share(const deps::FleetShareChanged& changed) {
   const auto& name = scatter_gather_->dependency(changed.dependency).name;
-  log_event(name + ": fleet_open share " + std::to_string(changed.share) + " of " +
-                std::to_string(changed.limit) + ", divided by " + std::to_string(changed.divisor.members) +
-                ": " + membership::text_of(changed.divisor.reason),
+  log_event("dependency " + name + ": this member's share of fleet_open is now " +
+                std::to_string(changed.share) + " of " + std::to_string(changed.limit) + ", divided by " +
+                std::to_string(changed.divisor.members) + " (" + membership::text_of(changed.divisor.reason) +
+                ")",
             "fleet_share", name);
 }
 
--- a/src/edge/edge_health.cpp
+++ b/src/edge/edge_health.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kMaxDeepChecks = 64;
 constexpr Duration kMaxKernelUptime = std::chrono::hours(24);
-// Two reports of one kernel start differ by less than this.
+// Maximum difference between the start times that two reports of one kernel start give.
 constexpr Duration kSameStartTolerance = std::chrono::seconds(2);
 constexpr Duration kDefaultWarmUp = std::chrono::seconds(60);
 
@@ -20,30 +20,31 @@
 
 void Edge::on(const HealthCheck& check) {
   const bool wants_kernel =
-      check.deep && settings_.settings.deep_health_checks.value_or(false) && !health_from_store_ && healthy();
+      check.deep && settings_.settings.deep_health_checks.value_or(false) && !health_from_state_ && healthy();
   if (!controller_ || !wants_kernel || deep_checks_.size() >= kMaxDeepChecks) {
-    outputs_.emplace_back(HealthResponse{check.reply_to, healthy(), credit_});
+    outputs_.emplace_back(HealthResponse{check.reply_to, healthy(), advertised_credit_});
     return;
   }
-  deep_checks_[next_deep_check_] = check.reply_to;
-  command(DeepHealthCheck{next_deep_check_++});
+  deep_checks_[next_deep_check_tag_] = check.reply_to;
+  send_command(DeepHealthCheck{next_deep_check_tag_++});
 }
 
 void Edge::on(const DeepHealthCheckResult& result) {
   const auto check = deep_checks_.extract(result.tag);
-  if (check) outputs_.emplace_back(HealthResponse{check.mapped(), result.healthy && healthy(), credit_});
+  if (check)
+    outputs_.emplace_back(HealthResponse{check.mapped(), result.healthy && healthy(), advertised_credit_});
 }
 
 void Edge::apply(const SetHealth& health) {
   if (lifecycle_.handing_over()) return;
-  health_from_store_ = health.answer_from_state;
+  health_from_state_ = health.answer_from_state;
   const bool is_healthy = health.healthy && !draining_since_;
   if (std::exchange(controller_healthy_, is_healthy) != is_healthy) publish_load_report();
   if (recovery_) recovery_->on_health_check(controller_healthy_, now_.steady);
 }
 
 void Edge::apply(const AdvertiseCredit& advertised) {
-  if (!lifecycle_.handing_over()) credit_ = std::max(advertised.credit, 0.0);
+  if (!lifecycle_.handing_over()) advertised_credit_ = std::max(advertised.credit, 0.0);
 }
 
 void Edge::apply(const CloseIdleConnections& close) { outputs_.emplace_back(CloseIdlePeers{close.idle_for}); }
@@ -57,8 +58,8 @@
 
 // ---- The kernel's start ----
 
-// The kernel's start is the controller's: it may come long after this process's, and how warm the cores are
-// counts from it. Later connections only repeat the report.
+// The controller starts with the kernel, which may start long after this process; the warm-up of the cores
+// counts from the kernel's start. Later connections to the same kernel repeat the report.
 void Edge::on(const KernelStarted& started) {
   const auto started_at = now_.steady - std::min<Duration>(started.uptime, kMaxKernelUptime);
   const bool is_restart =
@@ -86,7 +87,8 @@
 void Edge::on(const Drain& drain) {
   if (draining_since_) return;
   draining_since_ = now_.unix;
-  // While handing over, no caller is told to go elsewhere: that would be read as about the successor too.
+  // While handing over, health stays good: callers would apply a bad report to the successor as well, because
+  // it serves at the same listening socket.
   if (!lifecycle_.handing_over()) {
     controller_healthy_ = false;
     publish_load_report();
@@ -95,10 +97,10 @@
   if (controller_) events_.emplace_back(DrainStarted{drain.time_left});
 }
 
-// Deep checks under way are answered now: the kernel's result may come late, or never.
+// Answers the deep checks in progress now, because the kernel's result may arrive late or never.
 void Edge::fail_deep_checks() {
   for (const auto& [tag, reply_to] : std::exchange(deep_checks_, {}))
-    outputs_.emplace_back(HealthResponse{reply_to, false, credit_});
+    outputs_.emplace_back(HealthResponse{reply_to, false, advertised_credit_});
 }
 
 void Edge::on(const AdmissionClosed&) { admission_closed_ = true; }
--- a/src/edge/edge_recovery.cpp
+++ b/src/edge/edge_recovery.cpp
@@ -1,4 +1,4 @@
-// Recovery from a restart: the quarantine of idempotency keys, the ramp, warm state, and the membership.
+// Recovery from a restart: the quarantine of idempotency keys, the ramp, warm state, and membership.
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -13,13 +13,13 @@
 constexpr Duration kRecoveryTick = std::chrono::milliseconds(100);
 constexpr Duration kMinQuarantineAdvice = std::chrono::milliseconds(1);
 constexpr Duration kDefaultWarmUp = std::chrono::seconds(60);
-constexpr std::int64_t kMaxFullAfterMs = 0xfffffff0;  // what the membership's wire has room for
+constexpr std::int64_t kMaxFullServiceMs = 0xfffffff0;  // fits the 32-bit field of the membership metadata
 
 std::int64_t to_ms(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-// 100 where no credit is left.
+// Returns 100 if no credit is left.
 std::uint8_t load_percent(double credit) {
   return std::uint8_t(std::clamp(100 / (1 + std::max(credit, 0.0)), 0.0, 100.0));
 }
@@ -30,23 +30,24 @@
 
 // ---- The restart quarantine ----
 
-void Edge::enable_restart_quarantine(Duration max_clock_back, bool has_folder, TimePoint started) {
+void Edge::enable_restart_quarantine(Duration max_clock_setback, bool has_state_directory,
+                                     TimePoint started) {
   recovery::RestartQuarantine::Options options;
   for (std::size_t i = 0; i < settings_.settings.classes.size(); ++i) {
     const ClassId cls = ClassId(i);
-    options.idempotency_windows.push_back(catalog_.requires_idempotency_key(cls) ? keys_.window(cls)
-                                                                                 : Duration{});
+    options.idempotency_windows.push_back(names_.requires_idempotency_key(cls) ? keys_.window(cls)
+                                                                               : Duration{});
   }
-  options.max_clock_setback = max_clock_back;
-  options.has_state_directory = has_folder;
+  options.max_clock_setback = max_clock_setback;
+  options.has_state_directory = has_state_directory;
   quarantine_.emplace(std::move(options), started);
 }
 
-// A request that an earlier incarnation may have run is rejected before it costs anything, with the time
-// after which to retry. By when it reached the machine: guards against one that lay unread until the
-// quarantine was over.
+// Rejects a request that a previous incarnation may have run, before any work is done for it, with the time
+// after which to retry. The time that counts is the arrival at the machine: a request that stayed unread in a
+// socket until the quarantine ended must still be rejected.
 bool Edge::reject_quarantined(const Request& request) {
-  if (!quarantine_ || !catalog_.requires_idempotency_key(request.cls)) return false;
+  if (!quarantine_ || !names_.requires_idempotency_key(request.cls)) return false;
   const auto arrived_at = now_.steady - std::max(now_.unix - request.arrived_at, Duration{});
   if (!quarantine_->is_quarantined(request.cls, arrived_at)) return false;
   const auto max_advice = settings_.settings.max_retry_after.value_or(Duration{});
@@ -62,9 +63,9 @@
   quarantine_->on_previous_incarnation(found.previous, now_.steady);
   const auto left = key_quarantine_left(now_.steady);
   if (left == Duration::max() || left <= Duration{}) return;
-  log_event(
-      "keyed requests wait " + std::to_string(to_ms(left)) + " ms for what an earlier life may have run",
-      "keyed_wait");
+  log_event("requests with an idempotency key are rejected for " + std::to_string(to_ms(left)) +
+                " ms: a previous incarnation of this process may have run them",
+            "keyed_wait");
 }
 
 Duration Edge::key_quarantine_left(TimePoint now) const {
@@ -79,8 +80,7 @@
   recovery_.emplace(options, started);
 }
 
-// What recovery has found reaches the controller as a bound: the controller stays the one that admits, orders
-// and rejects.
+// Passes the limits of the recovery to the controller, which alone admits, orders and rejects requests.
 void Edge::update_recovery() {
   if (controller_ && now_.steady - recovery_ticked_at_ >= kRecoveryTick) {
     recovery_ticked_at_ = now_.steady;
@@ -110,13 +110,15 @@
   const bool from_disk = received.donors == 0;
   if (recovery_ && from_disk) recovery_->on_last_known_members(received.state.members.size(), now_.steady);
   if (!scatter_gather_) return;
-  const auto source =
-      from_disk ? std::string("an earlier life") : std::to_string(received.donors) + " other members";
+  const auto source = from_disk ? std::string("the previous incarnation of this process")
+                                : std::to_string(received.donors) + " other members";
   const auto used = scatter_gather_->restore(received.state, now_.steady);
   if (used.endpoints > 0)
-    log_event("learned of " + std::to_string(used.endpoints) + " endpoints from " + source, "learned");
+    log_event("restored the health of " + std::to_string(used.endpoints) + " endpoints from " + source,
+              "learned");
   if (used.responses > 0)
-    log_event("learned " + std::to_string(used.responses) + " kept answers from " + source, "learned_parts");
+    log_event("restored " + std::to_string(used.responses) + " cached responses from " + source,
+              "learned_parts");
 }
 
 void Edge::on(const StateTransferFinished& finished) {
@@ -129,25 +131,26 @@
   return state;
 }
 
-// ---- The membership ----
+// ---- Membership ----
 
 void Edge::on(const MembershipUpdate& update) {
   if (!update.view) return;
   const auto& view = *update.view;
   if (!fleet_) fleet_ = Fleet{0, std::mt19937_64(seed_)};
-  // Without a majority the missing one may be this process: its Retry-After stays as it is.
+  // Without a quorum this process may itself be the one cut off, so that the view does not affect its
+  // Retry-After.
   fleet_->missing_share = view.has_quorum ? membership::missing_fraction(view) : 0;
   if (recovery_) recovery_->on_fleet_status(recovery::fleet_status_of(view), now_.steady);
   if (quarantine_) quarantine_->on_name_conflict(view.name_conflict, now_.steady);
   if (!scatter_gather_) return;
   scatter_gather_->on_membership_view(update.view, now_.steady);
-  dispatch_calls();  // at once: calls that a larger share lets start only lend their paths
+  dispatch_calls();  // must follow at once: the paths of calls that a larger share starts are only borrowed
 }
 
 MemberStatus Edge::member_status(TimePoint now) const {
   MemberStatus status;
   if (scatter_gather_) status.endpoint_health = scatter_gather_->endpoint_health(now);
-  if (credit_) status.load_percent = load_percent(*credit_);
+  if (advertised_credit_) status.load_percent = load_percent(*advertised_credit_);
   if (recovery_) status.recovery_status = recovery_status();
   if (!controller_) return status;
   status.warmup_percent = percent(warmup_fraction(now));
@@ -165,12 +168,13 @@
   membership::RecoveryStatus status;
   status.phase = recovery::metadata_value_of(recovery_->phase());
   status.offered_percent = std::uint8_t(std::lround(100 * recovery_->advertised_share()));
-  if (const auto full_after = recovery_->timeline().in_service)
-    status.full_service_ms = std::uint32_t(std::clamp<std::int64_t>(to_ms(*full_after), 1, kMaxFullAfterMs));
+  if (const auto full_service_after = recovery_->timeline().in_service)
+    status.full_service_ms =
+        std::uint32_t(std::clamp<std::int64_t>(to_ms(*full_service_after), 1, kMaxFullServiceMs));
   return status;
 }
 
-// 0 to 1: how far the cores' slow start has come.
+// Returns the progress of the cores' warm-up: 0 at the kernel's cold start, 1 or more when it is over.
 double Edge::warmup_fraction(TimePoint now) const {
   if (!settings_.settings.cold.value_or(true)) return 1;
   const auto warm_up = settings_.settings.warm_up.value_or(kDefaultWarmUp);
--- a/src/edge/edge_requests.cpp
+++ b/src/edge/edge_requests.cpp
@@ -1,4 +1,4 @@
-// Requests from their arrival to their response, and callers that go.
+// Requests from their arrival to their response, and callers that disconnect or cancel.
 #include <algorithm>
 #include <utility>
 
@@ -7,9 +7,9 @@
 namespace granitegap::edge {
 namespace {
 
-// Before the end of the grace: the notice to stop is received a little after it was given.
+// Subtracted from the drain's grace period, because this process receives the stop notice with a delay.
 constexpr Duration kGraceMargin = std::chrono::milliseconds(100);
-// Stamps are of this machine's own clock.
+// Tolerance for arrival stamps, which are taken by the clock of this machine.
 constexpr Duration kMaxClockSkew = std::chrono::seconds(1);
 
 }  // namespace
@@ -28,28 +28,29 @@
   arrived.key = request.read_key;
   arrived.cost_hint = request.cost_hint;
   arrived.memory = request.memory;
-  // Its stamp is of another clock than the controller's: only the span carries over, and never a negative
-  // one.
+  // The arrival stamp is wall-clock time and the controller uses the steady clock, so only the elapsed time
+  // is passed on. It is never negative.
   arrived.unread_wait = std::max(now_.unix - request.arrived_at, Duration{});
   arrived.duplicate_of = keys_.add_attempt(request, id, batch_);
   open_.add(id, OpenRequest{.request = std::move(request),
                             .stage_began_at = now_.steady,
-                            .read_after_grace = is_past_grace(),
+                            .read_after_grace = is_past_drain_grace(),
                             .original = arrived.duplicate_of});
   ++pending_responses_;
   events_.emplace_back(arrived);
 }
 
-// A rid names one attempt: a second one under it could not be told apart in the kernel's reports. And a
-// key's payload is that of the body it came with: nothing else may be served with it.
+// A rid identifies one attempt: the kernel's reports could not distinguish two attempts with the same rid. A
+// key's payload belongs to the body that the key first arrived with: a request with another body must not be
+// served with it.
 bool Edge::is_acceptable(const Request& request) const {
-  return !admission_closed_ && controller_ && !open_.find_by_rid(request.rid) && !has_bad_stamp(request) &&
-         !keys_.has_different_body(request);
+  return !admission_closed_ && controller_ && !open_.find_by_rid(request.rid) &&
+         !has_invalid_arrival_time(request) && !keys_.has_different_body(request);
 }
 
-// Guards against stamps that no request of this machine can bear: in the future, or past the moment when it
-// was due its response. Such a stamp would also move the window in which its key must not run again.
-bool Edge::has_bad_stamp(const Request& request) const {
+// An arrival stamp is invalid if it lies in the future, or so far in the past that the response was due
+// already. Such a stamp would also shift the window in which the request's key must not run again.
+bool Edge::has_invalid_arrival_time(const Request& request) const {
   const auto& settings = settings_.settings;
   const auto cls = std::size_t(request.cls);
   if (request.arrived_at > now_.unix + kMaxClockSkew) return true;
@@ -58,9 +59,9 @@
   return now_.unix > due + settings.answer_slack.value_or(Duration{}) + kMaxClockSkew;
 }
 
-// By when it is read, not by its stamp: guards against a request that waited for its connection, so that it
-// was written later than its stamp tells.
-bool Edge::is_past_grace() const {
+// Uses the time at which the request is read and not its arrival stamp: a request that waited for its
+// connection was written later than its stamp.
+bool Edge::is_past_drain_grace() const {
   if (!draining_since_ || lifecycle_.handing_over()) return false;
   const auto grace = settings_.settings.drain_grace.value_or(Duration{});
   return now_.unix > *draining_since_ + std::max(grace - kGraceMargin, Duration{});
@@ -68,10 +69,10 @@
 
 void Edge::on(const MalformedRequest& request) { reject(request.reply_to); }
 
-// ---- Callers that go ----
+// ---- Callers that disconnect or cancel ----
 
-// Guards against work for a connection that can't carry its response. A run under way goes on under the
-// controller's decisions, and its end is reported like any other.
+// Ends the work for requests whose connection is closed and so cannot carry a response. A run in progress
+// continues unless the controller stops it, and its end is reported like that of any other run.
 void Edge::on(const PeerDisconnected& disconnected) {
   for (const auto id : open_.take_peer(disconnected.peer)) {
     auto* open = open_.find(id);
@@ -92,16 +93,17 @@
   }
 }
 
-// The response is given, or nobody can receive it. Work for it ends, unless a repeat waits for the payload:
-// guards against a lost connection that fails the retry which came in time.
+// Called when the request is answered or its connection is closed. Ends the work for the request, unless a
+// duplicate waits for its payload: a lost connection must not fail a retry that arrived in time.
 void Edge::abandon(RequestId id, OpenRequest& open) {
   if (!open.followers.empty()) return;
   events_.emplace_back(RequestAbandoned{id});
   stop_work(id, open);
 }
 
-// The response is given, or nobody can receive it: the request is over, but for a run, whose end the kernel
-// reports. Its calls to dependencies end with it, unless a repeat waits for what comes of them.
+// Called when the request is answered or its connection is closed. Closes the request, unless it is running:
+// the kernel then reports the end of the run. Its calls to dependencies are cancelled, unless a duplicate
+// waits for its payload.
 void Edge::stop_work(RequestId id, OpenRequest& open) {
   if (open.stage == RequestStage::running) return;
   if (open.stage == RequestStage::gathering) {
@@ -121,19 +123,19 @@
   if (std::exchange(open.answered, true)) return;
   --pending_responses_;
   if (recovery_) recovery_->on_response(outcome == Outcome::served, now_.steady);
-  outputs_.emplace_back(Response{open.request.reply_to, outcome, std::move(payload), credit_,
+  outputs_.emplace_back(Response{open.request.reply_to, outcome, std::move(payload), advertised_credit_,
                                  advice.retry_after, advice.do_not_retry_elsewhere});
 }
 
 void Edge::reject(const ReplyAddress& to, Duration retry_after) {
-  outputs_.emplace_back(Response{to, Outcome::rejected, nullptr, credit_, retry_after, false});
+  outputs_.emplace_back(Response{to, Outcome::rejected, nullptr, advertised_credit_, retry_after, false});
 }
 
 void Edge::apply(const Reject& rejection) {
   auto* open = open_.find(rejection.id);
   if (!open) return;
   if (recovery_ && rejection.retry_after.count() > 0) recovery_->on_request_rejected(now_.steady);
-  // A rejection promises that this attempt never ran.
+  // Outcome::rejected guarantees that this attempt never ran.
   respond(*open, open->ran ? Outcome::failed : Outcome::rejected, nullptr,
           {spread_retry_after(rejection.retry_after), rejection.do_not_retry_elsewhere});
   stop_work(rejection.id, *open);
@@ -146,9 +148,9 @@
   stop_work(failure.id, *open);
 }
 
-// Spreads the controller's advice in time while part of the fleet is missing, and over the time that a
-// recovery will still take. Guards against callers that come together again and again while there is no more
-// capacity than the last time.
+// Adds jitter to the controller's Retry-After: during a recovery, over a part of its remaining time, and
+// while members of the fleet are missing, in proportion to their share. Without jitter, rejected callers
+// would retry simultaneously while the capacity is still too low.
 Duration Edge::spread_retry_after(Duration advised) {
   std::uniform_real_distribution<double> unit(0, 1);
   const auto max_advice = settings_.settings.max_retry_after.value_or(advised);
@@ -200,7 +202,7 @@
   close_request(id, state, nullptr);
 }
 
-// ---- The end ----
+// ---- Closing a request ----
 
 void Edge::close_request(RequestId id, IdempotencyTable::RunState state, const PayloadPtr& payload) {
   const auto open = open_.remove(id);
--- a/src/edge/edge_runs.cpp
+++ b/src/edge/edge_runs.cpp
@@ -1,9 +1,26 @@
-// Runs in the kernel: start, preemption, reports.
+// Runs in the kernel: start, preemption and reports.
 #include <utility>
 
 #include "edge/edge.h"
 
 namespace granitegap::edge {
+namespace {
+
+const char* name_of(CommandKind kind) {
+  switch (kind) {
+    case CommandKind::start:
+      return "start";
+    case CommandKind::resume:
+      return "resume";
+    case CommandKind::stop:
+      return "stop";
+    case CommandKind::other:
+      break;
+  }
+  return "unknown";
+}
+
+}  // namespace
 
 void Edge::enter_stage(OpenRequest& open, RequestStage stage) {
   open.stage = stage;
@@ -20,29 +37,29 @@
   }
   if (open->stage == RequestStage::paused) {
     enter_stage(*open, RequestStage::running);
-    return command(ResumeRun{open->request.rid});
+    return send_command(ResumeRun{open->request.rid});
   }
   if (open->stage != RequestStage::queued) return;
   const bool must_not_run = open->read_after_grace || keys_.run_within_window(open->request);
   if (must_not_run || !needs_gather(*open)) return start_run(run.id, *open);
-  // Nothing reaches the kernel before its parts are there: a required one that fails costs no core time, and
-  // a rejection stays true.
+  // The request is sent to the kernel only after its parts were gathered: a missing required part then costs
+  // no core time, and a request that is rejected meanwhile has never run.
   enter_stage(*open, RequestStage::gathering);
   events_.emplace_back(CallNeeded{run.id});
 }
 
 void Edge::start_run(RequestId id, OpenRequest& open) {
-  if (refuse_run(id, open)) return;
+  if (close_if_run_forbidden(id, open)) return;
   enter_stage(open, RequestStage::running);
   open.ran = true;
   keys_.record_start(open.request, id);
-  command(StartRun{open.request.rid, open.request.cls, open.request.body});
+  send_command(StartRun{open.request.rid, open.request.cls, open.request.body});
 }
 
-// The last guard of two rules, whatever the controller decides: no attempt of a request runs again within the
-// window of the one that ran, here or in another process; and nothing runs that was read too long after the
-// notice to stop.
-bool Edge::refuse_run(RequestId id, OpenRequest& open) {
+// The final check of two rules, independent of the controller's decision: no attempt of a request runs within
+// the idempotency window of an attempt that ran, in this process or another one; and no request runs that was
+// read after the drain's grace period.
+bool Edge::close_if_run_forbidden(RequestId id, OpenRequest& open) {
   const auto end = [&](Outcome outcome, PayloadPtr payload = nullptr) {
     events_.emplace_back(RunEnded{id, RunResult::moot, {}});
     respond(open, outcome, std::move(payload));
@@ -54,8 +71,8 @@
     return succeeded ? end(Outcome::served, run->payload) : end(Outcome::failed);
   }
   if (open.read_after_grace) return end(Outcome::rejected);
-  // What another process may have run, or may be running, is not run here. The response has no Retry-After:
-  // that would be advice about the whole server, which is healthy.
+  // A request that another process may have run, or may be running, must not run here. The response has no
+  // Retry-After, which callers would apply to the whole server although it is healthy.
   if (!acquire_key_lease(open.request)) return end(open.ran ? Outcome::failed : Outcome::rejected);
   return false;
 }
@@ -68,9 +85,9 @@
 void Edge::apply(const Suspend& suspend) {
   const auto* open = open_.find(suspend.id);
   if (!open || open->stage != RequestStage::running) return;
-  // A run that others wait for is not stopped because its own caller has gone.
+  // A run whose payload duplicates wait for is not stopped when its own caller has disconnected.
   const bool is_wanted = !open->followers.empty();
-  if (!open->answered || !is_wanted) command(StopRun{open->request.rid});
+  if (!open->answered || !is_wanted) send_command(StopRun{open->request.rid});
 }
 
 // ---- Reports of the kernel ----
@@ -121,32 +138,38 @@
   close_request(id, state, payload);
 }
 
-// The kernel's protocol names no way to make a call for a run: the request is given up at once, and the
-// kernel ends the run of a request that is over.
+// The kernel's protocol has no message that makes a call for a run, so the request fails at once. The kernel
+// ends the run of a request that is over.
 void Edge::on(const DependencyCallRequested& call) {
   const auto id = find_running(call.rid);
   if (!id) return;
   auto& open = open_.at(*id);
   if (!std::exchange(logged_call_request_, true))
-    log_event("kernel wants a call below for request " + call.rid + ": not known here, such requests fail",
+    log_event("kernel requested a dependency call for request " + call.rid +
+                  ", which is not supported: failing this and all such requests",
               "call_wanted", call.rid);
   events_.emplace_back(CallNeeded{*id});
   respond(open, Outcome::failed);
   abandon(*id, open);
 }
 
-// A command that the kernel would not carry out must not strand its request: the run is over, with an error.
+// After a rejected start or resume no report of the run follows, so the run ends here with an error.
+// Otherwise its request would stay open.
 void Edge::on(const CommandRejected& rejected) {
-  log_event("kernel rejected a command for request " + rejected.rid, "kernel_rejected", rejected.rid);
-  if (rejected.kind == CommandKind::stop) return;
+  const bool run_goes_on = rejected.kind == CommandKind::stop;
+  log_event(std::string("kernel rejected the ") + name_of(rejected.kind) + " command for request " +
+                rejected.rid + (run_goes_on ? ": its run continues" : ": failing the request if it is open"),
+            "kernel_rejected", rejected.rid);
+  if (run_goes_on) return;
   const auto id = find_running(rejected.rid);
   if (!id) return;
-  // Guards against a key spent for its window by an attempt that the kernel never knew.
+  // The kernel never accepted the attempt, so its key must stay usable within the window.
   discard_run(*id, open_.at(*id));
   finish_run(*id, RunResult::error, {}, nullptr);
 }
 
-// A run that was preempted once has run, whatever comes of its next start.
+// Deletes the record of a run that never took place, so that the key may run again. A run that was preempted
+// has taken place, whatever the result of its next start.
 void Edge::discard_run(RequestId id, const OpenRequest& open) {
   if (open.preempted) return;
   keys_.discard_run(open.request, id);
--- a/tests/recovery_dependency_process_test.cpp
+++ b/tests/recovery_dependency_process_test.cpp
@@ -86,7 +86,8 @@
   EXPECT_TRUE(
       f.wait_until([&] { return f.says("endpoints from ", "n2") && f.says("other members", "n2"); }, kLong))
       << f.log("n2");
-  EXPECT_TRUE(f.says("learned of 1 endpoints", "n2") || f.says("learned of 2 endpoints", "n2"))
+  EXPECT_TRUE(f.says("restored the health of 1 endpoints", "n2") ||
+              f.says("restored the health of 2 endpoints", "n2"))
       << f.log("n2");
 }
 
@@ -146,7 +147,7 @@
     }
     f.start("n0");
     ASSERT_TRUE(f.wait_until(
-        [&] { return f.says("kept answers from", "n0") && f.port("n0") && f.answers("n0"); }, kLong))
+        [&] { return f.says("cached responses from", "n0") && f.port("n0") && f.answers("n0"); }, kLong))
         << f.log("n0");
     for (int k = 0; k < 10; ++k) EXPECT_TRUE(f.whole("n0", "r" + std::to_string(k)));
     EXPECT_EQ(service.calls(), before);
--- a/tests/recovery_process_test.cpp
+++ b/tests/recovery_process_test.cpp
@@ -95,9 +95,10 @@
   EXPECT_TRUE(f.wait_until(
       [&] { return f.says("the previous process shut down gracefully") && f.port("n0"); }, kLong));
   const auto told = f.log("n0");
-  const auto at = told.rfind("keyed requests wait ");
+  const std::string wait_line = "requests with an idempotency key are rejected for ";
+  const auto at = told.rfind(wait_line);
   ASSERT_NE(at, std::string::npos) << told;
-  EXPECT_GT(std::stoll(told.substr(at + 20)), 50'000);
+  EXPECT_GT(std::stoll(told.substr(at + wait_line.size())), 50'000);
 }
 
 // The kernel outlives the process and tells of the earlier life's runs, before BOOTED and under its numbers:
@@ -184,7 +185,7 @@
     f.up();
     EXPECT_TRUE(f.wait_until([&] { return f.says("recovery: snapshot loaded"); }, kLong));
     EXPECT_TRUE(f.answers("n0"));
-    EXPECT_EQ(f.says("learned of 1 endpoints"), !old) << f.log("n0");
+    EXPECT_EQ(f.says("restored the health of 1 endpoints"), !old) << f.log("n0");
   }
 }
 
