--- a/src/admin/codec.cpp
+++ b/src/admin/codec.cpp
@@ -12,7 +12,7 @@
 
 bool is_printable_ascii(char c) { return c >= ' ' && c < 127; }
 
-std::optional<Command> command_named(std::string_view word) {
+std::optional<Command> find_command(std::string_view word) {
   for (const auto& [name, command] : kCommands)
     if (name == word) return command;
   return std::nullopt;
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-const char* text_of(CommandError error) {
+const char* error_text(CommandError error) {
   switch (error) {
     case CommandError::empty_line:
       return "empty line: expected health, quiesce or resume";
@@ -41,7 +41,7 @@
   if (line.empty()) return CommandError::empty_line;
   if (!std::all_of(line.begin(), line.end(), is_printable_ascii)) return CommandError::not_text;
   const auto space = line.find(' ');
-  const auto command = command_named(line.substr(0, space));
+  const auto command = find_command(line.substr(0, space));
   if (!command) return CommandError::unknown_command;
   if (space != std::string_view::npos) return CommandError::extra_words;
   return *command;
@@ -55,7 +55,7 @@
 
 std::optional<CommandResult> CommandReader::add(std::string_view bytes) {
   const auto line_end = bytes.find('\n');
-  // Two more than the limit: one for a CR, one to notice that the line is too long.
+  // Two bytes more than the limit: one for a CR, one to detect that the line is too long.
   line_.append(bytes.substr(0, std::min(line_end, kMaxLineBytes + 2)));
   if (line_.size() > kMaxLineBytes + 1) return CommandError::line_too_long;
   if (line_end == std::string_view::npos) return std::nullopt;
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -18,20 +18,20 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr auto kCommandTimeout = std::chrono::seconds(2);  // for the whole line to arrive
-constexpr auto kReplyTimeout = std::chrono::seconds(1);    // for the caller to read the reply
+constexpr auto kCommandTimeout = std::chrono::seconds(2);  // until the complete line has arrived
+constexpr auto kReplyTimeout = std::chrono::seconds(1);    // until the caller has read the reply
 constexpr std::size_t kChunkBytes = 512;
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
 }  // namespace
 
-// A caller's socket and its deadline.
+// The socket of one caller and its deadline.
 class AdminServer::Connection {
  public:
   explicit Connection(tcp::socket s) : socket(std::move(s)), deadline_(socket.get_executor()) {}
 
-  // Closes the socket after `timeout`, whatever operation is under way; replaces an earlier deadline.
+  // Closes the socket after `timeout`, whatever operation is in progress. Replaces an earlier deadline.
   static void close_after(const std::shared_ptr<Connection>& connection, std::chrono::milliseconds timeout) {
     connection->deadline_.expires_after(timeout);
     connection->deadline_.async_wait([weak = std::weak_ptr(connection)](error_code cancelled) {
@@ -68,10 +68,10 @@
 
 asio::awaitable<void> AdminServer::serve() {
   // A named variable: GCC 12 destroys a temporary in a co_await expression twice.
-  const net::ConnectionHandler take = [this](tcp::socket socket, const asio::ip::address&) {
+  const net::ConnectionHandler on_connection = [this](tcp::socket socket, const asio::ip::address&) {
     accept(std::move(socket));
   };
-  co_await net::accept_connections(acceptor_, closed_, take);
+  co_await net::accept_connections(acceptor_, closed_, on_connection);
 }
 
 void AdminServer::accept(tcp::socket socket) {
@@ -94,7 +94,7 @@
   error_code error;
   while (!result) {
     const auto size = co_await socket.async_read_some(asio::buffer(chunk), into(error));
-    if (error) co_return;  // the connection ended within the line: no command
+    if (error) co_return;  // the connection ended before the line was complete
     result = reader.add({chunk.data(), size});
   }
   Connection::close_after(connection, kReplyTimeout);
@@ -102,14 +102,14 @@
   co_await asio::async_write(socket, asio::buffer(line), into(error));
   if (error) co_return;
   socket.shutdown(tcp::socket::shutdown_send, error);
-  // Reads until the caller closes: closing over unread bytes would send a reset, which could discard the
-  // reply.
+  // Reads until the caller closes the connection: closing a socket with unread bytes sends a reset, which
+  // could discard the reply.
   while (!error) co_await socket.async_read_some(asio::buffer(chunk), into(error));
 }
 
 Reply AdminServer::reply_to(const CommandResult& result) {
   if (const auto* command = std::get_if<Command>(&result)) return handler_(*command);
-  const std::string why = text_of(std::get<CommandError>(result));
+  const std::string why = error_text(std::get<CommandError>(result));
   log_.line("admin: command rejected: " + why, {{"event", "admin_bad_call"}, {"why", why}});
   return {false, why};
 }
--- a/src/admin/server.h
+++ b/src/admin/server.h
@@ -1,8 +1,8 @@
-// The admin listener: an address of its own, on which operators and the platform send commands. One command
-// line a connection, one reply line back.
+// The admin listener: accepts commands of operators and the platform on its own address. Each connection
+// carries one command line and one reply line.
 //
-// A reply is made from the process's state at once, never through a queue or the kernel, so that load does
-// not delay it. Everything runs on the io thread of `executor`.
+// The reply is computed synchronously by the command handler, without a queue or the kernel, so that load
+// does not delay it. Everything runs on the io thread of `executor`.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -21,18 +21,19 @@
   // Called on the io thread; must not block.
   using CommandHandler = std::function<Reply(Command)>;
 
-  // Throws boost::system::system_error where the address can't be bound. `log` must outlive the server.
+  // Throws boost::system::system_error if the address cannot be bound. `log` must outlive the server.
   AdminServer(const boost::asio::any_io_executor& executor, const boost::asio::ip::tcp::endpoint& at,
               CommandHandler handler, Logger& log);
-  // Accepts connections until close().
+  // Accepts and serves connections until close().
   boost::asio::awaitable<void> serve();
   [[nodiscard]] boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
-  // Stops accepting; open connections are served to their end.
+  // Stops accepting. Open connections are still served.
   void close();
 
-  // At the limit a new connection replaces the oldest one, so that idle callers can't block the listener.
+  // Maximum number of open connections. Beyond it a new connection replaces the oldest one, so that idle
+  // callers cannot block the listener.
   static constexpr std::size_t kMaxConnections = 16;
-  // The file descriptors to be reserved: of the connections, the listener, and a connection just accepted.
+  // File descriptors to reserve: the connections, the listening socket, and one connection just accepted.
   static constexpr std::size_t kDescriptors = kMaxConnections + 2;
 
  private:
--- a/tests/admin_protocol_test.cpp
+++ b/tests/admin_protocol_test.cpp
@@ -16,7 +16,7 @@
   EXPECT_EQ(std::get<Command>(parse_command("quiesce\r")), Command::quiesce);
 }
 
-TEST(AdminCommand, AnyOtherLineIsRejectedWithTheReason) {
+TEST(AdminCommand, OtherLinesAreRejectedWithTheReason) {
   const std::pair<std::string_view, CommandError> cases[] = {
       {"", CommandError::empty_line},
       {"\r", CommandError::empty_line},
@@ -36,15 +36,15 @@
   }
 }
 
-TEST(AdminCommand, ErrorsSayWhatWasExpected) {
-  EXPECT_STREQ(text_of(CommandError::empty_line), "empty line: expected health, quiesce or resume");
-  EXPECT_STREQ(text_of(CommandError::not_text), "bytes that are no text");
-  EXPECT_STREQ(text_of(CommandError::unknown_command), "unknown call: expected health, quiesce or resume");
-  EXPECT_STREQ(text_of(CommandError::extra_words), "extra words after the call");
-  EXPECT_STREQ(text_of(CommandError::line_too_long), "line too long");
+TEST(AdminCommand, EachErrorHasItsText) {
+  EXPECT_STREQ(error_text(CommandError::empty_line), "empty line: expected health, quiesce or resume");
+  EXPECT_STREQ(error_text(CommandError::not_text), "bytes that are no text");
+  EXPECT_STREQ(error_text(CommandError::unknown_command), "unknown call: expected health, quiesce or resume");
+  EXPECT_STREQ(error_text(CommandError::extra_words), "extra words after the call");
+  EXPECT_STREQ(error_text(CommandError::line_too_long), "line too long");
 }
 
-TEST(AdminReply, IsOneLineOfTheResultAndItsText) {
+TEST(AdminReply, IsEncodedAsOneLine) {
   EXPECT_EQ(encode({true, "serving"}), "OK serving\n");
   EXPECT_EQ(encode({false, "stopping"}), "ERR stopping\n");
   EXPECT_EQ(encode({false, ""}), "ERR\n");
@@ -54,26 +54,26 @@
   CommandReader reader;
   EXPECT_FALSE(reader.add("hea"));
   EXPECT_FALSE(reader.add("lth\r"));
-  const auto result = reader.add("\nquiesce\n");  // one line a connection: the second is ignored
+  const auto result = reader.add("\nquiesce\n");  // a connection carries one line: the second is ignored
   ASSERT_TRUE(result);
   EXPECT_EQ(std::get<Command>(*result), Command::health);
 }
 
-TEST(AdminCommandReader, ALineWithoutAnEndIsRejectedAtTheLimit) {
+TEST(AdminCommandReader, ALineWithoutALineEndIsRejectedAtTheLimit) {
   constexpr std::string_view kPiece = "xxxxxxxxxx";
   CommandReader reader;
   std::optional<CommandResult> result;
-  std::size_t given = 0;
-  while (!result && given < 10 * kMaxLineBytes) {
+  std::size_t added_bytes = 0;
+  while (!result && added_bytes < 10 * kMaxLineBytes) {
     result = reader.add(kPiece);
-    given += kPiece.size();
+    added_bytes += kPiece.size();
   }
   ASSERT_TRUE(result);
   EXPECT_EQ(std::get<CommandError>(*result), CommandError::line_too_long);
-  EXPECT_LE(given, kMaxLineBytes + 2 * kPiece.size());
+  EXPECT_LE(added_bytes, kMaxLineBytes + 2 * kPiece.size());
 }
 
-TEST(AdminCommandReader, ALineOfTheGreatestLengthIsParsed) {
+TEST(AdminCommandReader, ALineOfMaximumLengthIsParsed) {
   CommandReader reader;
   const auto result = reader.add(std::string(kMaxLineBytes, 'x') + "\r\n");
   ASSERT_TRUE(result);
