--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// One tile server: its command line, its configuration, its signals and its exit status.
+// The program `granitegap`: command line, configuration, signals and exit status of a tile server.
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -19,7 +19,8 @@
 namespace granitegap {
 namespace {
 
-constexpr int kUnusable = 2;
+// Exit status for unusable arguments, configuration or addresses.
+constexpr int kUsageError = 2;
 
 struct Options {
   std::string operator_file;
@@ -27,66 +28,73 @@
   bool plain = false, plain_membership = false;
 };
 
-int print(const operators::Errors& errors) {
+// Prints one line for each error; returns the exit status.
+int print_errors(const operators::Errors& errors) {
   for (const auto& e : errors) std::fprintf(stderr, "%s\n", e.text().c_str());
-  return kUnusable;
+  return kUsageError;
 }
 
-int check(const std::string& path) {
-  auto declared = operators::load(path);
-  if (const auto* errors = std::get_if<operators::Errors>(&declared)) return print(*errors);
-  auto& good = std::get<operators::OperatorConfig>(declared);
-  // With the platform's settings at hand its classes are held against them too.
-  if (const char* platform = std::getenv("EDGE_CONFIG")) {
-    const auto loaded = config::load(platform);
-    if (const auto* problem = std::get_if<config::ConfigError>(&loaded)) {
-      std::fprintf(stderr, "granitegap: EDGE_CONFIG %s: %s\n", platform, problem->message().c_str());
-      return kUnusable;
+// Prints the operator file with its defaults, or its errors; returns the exit status.
+int check_operator_file(const std::string& path) {
+  auto loaded = operators::load(path);
+  if (const auto* errors = std::get_if<operators::Errors>(&loaded)) return print_errors(*errors);
+  auto& operator_config = std::get<operators::OperatorConfig>(loaded);
+  // Its classes are checked against the platform's settings if these are available.
+  if (const char* config_path = std::getenv("EDGE_CONFIG")) {
+    const auto config = config::load(config_path);
+    if (const auto* error = std::get_if<config::ConfigError>(&config)) {
+      std::fprintf(stderr, "granitegap: EDGE_CONFIG %s: %s\n", config_path, error->message().c_str());
+      return kUsageError;
     }
-    if (const auto errors = operators::resolve_classes(good, std::get<config::Config>(loaded).catalog);
+    if (const auto errors =
+            operators::resolve_classes(operator_config, std::get<config::Config>(config).catalog);
         !errors.empty())
-      return print(errors);
+      return print_errors(errors);
   }
-  std::fputs(typed_config::print(good.values).c_str(), stdout);
+  std::fputs(typed_config::print(operator_config.values).c_str(), stdout);
   return 0;
 }
 
-int report(const std::string& problem) {
-  std::fprintf(stderr, "granitegap: %s\n", problem.c_str());
-  return kUnusable;
+// Prints an error message; returns the exit status.
+int report_error(const std::string& message) {
+  std::fprintf(stderr, "granitegap: %s\n", message.c_str());
+  return kUsageError;
 }
 
-// A Server's options, or the exit status once an error has been printed.
+// Options of a Server, or the exit status after an error has been printed.
 using ServerOptions = std::variant<Server::Options, int>;
 
-// What the operator file declares, checked against the platform's settings. Empty where no file is named.
+// Reads the operator file and checks it against the platform's settings. Returns nullopt if `path` is empty,
+// and the exit status after an error.
 std::variant<std::optional<operators::OperatorConfig>, int> read_operator_file(const std::string& path,
                                                                                const config::Config& config) {
   if (path.empty()) return std::optional<operators::OperatorConfig>{};
   auto loaded = operators::load(path);
-  if (const auto* errors = std::get_if<operators::Errors>(&loaded)) return print(*errors);
+  if (const auto* errors = std::get_if<operators::Errors>(&loaded)) return print_errors(*errors);
   auto& declared = std::get<operators::OperatorConfig>(loaded);
   if (const auto errors = operators::resolve_classes(declared, config.catalog); !errors.empty())
-    return print(errors);
+    return print_errors(errors);
   return std::optional(std::move(declared));
 }
 
-// The admin address; the environment wins over the file, as two processes may share one file.
-// Empty where none is configured.
+// Returns the address of the admin listener, nullopt if none is configured, or the exit status after an
+// error. The environment takes precedence over the file, because two processes may share one file.
 std::variant<std::optional<config::Endpoint>, int> read_admin_address(const config::Config& config) {
   auto admin = config.admin;
   if (const char* text = std::getenv("EDGE_ADMIN_ADDR"); text && *text) {
     admin = config::read_endpoint(text);
-    if (!admin) return report(std::string("EDGE_ADMIN_ADDR is no address with a port: ") + text);
+    if (!admin)
+      return report_error(std::string("EDGE_ADMIN_ADDR: expected an address and a port, got ") + text);
   }
   if (!admin) return admin;
   boost::system::error_code error;
   boost::asio::ip::make_address(admin->host, error);
-  if (error) return report("the operators' door: not a numeric address: " + admin->host);
+  if (error) return report_error("admin listener: expected a numeric address, got " + admin->host);
   return admin;
 }
 
-// Without calls allowed, a request that gathers would wait until its deadline for a permission to call.
+// Whether the operator file declares gathers although the settings allow no calls. A request with a gather
+// would then wait until its deadline for permission to call.
 bool gathers_without_calls(const operators::OperatorConfig& declared, const config::Config& config) {
   const auto& settings = config.parsed.settings;
   const bool calls_allowed = settings.downstream == Downstream::none || settings.call_quota.value_or(0) > 0;
@@ -97,33 +105,36 @@
   Server::Options server_options;
   server_options.log = options.log;
   server_options.protect_calls = !options.plain;
-  auto declared = read_operator_file(options.operator_file, config);
-  if (const auto* status = std::get_if<int>(&declared)) return *status;
-  server_options.declared = std::get<std::optional<operators::OperatorConfig>>(std::move(declared));
+  auto operator_config = read_operator_file(options.operator_file, config);
+  if (const auto* status = std::get_if<int>(&operator_config)) return *status;
+  server_options.operator_config =
+      std::get<std::optional<operators::OperatorConfig>>(std::move(operator_config));
   auto admin = read_admin_address(config);
   if (const auto* status = std::get_if<int>(&admin)) return *status;
   server_options.admin = std::get<std::optional<config::Endpoint>>(std::move(admin));
   if (const char* text = std::getenv("EDGE_FD"); text && *text) {
     auto listener = net::adopt_inherited_listener(text);
     if (const auto* error = std::get_if<net::InheritedSocketError>(&listener))
-      return report("EDGE_FD " + error->text());
+      return report_error("EDGE_FD " + error->text());
     server_options.inherited_listener = std::get<net::FileDescriptor>(std::move(listener));
-    if (const char* folder = std::getenv("TMPDIR")) server_options.lease_folder = folder;
+    if (const char* directory = std::getenv("TMPDIR")) server_options.lease_directory = directory;
   }
-  if (server_options.declared && server_options.declared->membership)
-    server_options.declared->membership->options.baseline_mode = options.plain_membership;
-  if (server_options.declared && gathers_without_calls(*server_options.declared, config))
-    return report(
+  if (server_options.operator_config && server_options.operator_config->membership)
+    server_options.operator_config->membership->options.baseline_mode = options.plain_membership;
+  if (server_options.operator_config && gathers_without_calls(*server_options.operator_config, config))
+    return report_error(
         options.operator_file +
-        ": the platform's settings allow no calls: expected downstream none, or a call_share above 0");
+        ": gathers need calls, which the platform's settings do not allow: expected downstream "
+        "none, or a call_share above 0");
   return server_options;
 }
 
-// Runs a server until SIGTERM has been answered. Throws where an address can't be had.
+// Runs a server until its graceful shutdown after SIGTERM or SIGINT. Throws if an address cannot be used.
 void run_server(const char* config_path, config::Config config, const std::string& operator_file,
                 Server::Options server_options) {
   boost::asio::io_context context(1);
-  // Before the listener opens: a signal must not kill a process that has connections in its backlog.
+  // Installed before the listener opens, so that a signal cannot kill a process with connections in its
+  // backlog.
   boost::asio::signal_set stop_signals(context, SIGTERM, SIGINT);
   boost::asio::signal_set reload_signal(context, SIGHUP);
   Server server(context, std::move(config), std::move(server_options));
@@ -139,18 +150,20 @@
   reload_signal.async_wait(reload);
   server.start();
   context.run();
-  // All is answered: a thread that waits for a hung disk must not hold the process until the kill.
+  // All requests are answered. A thread that is blocked by a hung disk must not delay the exit until the
+  // platform kills the process.
   if (server.has_blocked_disk_thread()) std::_Exit(0);
 }
 
+// Runs the server as the environment and `options` configure it; returns the exit status.
 int serve(const Options& options) {
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGHUP, SIG_IGN);  // until it can be handled: unhandled it would end the process
+  std::signal(SIGHUP, SIG_IGN);  // until its handler is installed: by default it ends the process
   const char* path = std::getenv("EDGE_CONFIG");
-  if (!path) return report("EDGE_CONFIG is not set");
+  if (!path) return report_error("EDGE_CONFIG is not set");
   auto loaded = config::load(path);
   if (const auto* error = std::get_if<config::ConfigError>(&loaded))
-    return report(std::string("EDGE_CONFIG ") + path + ": " + error->message());
+    return report_error(std::string("EDGE_CONFIG ") + path + ": " + error->message());
   auto& config = std::get<config::Config>(loaded);
   auto server_options = read_server_options(options, config);
   if (const auto* status = std::get_if<int>(&server_options)) return *status;
@@ -158,21 +171,22 @@
     run_server(path, std::move(config), options.operator_file,
                std::get<Server::Options>(std::move(server_options)));
   } catch (const AddressError& error) {
-    return report(error.what());
+    return report_error(error.what());
   } catch (const std::exception& error) {
-    report(error.what());
+    report_error(error.what());
     return 1;
   }
   return 0;
 }
 
-// Asks a process for its view; again and again where it is to be watched.
-int members(const std::string& text, bool json, bool watch, bool recovery_report) {
+// Prints the membership view or the recovery status of the process at `text`, every second with `watch`.
+// Returns the exit status.
+int show_status(const std::string& text, bool json, bool watch, bool recovery_report) {
   const auto address = operators::parse_address(text);
   if (!address) {
     std::fprintf(stderr, "granitegap: %s: expected a numeric address and a port, as 127.0.0.1:9101\n",
                  text.c_str());
-    return kUnusable;
+    return kUsageError;
   }
   for (;;) {
     const auto reply = membership_udp::query_status(*address, std::chrono::seconds(2), recovery_report);
@@ -180,17 +194,18 @@
       std::fprintf(stderr, "granitegap: no answer from %s within 2 s\n", text.c_str());
       return 1;
     }
-    const auto text_of = recovery_report ? membership_udp::recovery_text : membership_udp::to_text;
-    const auto json_of = recovery_report ? membership_udp::recovery_json : membership_udp::to_json;
-    std::fputs((json ? json_of(*reply) + "\n" : text_of(*reply)).c_str(), stdout);
+    const auto format_text = recovery_report ? membership_udp::recovery_text : membership_udp::to_text;
+    const auto format_json = recovery_report ? membership_udp::recovery_json : membership_udp::to_json;
+    std::fputs((json ? format_json(*reply) + "\n" : format_text(*reply)).c_str(), stdout);
     std::fflush(stdout);
     if (!watch) return 0;
     std::this_thread::sleep_for(std::chrono::seconds(1));
   }
 }
 
-// What a snapshot holds, or that it can't be believed.
-int snapshot_file(const std::string& path, bool show) {
+// Prints the content of a snapshot file (with `show`), or "whole" if the file is valid. Returns the exit
+// status.
+int show_snapshot(const std::string& path, bool show) {
   const auto read = snapshot::read_snapshot_file(path);
   if (const auto* error = std::get_if<snapshot::StorageError>(&read)) {
     std::fprintf(stderr, "granitegap: %s: %s\n", path.c_str(), error->message().c_str());
@@ -201,56 +216,65 @@
 }
 
 int run(int argc, char** argv) {
-  if (argc == 1) return serve({});  // as the platform starts it
-  CLI::App app("A tile server that decides for itself what it takes, runs and turns away.", "granitegap");
+  if (argc == 1) return serve({});  // the platform starts the program without arguments
+  CLI::App app("A tile server with built-in admission control.", "granitegap");
   app.set_version_flag("--version", "granitegap " GRANITEGAP_VERSION);
   app.require_subcommand(0, 1);
-  app.footer("Alone it serves, as `granitegap serve` does. EDGE_CONFIG names the platform's configuration.");
+  app.footer(
+      "Without a subcommand it runs `granitegap serve`. EDGE_CONFIG names the platform's configuration "
+      "file.");
   Options options;
   const auto add_log = [&](CLI::App& to) {
-    to.add_option("--log", options.log, "Form of the log lines")
+    to.add_option("--log", options.log, "Format of the log lines")
         ->transform(CLI::CheckedTransformer(
             std::map<std::string, LogFormat>{{"text", LogFormat::text}, {"json", LogFormat::json}}))
         ->option_text("text|json [text]");
   };
   add_log(app);
-  auto* serving = app.add_subcommand("serve", "Serve until SIGTERM; SIGHUP reads the files again");
-  serving->add_option("--operator", options.operator_file, "The operator's own file; docs/operators-file.md");
-  serving->add_flag("--plain-calls", options.plain,
-                    "Call without budgets, limits or breakers: only to measure what these are worth");
-  serving->add_flag("--plain-membership", options.plain_membership,
-                    "Probe without helpers, suspicion or refutation: only to measure what these are worth");
-  add_log(*serving);
+  auto* serve_command = app.add_subcommand("serve", "Serve until SIGTERM; SIGHUP reloads the files");
+  serve_command->add_option("--operator", options.operator_file,
+                            "The operator file; see docs/operators-file.md");
+  serve_command->add_flag(
+      "--plain-calls", options.plain,
+      "Call dependencies without budgets, limits or breakers: only as a baseline for benchmarks");
+  serve_command->add_flag(
+      "--plain-membership", options.plain_membership,
+      "Probe without indirect pings, suspicion or refutation: only as a baseline for benchmarks");
+  add_log(*serve_command);
   std::string file;
-  auto* checking =
-      app.add_subcommand("check", "Print an operator's file with its defaults, or all that is wrong with it");
-  checking->add_option("FILE", file, "The file")->required();
-  std::string asked;
+  auto* check_command =
+      app.add_subcommand("check", "Print an operator file with its defaults, or all its errors");
+  check_command->add_option("FILE", file, "The operator file")->required();
+  std::string member_address;
   bool json = false, watch = false;
-  auto* asking = app.add_subcommand("members", "Show the fleet as the process at ADDRESS sees it");
-  auto* returning = app.add_subcommand(
-      "recovery", "Show how the process at ADDRESS comes back; docs/recovery-operators.md");
-  for (auto* c : {asking, returning}) {
-    c->add_option("ADDRESS", asked, "What its operator's file declares as membership.bind")->required();
-    c->add_flag("--json", json, "One JSON object");
-    c->add_flag("--watch", watch, "Every second, until ended");
+  auto* members_command = app.add_subcommand("members", "Show the fleet as the process at ADDRESS sees it");
+  auto* recovery_command = app.add_subcommand(
+      "recovery",
+      "Show the recovery of the process at ADDRESS after a restart; see docs/recovery-operators.md");
+  for (auto* c : {members_command, recovery_command}) {
+    c->add_option("ADDRESS", member_address, "The address that its operator file declares as membership.bind")
+        ->required();
+    c->add_flag("--json", json, "Print one JSON object");
+    c->add_flag("--watch", watch, "Repeat every second until interrupted");
   }
-  std::string shown;
-  auto* snapshots =
-      app.add_subcommand("snapshot", "Look at what a process has written down; docs/recovery-operators.md");
-  snapshots->require_subcommand(1);
-  auto* show = snapshots->add_subcommand("show", "What it holds, as one JSON object");
-  auto* verify = snapshots->add_subcommand("verify", "Whether it is whole; exit status 1 if not");
-  for (auto* c : {show, verify})
-    c->add_option("FILE", shown, "learned-a or learned-b in recovery.folder")->required();
+  std::string snapshot_path;
+  auto* snapshot_command = app.add_subcommand(
+      "snapshot", "Inspect the snapshot files of a process; see docs/recovery-operators.md");
+  snapshot_command->require_subcommand(1);
+  auto* show_command = snapshot_command->add_subcommand("show", "Print its content as one JSON object");
+  auto* verify_command =
+      snapshot_command->add_subcommand("verify", "Check that it is valid; exit status 1 if not");
+  for (auto* c : {show_command, verify_command})
+    c->add_option("FILE", snapshot_path, "learned-a or learned-b in recovery.folder")->required();
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : kUnusable;
+    return app.exit(e) == 0 ? 0 : kUsageError;
   }
-  if (*snapshots) return snapshot_file(shown, bool(*show));
-  if (*asking || *returning) return members(asked, json, watch, bool(*returning));
-  return *checking ? check(file) : serve(options);
+  if (*snapshot_command) return show_snapshot(snapshot_path, bool(*show_command));
+  if (*members_command || *recovery_command)
+    return show_status(member_address, json, watch, bool(*recovery_command));
+  return *check_command ? check_operator_file(file) : serve(options);
 }
 
 }  // namespace
--- a/src/server/endpoint_address.h
+++ b/src/server/endpoint_address.h
@@ -1,4 +1,4 @@
-// Configured addresses as Boost.Asio endpoints and as text.
+// Conversion of configured addresses to Boost.Asio endpoints and to text.
 #pragma once
 #include <boost/asio/ip/address.hpp>
 #include <string>
@@ -7,19 +7,20 @@
 
 namespace granitegap {
 
-// `error` is set where the host is no numeric address.
+// Sets `error` if the host is not a numeric address.
 template <class Protocol>
-typename Protocol::endpoint address(const config::Endpoint& endpoint, boost::system::error_code& error) {
+typename Protocol::endpoint to_asio_endpoint(const config::Endpoint& endpoint,
+                                             boost::system::error_code& error) {
   return {boost::asio::ip::make_address(endpoint.host, error), endpoint.port};
 }
-// Throws boost::system::system_error where the host is no numeric address.
+// Throws boost::system::system_error if the host is not a numeric address.
 template <class Protocol>
-typename Protocol::endpoint address(const config::Endpoint& endpoint) {
+typename Protocol::endpoint to_asio_endpoint(const config::Endpoint& endpoint) {
   return {boost::asio::ip::make_address(endpoint.host), endpoint.port};
 }
 
-// As "HOST:PORT".
-inline std::string text_of(const config::Endpoint& endpoint) {
+// Returns "HOST:PORT".
+inline std::string to_text(const config::Endpoint& endpoint) {
   return endpoint.host + ":" + std::to_string(endpoint.port);
 }
 
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -1,4 +1,5 @@
-// One tile server: its actors, wired. Starts no thread and installs no signal handler.
+// One tile server: creates its actors and connects them. Starts no thread and installs no signal handler; the
+// caller runs the io context.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -22,63 +23,75 @@
 
 namespace granitegap {
 
-// An address that was asked for can't be had: a clear line, and exit status 2.
+// The configured address of a listener cannot be used. The program prints the message and exits with
+// status 2.
 struct AddressError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 class Server {
  public:
-  struct Options {  // what an operator may add; none of it on the platform
-    std::optional<operators::OperatorConfig> declared;  // its classes numbered
+  // Optional features that an operator may configure. The platform starts the program without any of them.
+  struct Options {
+    std::optional<operators::OperatorConfig> operator_config;  // with its class names resolved
     LogFormat log = LogFormat::text;
-    bool protect_calls = true;  // false: the plain policy that measurements compare with
-    std::optional<net::FileDescriptor> inherited_listener;  // an inherited socket; docs/operation.md
-    std::optional<config::Endpoint> admin;                  // the operators' door
-    std::string lease_folder;  // with `listening`: what processes at one door share
+    bool protect_calls = true;  // false: calls without budgets, limits or breakers, as a benchmark baseline
+    std::optional<net::FileDescriptor> inherited_listener;  // a listening socket; see docs/operation.md
+    std::optional<config::Endpoint> admin;                  // address of the admin listener
+    // With `inherited_listener`: the directory of the key lease table that all processes on the socket share.
+    std::string lease_directory;
   };
+  // Opens the listeners and creates the actors that the configuration names. Throws AddressError or
+  // boost::system::system_error if an address cannot be used. `context` must outlive the server.
   Server(boost::asio::io_context& context, config::Config config, Options options,
          edge::EdgeActor::Clocks clocks = edge::read_clocks);
   Server(boost::asio::io_context& context, config::Config config,
          edge::EdgeActor::Clocks clocks = edge::read_clocks)
       : Server(context, std::move(config), Options{}, std::move(clocks)) {}
+  // Spawns the actors on the io context.
   void start();
-  // The notice to leave: ends the context once all is answered, before the kill.
+  // Begins the graceful shutdown: stops the io context once every request is answered, and before the
+  // platform kills the process. Does nothing the second time.
   void drain();
-  // A new configuration while running: the kernel's and the announce service's addresses are taken over and
-  // stop_ms counts from the next notice; what else differs waits for a restart, and is named in a line.
+  // Applies a changed configuration while running: the addresses of the kernel and of the announce service
+  // apply at once, stop_ms from the next drain. Other differences need a restart and are logged. After an
+  // error the previous configuration stays in use.
   void reload(const std::variant<config::Config, config::ConfigError>& loaded);
-  // A new operator's file while running: calls in flight go on. One that can't be used keeps the old.
+  // Applies a changed operator file while running. Calls in flight continue. After an error the previous file
+  // stays in use.
   void reload(std::variant<operators::OperatorConfig, operators::Errors> loaded);
+  // The address that the listener for client proxies is bound to.
   boost::asio::ip::tcp::endpoint local_endpoint() const { return listener_.local_endpoint(); }
-  // Where operators call; absent where no door was asked for.
+  // The address that the admin listener is bound to; absent if none is configured.
   std::optional<boost::asio::ip::tcp::endpoint> admin_endpoint() const {
-    if (!admin_) return std::nullopt;
-    return admin_->local_endpoint();
+    if (!admin_server_) return std::nullopt;
+    return admin_server_->local_endpoint();
   }
   edge::EdgeActor& edge_actor() { return edge_actor_; }
-  // Once the context has ended: a disk still holds a thread, which nobody can wait for.
+  // Whether a disk operation still blocks a thread after the io context has stopped. That thread cannot be
+  // joined.
   bool has_blocked_disk_thread() const { return persistence_ && persistence_->disk_busy(); }
 
  private:
   void spawn(boost::asio::awaitable<void> actor);
+  // Passes an output of the edge to the actor that performs it.
   void dispatch(edge::Output output);
-  void carry_out(edge::Response&& answer);
+  void carry_out(edge::Response&& response);
   void carry_out(edge::HealthResponse&& health);
   void carry_out(edge::Command&& command);
   void carry_out(edge::LoadReport&& report);
   void carry_out(edge::CloseIdlePeers&& idle);
-  void carry_out(edge::LogEvent&& remark);
+  void carry_out(edge::LogEvent&& event);
   void carry_out(edge::DependencyCall&& call);
-  void carry_out(edge::CancelDependencyCall&& drop);
-  void carry_out(edge::StateTransferRequested&& ask);
-  void carry_out(edge::CacheFillReply&& answer);
+  void carry_out(edge::CancelDependencyCall&& cancellation);
+  void carry_out(edge::StateTransferRequested&& request);
+  void carry_out(edge::CacheFillReply&& reply);
   boost::asio::awaitable<void> drain_and_stop();
   void stop();
-  boost::asio::awaitable<void> hand_over(std::chrono::milliseconds within);
+  boost::asio::awaitable<void> hand_over(std::chrono::milliseconds time_limit);
   std::chrono::milliseconds hand_over_time_limit() const;
   void open_lease_table();
-  admin::Reply answer(admin::Command call);
+  admin::Reply handle_admin_command(admin::Command command);
   void create_membership_actor();
   void create_state_transfer_actor();
   warm_state::WarmState collect_warm_state() const;
@@ -98,12 +111,12 @@
   load_report::LoadReporter load_reporter_;
   net::Listener listener_;
   std::optional<deps_http::DependencyClient> dependency_client_;
-  std::unique_ptr<membership_udp::Actor> fleet_;             // only where it is declared
-  std::unique_ptr<snapshot::PersistenceActor> persistence_;  // the same
+  std::unique_ptr<membership_udp::Actor> membership_actor_;  // only if the operator file declares it
+  std::unique_ptr<snapshot::PersistenceActor> persistence_;  // likewise
   std::unique_ptr<state_transfer::Actor> state_transfer_;
   std::unique_ptr<cache_fill_http::CacheFillServer> cache_fill_server_;
-  std::unique_ptr<admin::AdminServer> admin_;
-  std::optional<hot_restart::SharedLeaseTable> lease_table_;  // only where the door is shared
+  std::unique_ptr<admin::AdminServer> admin_server_;
+  std::optional<hot_restart::SharedLeaseTable> lease_table_;  // only with an inherited listener
   edge::EdgeActor::Clocks clocks_;
   bool draining_ = false;
 };
--- a/src/server/server_dispatch.cpp
+++ b/src/server/server_dispatch.cpp
@@ -1,4 +1,4 @@
-// Outputs of the edge to the actors that carry them out.
+// Passes the outputs of the edge to the actors that perform them.
 #include <utility>
 #include <variant>
 
@@ -6,13 +6,13 @@
 
 namespace granitegap {
 void Server::dispatch(edge::Output output) {
-  std::visit([this](auto& o) { carry_out(std::move(o)); }, output);
+  std::visit([this](auto& alternative) { carry_out(std::move(alternative)); }, output);
 }
 
-// One for each kind of output: a new one without does not compile.
-void Server::carry_out(edge::Response&& answer) {
-  const auto to = answer.to;
-  listener_.deliver(to, std::move(answer));
+// One overload for each kind of output: a kind without an overload does not compile.
+void Server::carry_out(edge::Response&& response) {
+  const auto to = response.to;
+  listener_.deliver(to, std::move(response));
 }
 void Server::carry_out(edge::HealthResponse&& health) { listener_.deliver(health.to, health); }
 void Server::carry_out(edge::Command&& command) { link_.send(command); }
@@ -22,14 +22,14 @@
   load_reporter_.report(report);
 }
 void Server::carry_out(edge::CloseIdlePeers&& idle) { listener_.close_idle_connections(idle.idle_for); }
-void Server::carry_out(edge::LogEvent&& remark) {
-  log_.line(remark.text, {{"event", remark.event}, {"subject", remark.subject}});
+void Server::carry_out(edge::LogEvent&& event) {
+  log_.line(event.text, {{"event", event.event}, {"subject", event.subject}});
 }
 void Server::carry_out(edge::DependencyCall&& call) {
   if (dependency_client_) dependency_client_->start(std::move(call));
 }
-void Server::carry_out(edge::CancelDependencyCall&& drop) {
-  if (dependency_client_) dependency_client_->cancel(drop.id);
+void Server::carry_out(edge::CancelDependencyCall&& cancellation) {
+  if (dependency_client_) dependency_client_->cancel(cancellation.id);
 }
 
 void Server::carry_out(edge::StateTransferRequested&&) {
@@ -39,8 +39,8 @@
     edge_actor_.mailbox().post_control(edge::StateTransferFinished{});
 }
 
-void Server::carry_out(edge::CacheFillReply&& answer) {
-  if (cache_fill_server_) cache_fill_server_->reply(std::move(answer));
+void Server::carry_out(edge::CacheFillReply&& reply) {
+  if (cache_fill_server_) cache_fill_server_->reply(std::move(reply));
 }
 
 }  // namespace granitegap
--- a/src/server/server_fleet.cpp
+++ b/src/server/server_fleet.cpp
@@ -1,4 +1,5 @@
-// What the server sets up where an operator declares membership or recovery.
+// The actors for membership, state transfer and snapshots, which run only if the operator file declares
+// membership or recovery.
 #include <algorithm>
 #include <random>
 
@@ -17,9 +18,9 @@
   callbacks.previous_incarnation_found = [this](const recovery::PreviousIncarnation& found) {
     edge_actor_.mailbox().post_control(edge::PreviousIncarnationFound{found});
   };
-  callbacks.warm_state_loaded = [this](warm_state::WarmState what) {
-    if (fleet_) fleet_->set_join_addresses(what.members);
-    edge_actor_.mailbox().post_control(edge::WarmStateReceived{std::move(what)});
+  callbacks.warm_state_loaded = [this](warm_state::WarmState state) {
+    if (membership_actor_) membership_actor_->set_join_addresses(state.members);
+    edge_actor_.mailbox().post_control(edge::WarmStateReceived{std::move(state)});
   };
   callbacks.collect_warm_state = [this] { return collect_warm_state(); };
   persistence_ =
@@ -28,16 +29,16 @@
 }
 
 warm_state::WarmState Server::collect_warm_state() const {
-  auto what = edge_actor_.edge().export_warm_state(clocks_().steady);
-  what.process_name = config_.name;
-  if (!fleet_) return what;
-  const auto& member = fleet_->member();
-  what.boot_id = std::uint64_t(member.self().boot_id);
+  auto state = edge_actor_.edge().export_warm_state(clocks_().steady);
+  state.process_name = config_.name;
+  if (!membership_actor_) return state;
+  const auto& member = membership_actor_->member();
+  state.boot_id = std::uint64_t(member.self().boot_id);
   const auto& roster = member.roster();
   for (membership::Index i = 0; i < roster.slot_count(); ++i)
-    if (const auto& e = roster.at(i); e.known && e.certain_status == membership::Status::alive)
-      what.members.push_back(e.address);
-  return what;
+    if (const auto& entry = roster.at(i); entry.known && entry.certain_status == membership::Status::alive)
+      state.members.push_back(entry.address);
+  return state;
 }
 
 std::optional<membership_udp::RecoveryReport> Server::recovery_report() const {
@@ -56,11 +57,11 @@
   report.bounded = controller->max_wait_factor().has_value();
   report.recoveries = controller->recoveries();
   const auto& timeline = controller->timeline();
-  const std::optional<Duration>* reached[] = {&timeline.first_response, &timeline.first_healthy,
-                                              &timeline.half_share,     &timeline.nearly_full_share,
-                                              &timeline.in_service,     &timeline.estimated_in_service};
+  const std::optional<Duration>* milestones[] = {&timeline.first_response, &timeline.first_healthy,
+                                                 &timeline.half_share,     &timeline.nearly_full_share,
+                                                 &timeline.in_service,     &timeline.estimated_in_service};
   for (std::size_t k = 0; k < report.reached_ms.size(); ++k)
-    if (*reached[k]) report.reached_ms[k] = ms(**reached[k]);
+    if (*milestones[k]) report.reached_ms[k] = ms(**milestones[k]);
   if (state_transfer_)
     for (const auto& name : state_transfer_->donors())
       report.sources.push_back(
@@ -69,45 +70,47 @@
 }
 
 void Server::create_state_transfer_actor() {
-  const auto& m = *options_.declared->membership;
-  const auto& member = fleet_->member();
-  state_transfer::Actor::Options options{m.cluster,
+  const auto& settings = *options_.operator_config->membership;
+  const auto& member = membership_actor_->member();
+  state_transfer::Actor::Options options{settings.cluster,
                                          config_.name,
-                                         m.zone,
-                                         membership_udp::endpoint_of(m.bind).address(),
-                                         options_.declared->recovery->state_transfer_port,
+                                         settings.zone,
+                                         membership_udp::endpoint_of(settings.bind).address(),
+                                         options_.operator_config->recovery->state_transfer_port,
                                          config_.seed ^ std::uint64_t(member.self().boot_id)};
-  recovery::DonorSelectionOptions rules;
-  rules.total_timeout = options_.declared->recovery->max_learn;
+  recovery::DonorSelectionOptions donor_options;
+  donor_options.total_timeout = options_.operator_config->recovery->max_learn;
   state_transfer::Actor::Callbacks callbacks;
   callbacks.clock = [this] { return clocks_().steady; };
   callbacks.make_response = [this] {
-    const auto& me = fleet_->member();
+    const auto& local_member = membership_actor_->member();
     recovery::TransferResponse response;
     response.donor = config_.name;
-    response.boot_id = me.self().boot_id;
+    response.boot_id = local_member.self().boot_id;
     const auto* controller = edge_actor_.edge().recovery();
     response.in_service = controller && controller->phase() == recovery::Phase::in_service;
-    response.view_certain =
-        me.has_quorum() && !me.uncertain() && me.local_connectivity() == membership::LocalConnectivity::ok;
-    response.view_age = fleet_->time_since_last_received();
+    response.view_certain = local_member.has_quorum() && !local_member.uncertain() &&
+                            local_member.local_connectivity() == membership::LocalConnectivity::ok;
+    response.view_age = membership_actor_->time_since_last_received();
     if (response.in_service) response.state = collect_warm_state();
     return response;
   };
-  callbacks.may_request = [this](const asio::ip::address& who) { return fleet_->is_authorized(who); };
-  callbacks.finished = [this](warm_state::WarmState what, std::size_t sources) {
+  callbacks.may_request = [this](const asio::ip::address& peer) {
+    return membership_actor_->is_authorized(peer);
+  };
+  callbacks.finished = [this](warm_state::WarmState state, std::size_t sources) {
     if (sources > 0) {
-      fleet_->set_join_addresses(what.members);
-      edge_actor_.mailbox().post_control(edge::WarmStateReceived{std::move(what), sources});
+      membership_actor_->set_join_addresses(state.members);
+      edge_actor_.mailbox().post_control(edge::WarmStateReceived{std::move(state), sources});
     }
     edge_actor_.mailbox().post_control(edge::StateTransferFinished{sources});
   };
   state_transfer_ = std::make_unique<state_transfer::Actor>(context_.get_executor(), std::move(options),
-                                                            rules, std::move(callbacks), log_);
+                                                            donor_options, std::move(callbacks), log_);
 }
 
-// The boot id is random at each start: the platform's seed is new then, and the clock tells most starts
-// apart.
+// The boot id is random for each process: it is drawn from the seed, which the platform changes at each
+// start, combined with the clock, which differs between most starts.
 void Server::create_membership_actor() {
   const auto now = clocks_();
   const auto unix_ms = std::uint64_t(
@@ -118,18 +121,18 @@
   hooks.clock = [this] { return clocks_().steady; };
   hooks.recovery_report = [this] { return recovery_report(); };
   hooks.local_state = [this] {
-    auto s = edge_actor_.edge().member_status(clocks_().steady);
-    if (state_transfer_) s.recovery_status.donor_port = state_transfer_->port();
-    return membership_udp::Actor::LocalState{s.stage, s.warmth_percent, s.load_percent,
-                                             std::move(s.endpoint_health), s.recovery_status};
+    auto status = edge_actor_.edge().member_status(clocks_().steady);
+    if (state_transfer_) status.recovery_status.donor_port = state_transfer_->port();
+    return membership_udp::Actor::LocalState{status.stage, status.warmth_percent, status.load_percent,
+                                             std::move(status.endpoint_health), status.recovery_status};
   };
   hooks.view = [this](std::shared_ptr<const membership::View> view) {
     if (state_transfer_) state_transfer_->update_view(view);
     edge_actor_.mailbox().post_control(edge::MembershipUpdate{std::move(view)});
   };
-  fleet_ = std::make_unique<membership_udp::Actor>(context_.get_executor(), *options_.declared->membership,
-                                                   config_.name, boot_id, unix_ms, random(), std::move(hooks),
-                                                   log_);
+  membership_actor_ = std::make_unique<membership_udp::Actor>(
+      context_.get_executor(), *options_.operator_config->membership, config_.name, boot_id, unix_ms,
+      random(), std::move(hooks), log_);
 }
 
 }  // namespace granitegap
--- a/tests/admin_process_test.cpp
+++ b/tests/admin_process_test.cpp
@@ -1,4 +1,4 @@
-// The admin listener of a real process: health, quiesce and resume.
+// Tests of the admin listener of a real process: health, quiesce and resume.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/write.hpp>
@@ -38,11 +38,11 @@
   server.start_healthy();
   Client checks(server.client_port()), requests(server.client_port());
   EXPECT_EQ(checks.check_health(), true);
-  for (int time = 0; time < 2; ++time) {
+  for (int round = 0; round < 2; ++round) {
     EXPECT_EQ(server.admin_command(kServer, "quiesce"), "OK quiesced");
     EXPECT_EQ(checks.check_health(), false);
     EXPECT_TRUE(is_served(requests.call(kTile)));
-    EXPECT_TRUE(is_served(server.ask()));
+    EXPECT_TRUE(is_served(server.send_request()));
   }
   EXPECT_EQ(server.admin_command(kServer, "health"), "OK quiesced");
 }
@@ -61,13 +61,13 @@
   EXPECT_EQ(checks.check_health(), true);
 }
 
-TEST(AdminProcess, ADrainingProcessCanNotBeResumed) {
+TEST(AdminProcess, ADrainingProcessCannotBeResumed) {
   ServerProcesses server(hot_restart_options());
   server.start_healthy();
   EXPECT_EQ(server.admin_command(kServer, "quiesce"), "OK quiesced");
   Client client(server.client_port());
   server.terminate(kServer);
-  ASSERT_TRUE(server.wait_for_log(kServer, "notice to leave"));
+  ASSERT_TRUE(server.wait_for_log(kServer, "shutdown requested"));
   EXPECT_EQ(server.admin_command(kServer, "resume"), "ERR stopping: nothing leads back");
   EXPECT_EQ(server.admin_command(kServer, "health"), "ERR stopping");
   EXPECT_EQ(client.check_health(), false);
--- a/tests/hot_restart_process_test.cpp
+++ b/tests/hot_restart_process_test.cpp
@@ -1,5 +1,5 @@
-// Hot restart between real processes that inherit one client socket: the old one hands over to its successor,
-// and an idempotency key runs once, whichever of them its attempts reach.
+// Tests of hot restart between real processes that inherit one client socket: the old process hands over to
+// its successor, and the request of an idempotency key runs once, whichever process its attempts reach.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -12,13 +12,13 @@
 using namespace std::chrono_literals;
 using standin::Client;
 
-constexpr char kHandsOver[] = "the door is another process's";  // logged where a successor serves
+constexpr char kHandoverMessage[] = "handing over to another process on the same socket";
 
 int total_run_count(const ServerProcesses& servers, const std::string& successor, const std::string& key) {
   return servers.run_count(kServer, key) + servers.run_count(successor, key);
 }
 
-// ---- Handing over ----
+// ---- Handover ----
 
 TEST(HotRestart, ARunningRequestIsAnsweredAndTheSuccessorAcceptsNewOnes) {
   auto options = hot_restart_options();
@@ -27,12 +27,12 @@
   servers.start_healthy();
   Client client(servers.client_port());
   client.send(keyed_request(kKey, 400));
-  ASSERT_TRUE(servers.wait_until([&] { return servers.run_count(kServer, kKey) == 1; }, kPatience));
+  ASSERT_TRUE(servers.wait_until([&] { return servers.run_count(kServer, kKey) == 1; }, kConditionTimeout));
   const auto successor = servers.start_successor();
   servers.terminate(kServer);
-  ASSERT_TRUE(servers.wait_for_log(kServer, kHandsOver)) << servers.log(kServer);
+  ASSERT_TRUE(servers.wait_for_log(kServer, kHandoverMessage)) << servers.log(kServer);
   EXPECT_TRUE(is_served(client.receive())) << servers.log(kServer);
-  EXPECT_TRUE(is_served(servers.ask())) << servers.log(successor);
+  EXPECT_TRUE(is_served(servers.send_request())) << servers.log(successor);
   EXPECT_EQ(Client(servers.client_port()).check_health(), true);
   servers.expect_graceful_shutdown(kServer);
   EXPECT_FALSE(servers.has_exited(successor));
@@ -45,13 +45,13 @@
   Client idle_client(servers.client_port()), half_client(servers.client_port());
   EXPECT_TRUE(is_served(idle_client.call(kTile)));
   half_client.send_prefix(kTile, 20);
-  EXPECT_TRUE(is_served(idle_client.call(kTile)));  // by now the half has been read
+  EXPECT_TRUE(is_served(idle_client.call(kTile)));  // the server has read the first half by now
   const auto successor = servers.start_successor();
   servers.terminate(kServer);
-  ASSERT_TRUE(servers.wait_for_log(kServer, kHandsOver));
+  ASSERT_TRUE(servers.wait_for_log(kServer, kHandoverMessage));
   half_client.send_remainder();
   EXPECT_TRUE(is_served(half_client.receive())) << servers.log(kServer);
-  // A request that crosses the notice to reconnect, on a connection that was idle.
+  // A request on an idle connection, sent before the client has handled the GOAWAY.
   EXPECT_TRUE(is_served(idle_client.call(kTile))) << servers.log(kServer);
   EXPECT_EQ(idle_client.check_health(), true);  // a failed check would count against the successor too
   servers.expect_graceful_shutdown(kServer);
@@ -61,11 +61,11 @@
 TEST(HotRestart, WithoutASuccessorThatServesTheBacklogIsAnswered) {
   ServerProcesses servers(hot_restart_options());
   servers.start_healthy();
-  const auto starting = servers.start_duplicate(kServer, false);
-  ASSERT_TRUE(servers.wait_until([&] { return servers.admin_port(starting) != 0; }, kPatience));
-  EXPECT_TRUE(servers.admin_command(starting, "health").starts_with("ERR starting"));
-  servers.pause(starting);  // it shares the socket and accepts nothing
-  EXPECT_TRUE(is_served(servers.ask()));
+  const auto unready = servers.start_duplicate(kServer, false);
+  ASSERT_TRUE(servers.wait_until([&] { return servers.admin_port(unready) != 0; }, kConditionTimeout));
+  EXPECT_TRUE(servers.admin_command(unready, "health").starts_with("ERR starting"));
+  servers.pause(unready);  // it holds the socket and accepts no connection
+  EXPECT_TRUE(is_served(servers.send_request()));
   servers.pause(kServer);
   Client client(servers.client_port());
   client.send(kTile);
@@ -73,46 +73,47 @@
   servers.resume(kServer);
   EXPECT_TRUE(is_served(client.receive())) << servers.log(kServer);
   servers.expect_graceful_shutdown(kServer);
-  EXPECT_FALSE(servers.has_logged(kServer, kHandsOver));
+  EXPECT_FALSE(servers.has_logged(kServer, kHandoverMessage));
 }
 
-// The successor is told to shut down while the old process is still draining: it hands over to nobody.
-TEST(HotRestart, ADrainingProcessIsNobodysSuccessor) {
+// The successor is terminated while the old process is still draining: it drains by itself and does not hand
+// over to the old process.
+TEST(HotRestart, ADrainingProcessIsNotASuccessor) {
   ServerProcesses servers(hot_restart_options());
   servers.start_healthy();
   Client idle_client(servers.client_port());
-  EXPECT_TRUE(is_served(idle_client.call(kTile)));  // keeps the old process from ending early
+  EXPECT_TRUE(is_served(idle_client.call(kTile)));  // an open connection keeps the old process running
   const auto successor = servers.start_successor();
   servers.terminate(kServer);
-  ASSERT_TRUE(servers.wait_for_log(kServer, kHandsOver));
+  ASSERT_TRUE(servers.wait_for_log(kServer, kHandoverMessage));
   servers.pause(successor);
-  servers.pause(kServer);  // still alive, however fast the machine is
+  servers.pause(kServer);  // keeps it alive on a fast machine
   Client client(servers.client_port());
   client.send(kTile);
   servers.terminate(successor);
   servers.resume(successor);
   EXPECT_TRUE(is_served(client.receive())) << servers.log(successor);
-  EXPECT_FALSE(servers.has_logged(successor, kHandsOver)) << servers.log(successor);
+  EXPECT_FALSE(servers.has_logged(successor, kHandoverMessage)) << servers.log(successor);
   servers.expect_graceful_shutdown(successor);
   servers.resume(kServer);
 }
 
-TEST(HotRestart, TwoInARowHandOverAndTheThirdKnowsTheFirstsKeys) {
+TEST(HotRestart, TheThirdProcessInARowKnowsTheKeysOfTheFirst) {
   ServerProcesses servers(hot_restart_options());
   servers.start_healthy();
-  EXPECT_TRUE(is_served(servers.ask(keyed_request(kKey))));
+  EXPECT_TRUE(is_served(servers.send_request(keyed_request(kKey))));
   const auto second = servers.start_successor();
   EXPECT_EQ(servers.admin_command(kServer, "quiesce"), "OK quiesced");
   servers.terminate(kServer);
   servers.expect_graceful_shutdown(kServer);
-  EXPECT_TRUE(servers.has_logged(kServer, kHandsOver));
+  EXPECT_TRUE(servers.has_logged(kServer, kHandoverMessage));
   EXPECT_EQ(Client(servers.client_port()).check_health(), true);
-  servers.start_healthy();  // the third, with the first one's directory
+  servers.start_healthy();  // the third process, with the directory of the first
   servers.terminate(second);
   servers.expect_graceful_shutdown(second);
-  EXPECT_TRUE(servers.has_logged(second, kHandsOver));
-  EXPECT_TRUE(is_served(servers.ask()));
-  EXPECT_TRUE(is_rejected(servers.ask(keyed_request(kKey))));
+  EXPECT_TRUE(servers.has_logged(second, kHandoverMessage));
+  EXPECT_TRUE(is_served(servers.send_request()));
+  EXPECT_TRUE(is_rejected(servers.send_request(keyed_request(kKey))));
   EXPECT_EQ(servers.run_count(kServer, kKey), 1);
 }
 
@@ -122,23 +123,23 @@
   ServerProcesses servers(hot_restart_options());
   servers.start_healthy();
   const auto successor = servers.start_successor();
-  EXPECT_TRUE(is_served(servers.ask_while_stopped(successor, keyed_request(kKey))));
-  EXPECT_TRUE(is_rejected(servers.ask_while_stopped(kServer, keyed_request(kKey))));
-  EXPECT_TRUE(is_served(servers.ask_while_stopped(kServer, keyed_request(kOtherKey))));
-  EXPECT_TRUE(is_rejected(servers.ask_while_stopped(successor, keyed_request(kOtherKey))));
+  EXPECT_TRUE(is_served(servers.send_request_while_stopped(successor, keyed_request(kKey))));
+  EXPECT_TRUE(is_rejected(servers.send_request_while_stopped(kServer, keyed_request(kKey))));
+  EXPECT_TRUE(is_served(servers.send_request_while_stopped(kServer, keyed_request(kOtherKey))));
+  EXPECT_TRUE(is_rejected(servers.send_request_while_stopped(successor, keyed_request(kOtherKey))));
   for (const auto* key : {kKey, kOtherKey}) EXPECT_EQ(total_run_count(servers, successor, key), 1) << key;
 }
 
-// One of two processes is killed between the lease and the result: the other never runs the key.
+// Kills one of two processes between the lease and the result: the other process must not run the key.
 void expect_key_of_killed_process_is_not_run(ServerProcesses& servers, const std::string& successor,
                                              const std::string& killed, const std::string& survivor) {
   servers.pause(survivor);
   Client client(servers.client_port());
   client.send(keyed_request(kKey));
-  ASSERT_TRUE(servers.wait_until([&] { return servers.run_count(killed, kKey) == 1; }, kPatience));
+  ASSERT_TRUE(servers.wait_until([&] { return servers.run_count(killed, kKey) == 1; }, kConditionTimeout));
   servers.kill(killed);
   servers.resume(survivor);
-  EXPECT_TRUE(is_rejected(servers.ask(keyed_request(kKey)))) << servers.log(survivor);
+  EXPECT_TRUE(is_rejected(servers.send_request(keyed_request(kKey)))) << servers.log(survivor);
   EXPECT_EQ(total_run_count(servers, successor, kKey), 1);
 }
 
@@ -162,7 +163,7 @@
   expect_key_of_killed_process_is_not_run(servers, successor, successor, kServer);
   servers.terminate(kServer);
   servers.expect_graceful_shutdown(kServer);
-  EXPECT_FALSE(servers.has_logged(kServer, kHandsOver));
+  EXPECT_FALSE(servers.has_logged(kServer, kHandoverMessage));
 }
 
 TEST(HotRestart, WithoutASharedDirectoryNoKeyedRequestRunsAndReadsAreServed) {
@@ -170,22 +171,22 @@
   options.create_shared_folder = false;
   ServerProcesses servers(options);
   servers.start_healthy();
-  EXPECT_TRUE(is_served(servers.ask()));
-  const auto rejected = servers.ask(keyed_request(kKey));
+  EXPECT_TRUE(is_served(servers.send_request()));
+  const auto rejected = servers.send_request(keyed_request(kKey));
   ASSERT_TRUE(is_rejected(rejected));
-  EXPECT_EQ(rejected->retry_after, 0ms);  // only this request is rejected: the server is healthy
+  EXPECT_EQ(rejected->retry_after, 0ms);  // only this request is rejected: the server is not overloaded
   EXPECT_EQ(servers.run_count(kServer, kKey), 0);
   EXPECT_TRUE(servers.has_logged(kServer, "no keyed request runs"));
 }
 
-// ---- The environment ----
+// ---- Environment variables ----
 
 struct CommandResult {
   int status = -1;
   std::string output;
 };
 
-// Runs the program with further environment variables.
+// Runs the program with additional environment variables.
 CommandResult run_program(const ServerProcesses& servers, const std::string& environment) {
   const auto config = (servers.state_folder(kServer).parent_path() / "config.json").string();
   const auto command =
@@ -199,12 +200,13 @@
   return result;
 }
 
-TEST(HotRestart, AnUnusableSocketOrAdminAddressIsOneLineAndExitStatusTwo) {
+TEST(HotRestart, AnUnusableSocketOrAdminAddressCausesOneErrorLineAndExitStatusTwo) {
   ServerProcesses servers(hot_restart_options());
   servers.start_healthy();
-  const auto taken = "EDGE_ADMIN_ADDR=127.0.0.1:" + std::to_string(servers.admin_port(kServer));
+  const auto address_in_use = "EDGE_ADMIN_ADDR=127.0.0.1:" + std::to_string(servers.admin_port(kServer));
   const std::string environments[] = {
-      "EDGE_FD=x", "EDGE_FD=99", "EDGE_FD=0", "EDGE_ADMIN_ADDR=nowhere", "EDGE_ADMIN_ADDR=host:99", taken};
+      "EDGE_FD=x",   "EDGE_FD=99", "EDGE_FD=0", "EDGE_ADMIN_ADDR=nowhere", "EDGE_ADMIN_ADDR=host:99",
+      address_in_use};
   for (const auto& environment : environments) {
     const auto [status, output] = run_program(servers, environment);
     EXPECT_EQ(status, 2) << environment << ": " << output;
--- a/tests/recovery_slow_start_process_test.cpp
+++ b/tests/recovery_slow_start_process_test.cpp
@@ -185,7 +185,7 @@
     asks.join();
     EXPECT_TRUE(f.wait_until([&] { return f.has_exited("n0"); }, kLong));
     EXPECT_EQ(f.exit_status("n0"), 0);
-    EXPECT_TRUE(f.says("left: all answered")) << f.log("n0");
+    EXPECT_TRUE(f.says("stopped: all requests answered")) << f.log("n0");
   }
 }
 
--- a/tests/shutdown_race_test.cpp
+++ b/tests/shutdown_race_test.cpp
@@ -1,6 +1,6 @@
-// Graceful shutdown of a real process that crosses with a connection, a request, a reload or its own start.
-// Each crossing is forced by stopping the process (SIGSTOP), by halves of a message, or by two signals at
-// once.
+// Tests of races between the graceful shutdown of a real process and a connection, a request, a reload or the
+// start of the process. Each race is forced by pausing the process (SIGSTOP), by sending a message in two
+// parts, or by two signals that are pending together.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/udp.hpp>
 #include <chrono>
@@ -15,14 +15,14 @@
 using boost::asio::ip::udp;
 using standin::Client;
 
-constexpr char kShutdownNotice[] = "notice to leave";
+constexpr char kShutdownMessage[] = "shutdown requested";
 
 TEST(ShutdownRace, ARequestOnAConnectionAcceptedBeforeTheSignalIsAnswered) {
   ServerProcesses server(platform_options());
   server.start_serving();
   Client client(server.client_port());
   server.send_signal(SIGTERM);
-  ASSERT_TRUE(server.wait_for_log(kServer, kShutdownNotice));
+  ASSERT_TRUE(server.wait_for_log(kServer, kShutdownMessage));
   EXPECT_TRUE(client.call(kTile)) << server.log(kServer);
   server.expect_graceful_shutdown(kServer);
 }
@@ -45,7 +45,7 @@
   Client client(server.client_port());
   client.send_prefix(kTile, 20);
   server.send_signal(SIGTERM);
-  ASSERT_TRUE(server.wait_for_log(kServer, kShutdownNotice));
+  ASSERT_TRUE(server.wait_for_log(kServer, kShutdownMessage));
   client.send_remainder();
   EXPECT_TRUE(client.receive()) << server.log(kServer);
   server.expect_graceful_shutdown(kServer);
@@ -58,8 +58,8 @@
   server.start_serving();
   Client client(server.client_port());
   client.send(keyed_request(kKey, 300));
-  ASSERT_TRUE(server.wait_until([&] { return server.run_count(kServer, kKey) == 1; }, kPatience));
-  server.pause(kServer);  // so that both signals are pending together
+  ASSERT_TRUE(server.wait_until([&] { return server.run_count(kServer, kKey) == 1; }, kConditionTimeout));
+  server.pause(kServer);  // so that both signals are pending at the same time
   server.send_signal(SIGHUP);
   server.send_signal(SIGTERM);
   server.resume(kServer);
@@ -76,7 +76,7 @@
   server.expect_graceful_shutdown(kServer);
 }
 
-// The receiver of load reports: a UDP port that is reserved first, and opened later.
+// Receives load reports on a UDP port that is chosen at construction and opened by open().
 class ReportReceiver {
  public:
   ReportReceiver() : socket_(io_, udp::endpoint(boost::asio::ip::address_v4::loopback(), 0)) {
@@ -109,7 +109,8 @@
   server.start_serving();
   std::list<Client> idle_clients;
   for (int k = 0; k < 100; ++k) idle_clients.emplace_back(server.client_port()).check_health();
-  EXPECT_TRUE(server.wait_until([&] { return is_served(server.ask()); }, kPatience)) << server.log(kServer);
+  EXPECT_TRUE(server.wait_until([&] { return is_served(server.send_request()); }, kConditionTimeout))
+      << server.log(kServer);
   receiver.open();
   EXPECT_EQ(receiver.receive(), "announce n0 true");
   server.send_signal(SIGTERM);
--- a/tools/fleet/process_fleet.cpp
+++ b/tools/fleet/process_fleet.cpp
@@ -259,7 +259,7 @@
 }
 
 std::uint16_t ProcessFleet::admin_port(const std::string& name) const {
-  return logged_port(name, "operators' door at 127.0.0.1:");
+  return logged_port(name, "admin listener at 127.0.0.1:");
 }
 
 std::string ProcessFleet::admin_command(const std::string& name, const std::string& line) const {
