--- a/cmake/GranitegapLibrary.cmake
+++ b/cmake/GranitegapLibrary.cmake
@@ -1,8 +1,9 @@
-# Functions that the folders' CMakeLists.txt use to declare their targets.
+# Functions that declare targets, for the CMakeLists.txt of the directories.
 
 # granitegap_library(NAME SOURCES file... [ASIO] [PUBLIC target...] [PRIVATE target...])
 #
-# A static library of one folder, included as "folder/header.h". ASIO gives it Boost.Asio and threads.
+# Declares a static library of one directory, whose headers are included as "directory/header.h". ASIO links it with
+# Boost.Asio and threads.
 function(granitegap_library name)
   cmake_parse_arguments(LIBRARY "ASIO" "" "SOURCES;PUBLIC;PRIVATE" ${ARGN})
   add_library(${name} STATIC ${LIBRARY_SOURCES})
@@ -16,7 +17,7 @@
 
 # granitegap_messages(NAME file.proto)
 #
-# The generated code of one protobuf file; its warnings are not ours.
+# Declares a library of the code generated from one protobuf file. Warnings in generated code are disabled.
 function(granitegap_messages name proto)
   protobuf_generate_cpp(sources headers ${proto})
   add_library(${name} STATIC ${sources} ${headers})
@@ -27,7 +28,8 @@
 
 # granitegap_embed(FILE VARIABLE TEMPLATE HEADER)
 #
-# Makes a header that holds FILE as a string literal, by TEMPLATE, in which @VARIABLE@ stands for the text.
+# Generates HEADER from TEMPLATE, with @VARIABLE@ replaced by the text of FILE, so that the program contains the file as a
+# string literal.
 function(granitegap_embed file variable template header)
   file(READ ${file} ${variable})
   set_property(DIRECTORY APPEND PROPERTY CMAKE_CONFIGURE_DEPENDS ${file})
--- a/tests/temporary_directory.h
+++ b/tests/temporary_directory.h
@@ -1,4 +1,4 @@
-// A fresh directory for one test, removed with its contents on destruction.
+// A new directory for one test, removed with its contents on destruction.
 #pragma once
 #include <cstdlib>
 #include <filesystem>
@@ -10,7 +10,8 @@
  public:
   TemporaryDirectory() {
     auto pattern = (std::filesystem::temp_directory_path() / "granitegap_test_XXXXXX").string();
-    if (!::mkdtemp(pattern.data())) throw std::runtime_error("no temporary directory: " + pattern);
+    if (!::mkdtemp(pattern.data()))
+      throw std::runtime_error("cannot create a temporary directory from the pattern " + pattern);
     path_ = pattern;
   }
   ~TemporaryDirectory() {
