--- a/src/membership/views.cpp
+++ b/src/membership/views.cpp
@@ -51,7 +51,7 @@
   view.name_conflict = member.conflicting_address().has_value();
   view.limit_holders = member.limit_holders();
   view.limit_admitted = member.limit_admitted();
-  view.limit_reserved = member.removed_members();
+  view.limit_reserved = member.dead_outside_quorum_base();
   view.at = now;
   return view;
 }
