--- a/src/deps/endpoints.cpp
+++ b/src/deps/endpoints.cpp
@@ -6,12 +6,13 @@
 namespace granitegap::deps {
 namespace {
 
-constexpr std::uint32_t kConsecutiveFailures = 5;   // that eject an endpoint
-constexpr double kPeakDecaySeconds = 2;             // time constant of the peak latency
-constexpr double kImprovementGain = 0.3;            // weight of a sample below the peak
-constexpr double kInitialLatencyUs = 1000;          // assumed of an endpoint without samples
-constexpr double kMinSlowStartWeight = 0.1;         // at the beginning of a slow start
-constexpr std::uint32_t kMaxEjectionDoublings = 8;  // max_ejection_time bounds the duration long before
+constexpr std::uint32_t kConsecutiveFailures = 5;  // consecutive failures that eject an endpoint
+constexpr double kPeakDecaySeconds = 2;            // time constant of the peak latency's decay
+constexpr double kImprovementGain = 0.3;           // weight of a sample that is below the peak
+constexpr double kInitialLatencyUs = 1000;         // latency assumed for an endpoint without samples
+constexpr double kMinSlowStartWeight = 0.1;        // weight at the beginning of a slow start
+// Keeps the shift in range. max_ejection_time bounds the duration long before.
+constexpr std::uint32_t kMaxEjectionDoublings = 8;
 
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
@@ -24,7 +25,7 @@
 EndpointSet::EndpointSet(const DependencySpec& spec) { update(spec); }
 
 void EndpointSet::update(const DependencySpec& spec) {
-  all_available_ = false;  // determined anew by the next pick()
+  all_available_ = false;  // recomputed by the next pick()
   max_ejection_ratio_ = spec.max_ejection_ratio;
   base_ejection_time_ = spec.base_ejection_time;
   max_ejection_time_ = spec.max_ejection_time;
@@ -85,8 +86,8 @@
   return pick_by_scan(now, random1, random2, avoid);
 }
 
-// Two different endpoints other than `avoid`, without a scan: an index at or past one that is left out moves
-// up by one.
+// Picks between two different endpoints other than `avoid`, without a scan: an index at or past an excluded
+// one moves up by one.
 EndpointSet::Index EndpointSet::pick_among_all(TimePoint now, double random1, double random2,
                                                std::optional<Index> avoid) const {
   const auto candidates = Index(endpoints_.size()) - (avoid ? 1 : 0);
@@ -98,7 +99,7 @@
   return less_loaded(first, second, now);
 }
 
-// Puts the first ejected endpoint whose time is over on trial with a single attempt.
+// Makes the first ejected endpoint whose ejection time is over half-open, for a single trial attempt.
 std::optional<EndpointSet::Index> EndpointSet::begin_trial(TimePoint now, std::optional<Index> avoid) {
   for (Index i = 0; i < endpoints_.size(); ++i) {
     auto& endpoint = endpoints_[i];
@@ -114,7 +115,7 @@
 std::optional<EndpointSet::Index> EndpointSet::pick_by_scan(TimePoint now, double random1, double random2,
                                                             std::optional<Index> avoid) const {
   std::uint32_t candidates = 0;
-  std::optional<Index> last_resort;  // `avoid` too
+  std::optional<Index> last_resort;  // may be `avoid`
   for (Index i = 0; i < endpoints_.size(); ++i) {
     if (!is_available(endpoints_[i], now)) continue;
     last_resort = i;
@@ -123,18 +124,18 @@
   if (candidates == 0) return last_resort;
 
   const auto first = std::min(std::uint32_t(random1 * candidates), candidates - 1);
-  auto second = candidates;  // none
+  auto second = candidates;  // no second candidate
   if (candidates > 1) {
     second = std::min(std::uint32_t(random2 * (candidates - 1)), candidates - 2);
     if (second >= first) ++second;
   }
   std::optional<Index> a, b;
-  std::uint32_t seen = 0;
+  std::uint32_t position = 0;  // among the candidates
   for (Index i = 0; i < endpoints_.size(); ++i) {
     if (!is_available(endpoints_[i], now) || i == avoid) continue;
-    if (seen == first) a = i;
-    if (seen == second) b = i;
-    ++seen;
+    if (position == first) a = i;
+    if (position == second) b = i;
+    ++position;
   }
   return b ? less_loaded(*a, *b, now) : *a;
 }
@@ -148,7 +149,7 @@
 void EndpointSet::on_success(Index i, Duration took, TimePoint now) {
   auto& endpoint = endpoints_[i];
   end_call(endpoint);
-  // Peak EWMA: a higher latency counts at once, a lower one bit by bit.
+  // Peak EWMA: a higher latency takes effect at once, a lower one gradually.
   const double sample_us = double(took.count());
   const double peak_us = decayed_peak(endpoint.peak_us, now - endpoint.last_sample);
   endpoint.peak_us = sample_us > peak_us ? sample_us : peak_us + kImprovementGain * (sample_us - peak_us);
@@ -170,7 +171,7 @@
   ++endpoint.consecutive_failures;
   if (endpoint.state == State::half_open) return eject(endpoint, now);
   if (endpoint.state != State::healthy || endpoint.consecutive_failures < kConsecutiveFailures) return;
-  // Ejecting more would overload the remaining endpoints; a fault of all of them is the circuit breaker's.
+  // Ejecting more would overload the remaining endpoints. The circuit breaker handles a fault of all of them.
   if (may_eject_another()) eject(endpoint, now);
 }
 
@@ -194,7 +195,7 @@
 void EndpointSet::on_cancelled(Index i) {
   auto& endpoint = endpoints_[i];
   end_call(endpoint);
-  // The trial had no result. Its ejection time is over, so that the next attempt is a trial again.
+  // The trial had no result. The ejection time is over, so that the next attempt is another trial.
   if (endpoint.state == State::half_open) endpoint.state = State::ejected;
 }
 
@@ -225,8 +226,8 @@
     stats.latency = Duration(std::int64_t(endpoint.peak_us));
     stats.sample_age = std::max(now - endpoint.last_sample, Duration{});
   }
-  const bool is_blank = stats.ejected_for.count() == 0 && stats.latency.count() == 0;
-  if (endpoint.state == State::removed || is_blank) return std::nullopt;
+  const bool has_no_data = stats.ejected_for.count() == 0 && stats.latency.count() == 0;
+  if (endpoint.state == State::removed || has_no_data) return std::nullopt;
   return stats;
 }
 
--- a/src/deps/endpoints.h
+++ b/src/deps/endpoints.h
@@ -1,8 +1,9 @@
 // Load balancing and outlier detection over the endpoints of one dependency.
 //
-// Balancing: power of two choices (Mitzenmacher 2001) by peak-EWMA load score, as in Finagle: the decayed
-// peak latency times the attempts in flight. Outlier detection: consecutive failures eject an endpoint, after
-// which one trial attempt (half-open) decides, and a slow start limits its share, as in Envoy.
+// Load balancing uses the power of two choices (Mitzenmacher 2001) by peak-EWMA load score, as in Finagle:
+// the decayed peak latency times the attempts in flight. Outlier detection ejects an endpoint after
+// consecutive failures. When the ejection time is over, a single trial attempt (half-open) decides whether
+// the endpoint is used again; a slow start then limits its share, as in Envoy.
 //
 //             consecutive failures              ejection time over
 //   healthy ------------------------> ejected ----------------------> half_open (one attempt)
@@ -11,8 +12,8 @@
 //      +---------------------------------|------------------------------|-----------+
 //                                        +------------------------------+
 //
-// A value type without clock or I/O, used by one thread. Indices stay valid until update() replaces a removed
-// endpoint.
+// A value type without clock or I/O, used by one thread. An index stays valid until update() reuses the slot
+// of a removed endpoint.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -22,12 +23,12 @@
 
 namespace granitegap::deps {
 
-// What is known of one endpoint, as passed on to another process.
+// Health and latency of one endpoint, as transferred to another process.
 struct EndpointStats {
-  Duration ejected_for{};       // what is left of its ejection; zero: not ejected
-  Duration latency{};           // recent peak; zero: unknown
-  Duration sample_age{};        // since the newest latency sample
-  std::uint32_t ejections = 0;  // in a row; each doubles the next ejection's duration
+  Duration ejected_for{};       // remaining time of the ejection; zero: not ejected
+  Duration latency{};           // recent peak latency; zero: unknown
+  Duration sample_age{};        // time since the newest latency sample
+  std::uint32_t ejections = 0;  // consecutive ejections; each doubles the duration of the next
 };
 
 class EndpointSet {
@@ -35,41 +36,44 @@
   using Index = std::uint32_t;
   explicit EndpointSet(const DependencySpec& spec);
 
-  // The endpoint for the next attempt; absent when none is available. An ejected endpoint whose time is over
-  // is returned first, as half-open. `avoid`: where another attempt of the same call is; returned only when
-  // there is no alternative. `random1`, `random2`: independent draws from [0, 1).
+  // Returns the endpoint for the next attempt; absent when none is available. An ejected endpoint whose
+  // ejection time is over is returned first, as half-open. `avoid`: the endpoint of another attempt of the
+  // same call, returned only when there is no alternative. `random1`, `random2`: independent draws from
+  // [0, 1).
   [[nodiscard]] std::optional<Index> pick(TimePoint now, double random1, double random2,
                                           std::optional<Index> avoid = std::nullopt);
 
-  // Every on_call_started() is followed by exactly one of the other three.
+  // Every on_call_started() is followed by exactly one of on_success(), on_failure() and on_cancelled().
   void on_call_started(Index i);
   void on_success(Index i, Duration took, TimePoint now);
   void on_failure(Index i, TimePoint now);
-  // An attempt ended without evidence for or against the endpoint.
+  // Ends an attempt that says nothing about the health of the endpoint.
   void on_cancelled(Index i);
 
-  // The endpoint sent Retry-After: it is not picked before `until`.
+  // Applies a Retry-After header that the endpoint sent: it is not picked before `until`.
   void set_retry_after(Index i, TimePoint until);
-  // The dependency is back after an outage: ejections end now and every endpoint begins a slow start.
+  // Called when the dependency has recovered from an outage: ejected endpoints become due for a trial, and
+  // the healthy ones begin a slow start.
   void begin_slow_start(TimePoint now);
 
-  // Takes a new list of endpoints. State of those that stay is kept; one that is gone is no longer picked,
-  // and its slot is reused once its attempts have ended.
+  // Applies a new list of endpoints. Endpoints that remain in the list keep their state. An endpoint that is
+  // no longer listed is not picked any more, and its slot is reused once its attempts have ended.
   void update(const DependencySpec& spec);
 
   const EndpointSpec& address(Index i) const { return endpoints_[i].address; }
-  // True for every endpoint that is not healthy: ejected, half-open or removed.
+  // Returns true for every endpoint that is not healthy: ejected, half-open or removed.
   bool is_ejected(Index i) const { return endpoints_[i].state != State::healthy; }
   bool is_removed(Index i) const { return endpoints_[i].state == State::removed; }
-  // Ejected and half-open endpoints.
+  // Returns the number of ejected and half-open endpoints.
   std::size_t ejected_count() const;
-  // Indices run from 0 to here, removed endpoints included.
+  // Returns the number of slots, removed endpoints included. Indices are less than this.
   std::size_t slot_count() const { return endpoints_.size(); }
 
-  // What is known of one endpoint; absent when nothing is.
+  // Returns the health and latency of one endpoint; absent when there are neither samples nor an ejection,
+  // and for a removed endpoint.
   std::optional<EndpointStats> stats(Index i, TimePoint now) const;
-  // Takes over what another process knew; false, and without effect, when there is evidence of this one's
-  // own.
+  // Restores statistics of another process. Returns false and changes nothing when this process has made its
+  // own observations of the endpoint.
   bool restore(Index i, const EndpointStats& stats, TimePoint now);
 
  private:
@@ -78,7 +82,7 @@
     EndpointSpec address;
     State state = State::healthy;
     std::uint32_t in_flight = 0, consecutive_failures = 0, ejections = 0;
-    double peak_us = 0;  // decays towards new samples, rises to a higher one at once; 0: no sample
+    double peak_us = 0;  // decays towards lower samples, rises at once to a higher one; 0: no sample
     TimePoint last_sample{}, ejected_until{}, slow_start_began{}, retry_after{};
     bool in_slow_start = false;
   };
@@ -95,7 +99,7 @@
   Endpoint& free_slot();
 
   std::vector<Endpoint> endpoints_;
-  bool all_available_ = true;  // none ejected, removed or under Retry-After: pick() needs no scan
+  bool all_available_ = true;  // no endpoint is ejected, removed or under Retry-After: pick() needs no scan
   double max_ejection_ratio_ = 0.5;
   Duration base_ejection_time_{}, max_ejection_time_{}, slow_start_window_{};
 };
--- a/src/deps/latency_window.cpp
+++ b/src/deps/latency_window.cpp
@@ -7,7 +7,7 @@
 namespace granitegap::deps {
 namespace {
 
-constexpr double kMinUs = 50, kMaxUs = 60e6;  // bounds of the axis
+constexpr double kMinUs = 50, kMaxUs = 60e6;  // bounds of the axis in microseconds
 
 }  // namespace
 
@@ -20,20 +20,20 @@
   samples_ = 0;
 }
 
-// Drops the slices that have left the window.
+// Removes the slices that are no longer in the window.
 void LatencyWindow::expire(TimePoint now) {
-  const auto slice_now = now.time_since_epoch() / slice_duration_;
+  const auto new_slice = now.time_since_epoch() / slice_duration_;
   if (!has_started_) {
     has_started_ = true;
-    current_slice_ = slice_now;
+    current_slice_ = new_slice;
   }
-  if (slice_now <= current_slice_) return;
-  if (slice_now - current_slice_ >= std::int64_t(kSlices)) {
+  if (new_slice <= current_slice_) return;
+  if (new_slice - current_slice_ >= std::int64_t(kSlices)) {
     clear();
-    current_slice_ = slice_now;
+    current_slice_ = new_slice;
     return;
   }
-  while (current_slice_ < slice_now) {
+  while (current_slice_ < new_slice) {
     ++current_slice_;
     const auto reused = std::size_t(current_slice_) % kSlices;
     for (std::size_t bin = 0; bin < sum_.size(); ++bin) sum_[bin] -= slices_[reused][bin];
@@ -61,16 +61,16 @@
   expire(now);
   if (samples_ == 0 || samples_ < min_samples) return std::nullopt;
   const auto rank = std::max(std::uint32_t(std::ceil(std::clamp(q, 0.0, 1.0) * samples_)), 1u);
-  std::uint32_t seen = 0;
+  std::uint32_t cumulative = 0;
   for (std::size_t bin = 0; bin < sum_.size(); ++bin) {
-    seen += sum_[bin];
-    if (seen >= rank) return value_of_bin(bin);
+    cumulative += sum_[bin];
+    if (cumulative >= rank) return bin_value(bin);
   }
   return Duration(std::int64_t(kMaxUs));
 }
 
-// The middle of a bin on the logarithmic axis; the axis's bound for the two bins outside of it.
-Duration LatencyWindow::value_of_bin(std::size_t bin) const {
+// Returns the middle of a bin on the logarithmic axis; for the two bins outside the axis, its bound.
+Duration LatencyWindow::bin_value(std::size_t bin) const {
   if (bin == 0) return Duration(std::int64_t(kMinUs));
   if (bin > kBins) return Duration(std::int64_t(kMaxUs));
   return Duration(std::llround(axis_.value(double(bin) - 0.5)));
--- a/src/deps/latency_window.h
+++ b/src/deps/latency_window.h
@@ -1,10 +1,11 @@
-// Quantiles of recent latencies over a sliding window, in fixed memory.
+// Estimates quantiles of recent latencies over a sliding window, in fixed memory.
 //
 // A ring of ten slices, each a histogram on a logarithmic axis (Boost.Histogram) from 50 us to 60 s; their
 // sum is kept up to date as slices expire. A quantile's relative error is half a bin, about 5 %; a latency
-// outside of the axis counts as its bound. docs/dependencies.md has the comparison with other estimators.
+// outside the axis counts as its bound. docs/dependencies.md has the comparison with other estimators.
 //
-// A value type without clock, used by one thread. A `now` before the newest one seen expires nothing.
+// A value type without clock, used by one thread. A `now` that is earlier than a previous one expires
+// nothing.
 #pragma once
 #include <array>
 #include <boost/histogram/axis/regular.hpp>
@@ -17,20 +18,20 @@
 
 class LatencyWindow {
  public:
-  // `slice`: how long one of the window's ten slices lasts.
+  // `slice`: duration of each of the window's ten slices.
   explicit LatencyWindow(Duration slice = std::chrono::seconds(1));
   void record(Duration latency, TimePoint now);
-  // `q`: in [0, 1]. Absent when the window holds fewer than `min_samples` samples, or none.
+  // Returns the quantile `q`, in [0, 1]; absent when the window holds no samples or fewer than `min_samples`.
   std::optional<Duration> quantile(double q, TimePoint now, std::uint32_t min_samples = 1);
-  // In the window.
+  // Returns the number of samples in the window.
   std::uint32_t samples(TimePoint now);
   void clear();
 
  private:
   static constexpr std::size_t kSlices = 10, kBins = 128;
-  using Histogram = std::array<std::uint32_t, kBins + 2>;  // with one bin below and one above the axis
+  using Histogram = std::array<std::uint32_t, kBins + 2>;  // one bin below the axis and one above it
   void expire(TimePoint now);
-  Duration value_of_bin(std::size_t bin) const;
+  Duration bin_value(std::size_t bin) const;
 
   boost::histogram::axis::regular<double, boost::histogram::axis::transform::log> axis_;
   std::array<Histogram, kSlices> slices_{};
--- a/src/deps/limits.cpp
+++ b/src/deps/limits.cpp
@@ -6,17 +6,17 @@
 namespace granitegap::deps {
 namespace {
 
-constexpr double kInitialLimit = 8;  // until there are latencies
-constexpr double kTolerance = 1.5;   // recent over best latency that is taken for noise
+constexpr double kInitialLimit = 8;  // limit before the first latency samples
+constexpr double kTolerance = 1.5;   // ratio of recent to best latency that is treated as noise
 constexpr double kMinGradient = 0.5;
-constexpr double kGrowth = 0.3, kShrink = 0.8;  // smoothing: share of the way that one update goes
+constexpr double kGrowth = 0.3, kShrink = 0.8;  // fraction of the distance to the target per update
 constexpr double kLatencyGain = 0.2;            // weight of one answer in the recent latency
-constexpr double kBestDrift = 0.005;            // of the way from best to recent, per update
-constexpr double kFailureCut = 0.9;             // factor of the limit on a failure
+constexpr double kBestDrift = 0.005;            // fraction of the distance from best to recent per update
+constexpr double kFailureCut = 0.9;             // factor applied to the limit on a failure
 
 constexpr double kBudgetHalfLifeSeconds = 10;
 
-constexpr double kCircuitHalfLifeSeconds = 0.5;  // of the counts of recent calls
+constexpr double kCircuitHalfLifeSeconds = 0.5;  // half-life of the counts of recent calls
 constexpr std::uint32_t kConsecutiveFailures = 8;
 constexpr double kMinCalls = 10, kMaxFailureRatio = 0.8;
 constexpr double kProbeIntervalGrowth = 1.6;
@@ -49,7 +49,7 @@
   const double us = std::max<double>(double(took.count()), 1);
   recent_us_ = recent_us_ > 0 ? recent_us_ + kLatencyGain * (us - recent_us_) : us;
   best_us_ = best_us_ > 0 ? std::min(best_us_, recent_us_) : recent_us_;
-  ++ends_since_cut_;
+  ++completions_since_cut_;
   ++answers_since_update_;
   if (answers_since_update_ >= std::uint32_t(limit_)) update(in_flight);
 }
@@ -63,7 +63,7 @@
     return;
   }
   const double gradient = std::clamp(kTolerance * best_us_ / recent_us_, kMinGradient, 1.0);
-  // A limit that is not used must not grow: it would protect nothing when it is needed.
+  // A limit that is not used must not grow: it would be too high to protect the dependency under load.
   const bool is_used = in_flight * 2 >= std::uint32_t(limit_);
   if (gradient >= 1 && !is_used) return;
   const double target = limit_ * gradient + std::sqrt(limit_);
@@ -72,9 +72,9 @@
 }
 
 void ConcurrencyLimit::on_failure() {
-  ++ends_since_cut_;
-  if (ends_since_cut_ < std::uint32_t(limit_)) return;
-  ends_since_cut_ = 0;
+  ++completions_since_cut_;
+  if (completions_since_cut_ < std::uint32_t(limit_)) return;
+  completions_since_cut_ = 0;
   limit_ = std::clamp(limit_ * kFailureCut, min_limit(), max_);
 }
 
@@ -82,7 +82,7 @@
   slow_start_target_ = std::max(limit_, min_);
   limit_ = 1;
   answers_since_update_ = 0;
-  ends_since_cut_ = 0;
+  completions_since_cut_ = 0;
 }
 
 // ---- RetryBudget ----
@@ -124,7 +124,7 @@
   updated_ = std::max(updated_, now);
 }
 
-// Half of the interval is jitter: processes that saw the same outage must not probe in step.
+// Half of the interval is jitter, so that processes that detected the same outage do not probe in step.
 void CircuitBreaker::schedule_probe(TimePoint now, double random) {
   next_probe_ = now + scaled(interval_, 0.5 + random / 2);
 }
@@ -146,7 +146,7 @@
   failures_ += 1;
   ++consecutive_failures_;
   if (is_open_) {
-    if (!is_probing_) return false;  // a call that began before the breaker opened
+    if (!is_probing_) return false;  // the call began before the breaker opened
     is_probing_ = false;
     interval_ = std::min(scaled(interval_, kProbeIntervalGrowth), max_probe_interval_);
     schedule_probe(now, random);
--- a/tests/deps_limits_test.cpp
+++ b/tests/deps_limits_test.cpp
@@ -1,4 +1,4 @@
-// The limits of one dependency: latency window, concurrency limit and retry budget.
+// Tests of the limits of one dependency: latency window, concurrency limit and retry budget.
 #include <gtest/gtest.h>
 
 #include "deps/latency_window.h"
@@ -19,20 +19,19 @@
   now += seconds(5);
   for (int i = 0; i < 10000; ++i) window.record(milliseconds(10), now);
   EXPECT_NEAR(double(window.quantile(0.5, now)->count()), 10e3, 10e3 * 0.07);
-  now += seconds(6);  // the first thousand samples have expired
+  now += seconds(6);  // the first 1000 samples have expired
   EXPECT_EQ(window.samples(now), 10000u);
   now += seconds(60);
   EXPECT_FALSE(window.quantile(0.5, now));
   window.record(Duration(0), now);
-  window.record(std::chrono::hours(5), now - seconds(30));  // a clock that went back expires nothing
+  window.record(std::chrono::hours(5), now - seconds(30));  // an earlier time stamp expires nothing
   EXPECT_EQ(window.samples(now), 2u);
 }
 
-TEST(ConcurrencyLimit, FollowsLatencyDownAndUp) {
+TEST(ConcurrencyLimit, ShrinksWhenLatencyRisesAndGrowsWhenItFalls) {
   ConcurrencyLimit limit(2, 64);
   for (int i = 0; i < 3000; ++i) limit.on_success(milliseconds(10), limit.limit());
-  const auto calm = limit.limit();
-  EXPECT_GT(calm, 40u);
+  EXPECT_GT(limit.limit(), 40u);
   for (int i = 0; i < 300; ++i) limit.on_success(milliseconds(100), limit.limit());
   EXPECT_LT(limit.limit(), 12u);
   for (int i = 0; i < 3000; ++i) limit.on_success(milliseconds(10), limit.limit());
