--- a/src/deps/loaded_spec.cpp
+++ b/src/deps/loaded_spec.cpp
@@ -13,14 +13,14 @@
   for (const auto& part : gather.parts) {
     auto parsed = PathTemplate::parse(part.path);
     auto* path = std::get_if<PathTemplate>(&parsed);
-    // src/operators rejects paths that do not parse. One that gets here makes a part that is always absent.
+    // src/operators rejects paths that do not parse. A part with such a path would always be absent.
     paths.push_back(path ? std::move(*path) : PathTemplate{});
   }
   return paths;
 }
 
-std::shared_ptr<const LoadedSpec> cache_fills_of(const Spec& spec,
-                                                 const std::vector<std::uint32_t>& dependency_numbers) {
+std::shared_ptr<const LoadedSpec> make_cache_fills(const Spec& spec,
+                                                   const std::vector<std::uint32_t>& dependency_numbers) {
   auto fills = std::make_shared<Spec>();
   for (std::size_t d = 0; d < spec.dependencies.size(); ++d) {
     PartSpec part;
@@ -47,7 +47,7 @@
     loaded->gather_by_class[cls] = std::int32_t(g);
     loaded->paths.push_back(parse_paths(gather));
   }
-  loaded->cache_fills = cache_fills_of(*spec, dependency_numbers);
+  loaded->cache_fills = make_cache_fills(*spec, dependency_numbers);
   loaded->dependency_numbers = std::move(dependency_numbers);
   loaded->spec = std::move(spec);
   return loaded;
--- a/src/deps/path_template.cpp
+++ b/src/deps/path_template.cpp
@@ -15,6 +15,14 @@
 
 bool is_allowed_in_literal(char c) { return c > ' ' && c < 127 && c != '}' && c != '#'; }
 
+// `c` as a hexadecimal byte: it may be a control character.
+std::string describe_disallowed(char c) {
+  std::string text = "character 0x";
+  text += kLowerHex[std::uint8_t(c) >> 4];
+  text += kLowerHex[std::uint8_t(c) & 15];
+  return text + " is not allowed in a path";
+}
+
 void append_encoded(std::string_view value, std::string& to) {
   for (const char c : value) {
     if (is_unreserved(c)) {
@@ -33,7 +41,7 @@
 
 }  // namespace
 
-PathTemplate::Placeholder PathTemplate::placeholder_named(std::string_view name) {
+PathTemplate::Placeholder PathTemplate::parse_placeholder(std::string_view name) {
   if (name == "obj") return Placeholder::obj;
   if (name == "body") return Placeholder::body;
   if (name == "class") return Placeholder::cls;
@@ -42,19 +50,19 @@
 }
 
 std::variant<PathTemplate, PathTemplate::ParseError> PathTemplate::parse(std::string_view text) {
-  if (text.empty() || text.front() != '/') return ParseError{"a path begins with /", 0};
+  if (text.empty() || text.front() != '/') return ParseError{"a path must begin with /", 0};
   PathTemplate path;
   std::string literal;
   for (std::size_t i = 0; i < text.size(); ++i) {
     const char c = text[i];
     if (c != '{') {
-      if (!is_allowed_in_literal(c)) return ParseError{"a character no path may hold", i};
+      if (!is_allowed_in_literal(c)) return ParseError{describe_disallowed(c), i};
       literal += c;
       continue;
     }
     const auto end = text.find('}', i);
     auto placeholder = Placeholder::none;
-    if (end != std::string_view::npos) placeholder = placeholder_named(text.substr(i + 1, end - i - 1));
+    if (end != std::string_view::npos) placeholder = parse_placeholder(text.substr(i + 1, end - i - 1));
     if (placeholder == Placeholder::none) return ParseError{"expected {obj}, {body}, {class} or {needed}", i};
     path.segments_.push_back({std::move(literal), placeholder});
     literal.clear();
@@ -86,10 +94,10 @@
     }
     if (to.size() - start > max_bytes) return false;
   }
-  // A value that was cut short above makes another path than the one meant.
-  const bool body_was_cut = variables.body.size() > max_bytes && uses(Placeholder::body);
-  const bool needed_was_cut = variables.needed.size() > max_bytes && uses(Placeholder::needed);
-  return !body_was_cut && !needed_was_cut;
+  // A truncated value would expand to a different path.
+  const bool body_was_truncated = variables.body.size() > max_bytes && uses(Placeholder::body);
+  const bool needed_was_truncated = variables.needed.size() > max_bytes && uses(Placeholder::needed);
+  return !body_was_truncated && !needed_was_truncated;
 }
 
 bool PathTemplate::uses(Placeholder placeholder) const {
--- a/tests/operator_config_test.cpp
+++ b/tests/operator_config_test.cpp
@@ -57,7 +57,7 @@
             "gathers[0].parts[0].from: no dependency x; expected one of a b, e, e\n"
             "gathers[0].parts[0].path: {needed} without needs: expected the name of an earlier part there\n"
             "gathers[0].parts[1].name: a second part of this name\n"
-            "gathers[0].parts[1].path: a path begins with /, at character 1\n"
+            "gathers[0].parts[1].path: a path must begin with /, at character 1\n"
             "gathers[0].parts[1].needs: expected the name of an earlier part of this gather\n"
             "gathers[1].class: class tile has gathers twice; expected one for each class\n"
             "gathers[1].parts[0].name: expected a name without commas and spaces\n");
--- a/tests/path_template_test.cpp
+++ b/tests/path_template_test.cpp
@@ -1,4 +1,4 @@
-// Path templates: parsing and expansion.
+// Tests of parsing and expanding path templates.
 #include "deps/path_template.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace granitegap::deps {
 namespace {
 
-TEST(PathTemplate, ExpandsAndPercentEncodes) {
+TEST(PathTemplate, PercentEncodesValuesAndRejectsInvalidTemplates) {
   const auto parse = [](std::string_view text) { return PathTemplate::parse(text); };
   std::string out;
   EXPECT_TRUE(std::get<PathTemplate>(parse("/v1/{class}/{obj}?b={body}&n={needed}"))
