--- a/src/deps/response_cache.cpp
+++ b/src/deps/response_cache.cpp
@@ -8,14 +8,14 @@
 namespace granitegap::deps {
 namespace {
 
-constexpr std::size_t kEntryOverheadBytes =
-    200;  // of an entry: its slot, its index cell and the string headers
-constexpr std::size_t kTypicalBodyBytes = 1024;  // determines the sketch's size and the smallest window
+// Overhead of an entry: its slot, its index cell and the string headers.
+constexpr std::size_t kEntryOverheadBytes = 200;
+constexpr std::size_t kTypicalBodyBytes = 1024;  // determines the size of the sketch and the minimum window
 constexpr double kWindowShare = 0.01, kProtectedShare = 0.8;
 constexpr std::size_t kCountersPerEntry = 4, kMinCounters = 64;
 constexpr unsigned kRows = 4;
 constexpr std::uint8_t kMaxCount = 15;
-constexpr std::size_t kSamplesPerCounter = 10;  // after so many the counters are halved
+constexpr std::size_t kSamplesPerCounter = 10;  // samples per counter after which the counters are halved
 
 }  // namespace
 
@@ -30,16 +30,16 @@
     : counters_(std::bit_ceil(std::max(counters, kMinCounters)) * kRows),
       mask_(counters_.size() / kRows - 1) {}
 
-std::size_t FrequencySketch::index_of(const CacheKey& key, unsigned row) const {
+std::size_t FrequencySketch::counter_index(const CacheKey& key, unsigned row) const {
   return std::size_t(mix_bits(key.low + row * key.high) & mask_) * kRows + row;
 }
 
 void FrequencySketch::record(const CacheKey& key) {
   const auto count = estimate(key);
   if (count < kMaxCount) {
-    // Conservative update: only the smallest counters grow, which overestimates less.
+    // Conservative update: only the smallest counters are incremented, which reduces overestimation.
     for (unsigned row = 0; row < kRows; ++row) {
-      auto& counter = counters_[index_of(key, row)];
+      auto& counter = counters_[counter_index(key, row)];
       if (counter == count) ++counter;
     }
   }
@@ -47,7 +47,7 @@
   if (samples_ >= kSamplesPerCounter * (mask_ + 1)) halve();
 }
 
-// Aging: what was popular long ago must not stay for good.
+// Ages the counts, so that keys that were popular long ago can be evicted.
 void FrequencySketch::halve() {
   for (auto& counter : counters_) counter /= 2;
   samples_ /= 2;
@@ -55,7 +55,8 @@
 
 std::uint32_t FrequencySketch::estimate(const CacheKey& key) const {
   std::uint8_t smallest = kMaxCount;
-  for (unsigned row = 0; row < kRows; ++row) smallest = std::min(smallest, counters_[index_of(key, row)]);
+  for (unsigned row = 0; row < kRows; ++row)
+    smallest = std::min(smallest, counters_[counter_index(key, row)]);
   return smallest;
 }
 
@@ -131,7 +132,7 @@
   const auto i = lookup(key);
   if (i == kNone) return std::nullopt;
   move_to(i, entries_[i].segment == kWindowSegment ? kWindowSegment : kProtectedSegment);
-  // What exceeds the protected segment's share goes back on probation, oldest first.
+  // Entries that exceed the protected segment's share move to the probation segment, oldest first.
   const auto max_protected_bytes = std::size_t(double(max_bytes_) * kProtectedShare);
   while (lists_[kProtectedSegment].bytes > max_protected_bytes && lists_[kProtectedSegment].oldest != i)
     move_to(lists_[kProtectedSegment].oldest, kProbationSegment);
@@ -210,8 +211,8 @@
   }
 }
 
-// TinyLFU admission: while the cache is full, the newcomer replaces the oldest entry on probation only if its
-// key has been asked for more often.
+// TinyLFU admission: while the cache is full, the candidate replaces the oldest entry on probation only if
+// its key has been requested more often.
 void ResponseCache::admit_or_evict(Index candidate) {
   while (bytes_ > max_bytes_) {
     auto victim = lists_[kProbationSegment].oldest;
--- a/src/deps/response_cache.h
+++ b/src/deps/response_cache.h
@@ -1,11 +1,12 @@
 // A cache of dependencies' responses, bounded in bytes: W-TinyLFU (Einziger, Friedman and Manes 2017).
 //
-// New entries go to a small LRU window. What the window evicts is admitted to the main part only if a
-// frequency sketch has seen its key more often than that of the entry it would replace, so that one scan of
-// keys asked for once leaves the rest in place. The main part is a segmented LRU: probation, then protected.
-// bench/micro.cpp compares it with a plain LRU; docs/dependencies.md has the figures.
+// New entries go to a small LRU window. An entry that the window evicts is admitted to the main part only if
+// a frequency sketch has recorded its key more often than the key of the entry that it would replace. A scan
+// over keys that are requested only once therefore does not displace popular entries. The main part is a
+// segmented LRU with a probation and a protected segment. bench/micro.cpp compares it with a plain LRU;
+// docs/dependencies.md has the figures.
 //
-// Used by one thread, without clock or I/O. A lookup allocates nothing.
+// Used by one thread, without clock or I/O. A lookup does not allocate.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -23,28 +24,29 @@
 // A response body, shared between the cache and the requests that it serves.
 using SharedBody = std::shared_ptr<const std::string>;
 
-// 128 bits of a seeded hash: collisions are not expected within a machine's lifetime.
+// 128 bits of a seeded hash, wide enough that collisions are not expected in practice.
 struct CacheKey {
   std::uint64_t high = 0, low = 0;
   bool operator==(const CacheKey&) const = default;
 };
-// The key of one path of a dependency. With a seed per process nobody outside can construct collisions.
+// Returns the key of one path of a dependency. A secret seed per process prevents constructed collisions.
 CacheKey cache_key(std::size_t dependency, std::string_view path, std::uint64_t seed);
 
-// How often a key was asked for recently: a count-min sketch with conservative update, four rows of counters
-// up to 15, halved after ten times as many samples as a row has counters.
+// Estimates how often a key was requested recently: a count-min sketch with conservative update. It has four
+// rows of counters up to 15, which are halved after ten times as many samples as a row has counters.
 class FrequencySketch {
  public:
-  // `counters`: per row; rounded up to a power of two, at least 64.
+  // `counters`: number of counters per row, rounded up to a power of two, at least 64.
   explicit FrequencySketch(std::size_t counters);
   void record(const CacheKey& key);
-  // An upper bound of the key's count, at most 15.
+  // Returns an upper bound of the key's count, at most 15.
   std::uint32_t estimate(const CacheKey& key) const;
 
  private:
-  std::size_t index_of(const CacheKey& key, unsigned row) const;
+  std::size_t counter_index(const CacheKey& key, unsigned row) const;
   void halve();
-  std::vector<std::uint8_t> counters_;  // one per byte; packing two is not worth the code
+  // One counter per byte: packing two into a byte is not worth the more complicated code.
+  std::vector<std::uint8_t> counters_;
   std::size_t mask_;
   std::size_t samples_ = 0;
 };
@@ -55,15 +57,16 @@
 
   struct Hit {
     SharedBody body;
-    Duration age{};  // since the dependency answered
+    Duration age{};  // time since the dependency answered
   };
-  // Counts as a use. Absent when there is no entry. Entries do not expire: the caller judges the age.
+  // Returns the entry, absent when there is none, and records a use of the key. Entries do not expire: the
+  // caller decides by the age.
   std::optional<Hit> find(const CacheKey& key, TimePoint now);
-  // When an entry's response was answered, without counting as a use.
+  // Returns the time at which the dependency sent the entry's response. Does not record a use.
   std::optional<TimePoint> stored_at(const CacheKey& key) const;
 
-  // Inserts or replaces. `path`: what the key was made of, for hottest(). `stored_at`: when the dependency
-  // answered. A null body is ignored.
+  // Inserts or replaces an entry. `path`: the path from which the key was computed, returned by hottest().
+  // `stored_at`: the time at which the dependency answered. A null body is ignored.
   void insert(const CacheKey& key, std::uint32_t dependency, std::string_view path, SharedBody body,
               TimePoint stored_at);
 
@@ -73,13 +76,13 @@
     SharedBody body;
     TimePoint stored_at{};
   };
-  // The entries asked for most often recently, most frequent first. Approximate, as it looks at `max_entries`
-  // only: the newest of the protected segment, then of the others.
+  // Returns the entries requested most often recently, most frequent first. The result is approximate: only
+  // `max_entries` are examined, the most recently used of the protected segment, then of the others.
   std::vector<HotEntry> hottest(std::size_t max_entries) const;
 
   std::size_t bytes() const { return bytes_; }
   std::size_t size() const { return size_; }
-  // Evicts what exceeds the new bound.
+  // Sets a new bound and evicts the entries that exceed it.
   void resize(std::size_t max_bytes);
 
  private:
@@ -100,7 +103,7 @@
     Index newest = kNone, oldest = kNone;
     std::size_t bytes = 0;
   };
-  static std::size_t charge(const Entry& entry);  // bytes that the entry counts for
+  static std::size_t charge(const Entry& entry);  // bytes counted for the entry
   Index lookup(const CacheKey& key) const;
   Index allocate();
   void replace(Index i, SharedBody body, TimePoint stored_at);
--- a/tests/response_cache_test.cpp
+++ b/tests/response_cache_test.cpp
@@ -1,4 +1,4 @@
-// The W-TinyLFU cache of responses.
+// Tests of the W-TinyLFU cache of responses.
 #include "deps/response_cache.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 using std::chrono::seconds;
 
-TEST(ResponseCache, IsBoundedInBytesAndSurvivesAScan) {
+TEST(ResponseCache, IsBoundedInBytesAndKeepsPopularEntriesDuringAScan) {
   ResponseCache cache(std::size_t{200} * 1024);
   const TimePoint now(seconds(1));
   const auto body = std::make_shared<const std::string>(900, 'x');
@@ -20,7 +20,7 @@
   for (int round = 0; round < 20; ++round)
     for (std::uint64_t n = 0; n < 100; ++n)
       if (!cache.find(key(n), now)) cache.insert(key(n), 0, "", body, now);
-  for (std::uint64_t n = 1000; n < 11000; ++n) {  // each asked for once
+  for (std::uint64_t n = 1000; n < 11000; ++n) {  // a scan: each key is requested once
     if (!cache.find(key(n), now)) cache.insert(key(n), 0, "", body, now);
     ASSERT_LE(cache.bytes(), 200u * 1024);
   }
@@ -34,16 +34,16 @@
   EXPECT_LE(cache.bytes(), 10u * 1024);
 }
 
-TEST(ResponseCache, AgreesWithAPlainMapOnWhatItHolds) {
+TEST(ResponseCache, ReturnsTheBodyInsertedLastForEachKey) {
   ResponseCache cache(std::size_t{30} * 1024);
   std::map<std::uint64_t, std::string> model;
-  std::mt19937_64 chance(9);
+  std::mt19937_64 random(9);
   const TimePoint now(seconds(1));
   for (int i = 0; i < 20000; ++i) {
-    const auto n = chance() % 200;
+    const auto n = random() % 200;
     const auto key = cache_key(1, std::to_string(n), 7);
-    if (chance() % 2) {
-      model[n] = std::string(chance() % 700, char('a' + chance() % 26));
+    if (random() % 2) {
+      model[n] = std::string(random() % 700, char('a' + random() % 26));
       cache.insert(key, 1, std::to_string(n), std::make_shared<const std::string>(model[n]), now);
     } else if (const auto found = cache.find(key, now)) {
       ASSERT_EQ(*found->body, model[n]);
