--- a/src/deps_http/dependency_client.cpp
+++ b/src/deps_http/dependency_client.cpp
@@ -27,13 +27,13 @@
 using Parser = http::response_parser<http::string_body>;
 
 constexpr auto kReapInterval = std::chrono::milliseconds(500);
-constexpr int kMaxInterimResponses = 4;            // 1xx, before the final one
-constexpr std::size_t kReadBufferOverhead = 4096;  // beside header and body
+constexpr int kMaxInterimResponses = 4;            // 1xx responses before the final one
+constexpr std::size_t kReadBufferOverhead = 4096;  // bytes in addition to header and body
 constexpr int kHttpVersion = 11;
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
-// Retry-After in seconds (RFC 9110, 10.2.3). A date is ignored: it would need the two clocks to agree.
+// Parses Retry-After in seconds (RFC 9110, 10.2.3). A date is ignored: it would require synchronised clocks.
 std::optional<Duration> parse_retry_after(std::string_view text) {
   std::uint32_t seconds = 0;
   const auto* end = text.data() + text.size();
@@ -42,15 +42,15 @@
   return std::chrono::seconds(seconds);
 }
 
-CallOutcome outcome_of_status(unsigned status) {
+CallOutcome classify_status(unsigned status) {
   if (status == 200) return CallOutcome::ok;
   if (status == 429 || status == 503) return CallOutcome::overloaded;
   const bool is_client_error = status >= 400 && status < 500;
   if (status == 204 || (is_client_error && status != 408)) return CallOutcome::not_found;
-  return CallOutcome::error;  // 5xx, redirects and whatever else
+  return CallOutcome::error;  // 5xx, redirects and all other statuses
 }
 
-CallOutcome outcome_of_error(error_code error) {
+CallOutcome classify_error(error_code error) {
   const bool is_over_limit = error == http::error::body_limit || error == http::error::header_limit ||
                              error == http::error::buffer_overflow || error == beast::error::timeout;
   if (is_over_limit) return CallOutcome::limit_exceeded;
@@ -60,14 +60,14 @@
   return is_http_error ? CallOutcome::error : CallOutcome::connection_lost;
 }
 
-// False when the other side has closed the idle connection, or sent bytes that no request asked for.
+// Returns false if the server has closed the idle connection or sent bytes without a request.
 bool is_reusable(tcp::socket& socket) {
   char byte = 0;
   const auto received = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-Request http_request_for(const edge::DependencyCall& call) {
+Request make_http_request(const edge::DependencyCall& call) {
   Request request(http::verb::get, call.path, kHttpVersion);
   request.set(http::field::host, call.dependency);
   request.set(http::field::accept_encoding, "identity");
@@ -84,12 +84,13 @@
 
 }  // namespace
 
-// ---- What a call is made of ----
+// ---- Types of a call ----
 
+// A call in progress with its connection.
 struct DependencyClient::Call {
   Call(const asio::any_io_executor& executor, edge::DependencyCall call)
       : request(std::move(call)),
-        http_request(http_request_for(request)),
+        http_request(make_http_request(request)),
         stream(std::make_unique<beast::tcp_stream>(executor)) {}
   Address address() const { return {request.endpoint.host, request.endpoint.port}; }
 
@@ -103,11 +104,12 @@
 // One request and its response on one connection.
 struct DependencyClient::Exchange {
   error_code error;
-  std::optional<Response> response;  // set without an error
+  std::optional<Response> response;  // set if there was no error
   bool received_anything = false;
-  bool received_surplus = false;  // bytes after the response: the connection cannot be reused
+  bool received_extra_bytes = false;  // bytes after the response: the connection cannot be reused
 };
 
+// A keep-alive connection without a call.
 struct DependencyClient::IdleConnection {
   std::unique_ptr<beast::tcp_stream> stream;
   Clock::time_point since;
@@ -123,7 +125,7 @@
       max_connections_(max_connections),
       on_completed_(std::move(on_completed)) {}
 
-// Sockets are closed with error codes; the check follows overloads that throw.
+// Sockets are closed with the overloads that return error codes; the check reports the throwing ones.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 DependencyClient::~DependencyClient() { close_all(); }
 
@@ -142,7 +144,7 @@
   calls_.emplace(id, call);
   asio::co_spawn(executor_, execute(call),
                  [this, call](const std::exception_ptr& exception, deps::CallCompletion completion) {
-                   if (call->is_cancelled) return;  // the client may be gone by now
+                   if (call->is_cancelled) return;  // the client may have been destroyed
                    if (call->is_connected) --connections_;
                    calls_.erase(call->request.id);
                    if (exception)
@@ -168,7 +170,8 @@
   co_return completion;
 }
 
-// After each co_await the call may have been cancelled, and the client be gone: no member is used then.
+// Tries the call on an idle connection first, then on a new one. After each co_await the call may have been
+// cancelled and the client destroyed; no member may be used then.
 asio::awaitable<void> DependencyClient::perform(Call& call, deps::CallCompletion& completion) {
   bool is_reused = take_idle_connection(call);
   for (;;) {
@@ -180,18 +183,18 @@
         co_return;
       }
     }
-    auto exchanged = co_await exchange(call);
+    auto result = co_await exchange(call);
     if (call.is_cancelled) co_return;
-    if (!exchanged.error) {
-      complete(call, exchanged, completion);
+    if (!result.error) {
+      complete(call, result, completion);
       co_return;
     }
-    // The server may have closed the idle connection just as the request was written. It has not answered a
-    // byte, so that the request can be sent once more on a new connection.
+    // The server may have closed the idle connection while the request was being written. No byte of an
+    // answer has arrived, so the request can be sent once more on a new connection.
     const bool was_closed_idle =
-        is_reused && !exchanged.received_anything && exchanged.error != beast::error::timeout;
+        is_reused && !result.received_anything && result.error != beast::error::timeout;
     if (!was_closed_idle) {
-      completion.outcome = outcome_of_error(exchanged.error);
+      completion.outcome = classify_error(result.error);
       co_return;
     }
     drop_connection(call);
@@ -240,15 +243,15 @@
   }
   if (result.error) co_return result;
   result.response = parser->release();
-  result.received_surplus = buffer.size() > 0;
+  result.received_extra_bytes = buffer.size() > 0;
   co_return result;
 }
 
-// Takes the outcome from the response, and the connection for the next call if it can carry one.
+// Sets the outcome from the response, and keeps the connection for the next call if it can be reused.
 void DependencyClient::complete(Call& call, Exchange& exchange, deps::CallCompletion& completion) {
   auto& response = *exchange.response;
-  const bool keep_alive = response.keep_alive() && !exchange.received_surplus;
-  completion.outcome = outcome_of_status(response.result_int());
+  const bool keep_alive = response.keep_alive() && !exchange.received_extra_bytes;
+  completion.outcome = classify_status(response.result_int());
   if (completion.outcome == CallOutcome::overloaded) {
     const auto retry_after = response[http::field::retry_after];
     completion.retry_after = parse_retry_after({retry_after.data(), retry_after.size()});
@@ -268,7 +271,8 @@
 
 // ---- Connections ----
 
-// The connection used last is the likeliest to be open still.
+// Reuses an idle connection to the call's endpoint, the most recently used one first, as it is the most
+// likely to be still open. Returns false when there is none.
 bool DependencyClient::take_idle_connection(Call& call) {
   const auto found = idle_.find(call.address());
   if (found == idle_.end()) return false;
@@ -293,7 +297,8 @@
   if (call.stream) call.stream->close();
 }
 
-// At the limit closes the connection that has been idle for longest; false when none is idle.
+// At the connection limit, closes the connection that has been idle for longest. Returns false when none is
+// idle.
 bool DependencyClient::make_room_for_connection() {
   if (connections_ < max_connections_) return true;
   std::list<IdleConnection>* oldest = nullptr;
--- a/src/deps_http/dependency_client.h
+++ b/src/deps_http/dependency_client.h
@@ -1,11 +1,11 @@
-// Carries out calls to dependencies over HTTP/1.1 (Boost.Beast), one coroutine per call, on keep-alive
+// Performs calls to dependencies over HTTP/1.1 (Boost.Beast), one coroutine per call, on keep-alive
 // connections.
 //
-// What to call and when to give up is decided by deps::ScatterGather; here are the limits of bytes, of time
-// without progress and of connections. Redirects are never followed, nothing is retried but a call on a
-// reused connection that the other side had closed.
+// deps::ScatterGather decides what to call and when to give up. This client limits the bytes, the time
+// without progress and the number of connections. Redirects are never followed. The only call that is retried
+// is one on a reused connection that the server had closed.
 //
-// All members run on the executor's thread. Errors are outcomes of the calls (deps::CallOutcome).
+// All members run on the executor's thread. Errors are reported as outcomes of the calls (deps::CallOutcome).
 #pragma once
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/awaitable.hpp>
@@ -25,9 +25,9 @@
 class DependencyClient {
  public:
   using CompletionCallback = std::function<void(deps::CallCompletion)>;
-  // `max_connections`: most descriptors, idle connections included. At the limit an idle connection is closed
-  // for a new one; if there is none, the call ends as unreachable. `on_completed` is called once for every
-  // call that is started and not cancelled.
+  // `max_connections`: maximum number of connections, idle ones included. At the limit an idle connection is
+  // closed for a new one; if there is none, the call ends as unreachable. `on_completed` is called once for
+  // every call that is started and not cancelled.
   DependencyClient(const boost::asio::any_io_executor& executor, std::size_t max_connections,
                    CompletionCallback on_completed);
   DependencyClient(const DependencyClient&) = delete;
@@ -35,16 +35,18 @@
   ~DependencyClient();  // NOLINT(bugprone-exception-escape): as at its definition
 
   void start(edge::DependencyCall request);
-  // Closes the call's connection, as a half-read one cannot carry another call. No effect on unknown ids.
+  // Ends a call without reporting it and closes its connection, as a connection with a partly read response
+  // cannot be reused. No effect on unknown ids.
   void cancel(deps::CallId id);
-  // Closes all calls and connections; nothing is started or reported any more.
+  // Cancels all calls and closes all connections. Calls started later are ignored.
   void close_all();
 
+  // Returns the number of calls in progress.
   std::size_t open_calls() const { return calls_.size(); }
-  // Open connections, idle ones included.
+  // Returns the number of open connections, idle ones included.
   std::size_t connections() const { return connections_; }
 
-  // Closes connections that have been idle for too long; runs until close_all().
+  // Closes connections that exceed their idle timeout; runs until close_all().
   boost::asio::awaitable<void> reap_idle_connections();
 
  private:
@@ -68,7 +70,7 @@
   std::size_t max_connections_;
   CompletionCallback on_completed_;
   std::map<deps::CallId, std::shared_ptr<Call>> calls_;
-  std::map<Address, std::list<IdleConnection>> idle_;  // the one used last at the back
+  std::map<Address, std::list<IdleConnection>> idle_;  // most recently used at the back
   std::size_t connections_ = 0;
   bool is_closed_ = false;
 };
--- a/src/partial_response/compose.cpp
+++ b/src/partial_response/compose.cpp
@@ -8,9 +8,9 @@
 namespace granitegap::partial_response {
 namespace {
 
-constexpr std::size_t kFramingBytes = 32;  // of one part in the message, besides its name and data
+constexpr std::size_t kFramingBytes = 32;  // upper bound per part, besides its name and data
 
-Part::Status status_of(deps::PartStatus status) {
+Part::Status to_proto_status(deps::PartStatus status) {
   switch (status) {
     case deps::PartStatus::fresh:
       return Part::FRESH;
@@ -25,7 +25,7 @@
   return Part::ABSENT;
 }
 
-// Appends to a comma-separated list.
+// Appends a name to a comma-separated list.
 void append_name(std::string& to, const std::string& name) {
   if (!to.empty()) to += ',';
   to += name;
@@ -35,7 +35,8 @@
   return part.status != deps::PartStatus::absent && part.status != deps::PartStatus::pending && part.body;
 }
 
-// Which parts the message contains: those with a value, without the largest ones if it would be too long.
+// Selects the parts that the message contains: those with a value, except the largest ones if the message
+// would exceed `max_bytes`.
 std::vector<bool> choose_parts(std::size_t result_bytes, const std::vector<edge::GatheredPart>& parts,
                                std::size_t max_bytes) {
   std::vector<bool> included;
@@ -76,7 +77,7 @@
     part.set_name(parts[i].name);
     append_name(included[i] ? payload.present_parts : payload.missing_parts, parts[i].name);
     if (!included[i]) continue;
-    part.set_status(status_of(parts[i].status));
+    part.set_status(to_proto_status(parts[i].status));
     part.set_age_ms(age_ms(parts[i].age));
     part.set_data(*parts[i].body);
   }
--- a/src/partial_response/compose.h
+++ b/src/partial_response/compose.h
@@ -1,4 +1,5 @@
-// The answer to a request whose class gathers parts: the kernel's result and the parts, in one message.
+// Composes the answer to a request whose class gathers parts: one message with the kernel's result and the
+// parts.
 //
 // No state and no I/O.
 #pragma once
@@ -9,9 +10,9 @@
 
 namespace granitegap::partial_response {
 
-// A serialized granitegap.PartialAnswer (partial_answer.proto), and the names of the parts that it contains
-// and lacks. Parts are dropped, the largest first, until the message fits into `max_bytes`; the result never
-// is.
+// Returns a serialized granitegap.PartialAnswer (partial_answer.proto), and the names of the parts that it
+// contains and lacks. Parts are dropped, the largest first, until the message fits into `max_bytes`. The
+// result is never dropped.
 edge::Payload compose(std::string result, const std::vector<edge::GatheredPart>& parts,
                       std::size_t max_bytes);
 
--- a/tests/dependency_client_test.cpp
+++ b/tests/dependency_client_test.cpp
@@ -1,4 +1,4 @@
-// Calls over HTTP against stand-in dependencies on loopback, one fault a case.
+// Tests of HTTP calls to stand-in dependencies on loopback, each with one kind of fault.
 #include "deps_http/dependency_client.h"
 
 #include <doctest/doctest.h>
@@ -18,13 +18,15 @@
 using standin::FaultKind;
 using std::chrono::milliseconds;
 
-constexpr auto kHang = std::chrono::seconds(20);  // ends a test that waits for what never comes
+// Bounds each run_until(), so that a missing event fails the test.
+constexpr auto kMaxWait = std::chrono::seconds(20);
 
-struct Bench {
-  explicit Bench(FaultKind fault, std::size_t connections = 8)
+// A client and a stand-in dependency with one fault, driven by one io_context.
+struct Fixture {
+  explicit Fixture(FaultKind fault, std::size_t connections = 8)
       : dependency(io, script(fault), 1, {0}, standin::Dependency::Clock::now()),
-        caller(io.get_executor(), connections,
-               [this](deps::CallCompletion r) { reports.push_back(std::move(r)); }) {}
+        client(io.get_executor(), connections,
+               [this](deps::CallCompletion completion) { completions.push_back(std::move(completion)); }) {}
   static standin::Script script(FaultKind fault) {
     standin::Phase phase;
     phase.distribution = standin::LatencyDistribution::fixed;
@@ -39,42 +41,42 @@
             "elevation.example.org",
             4096,
             1024,
-            quiet,
+            io_timeout,
             std::chrono::seconds(5),
             4};
   }
-  deps::CallCompletion one(std::uint64_t id = 1) {
-    const auto before = reports.size();
-    caller.start(call(id));
-    wait([&] { return reports.size() > before; });
-    REQUIRE(reports.size() == before + 1);
-    return reports.back();
+  deps::CallCompletion call_and_wait(std::uint64_t id = 1) {
+    const auto before = completions.size();
+    client.start(call(id));
+    run_until([&] { return completions.size() > before; });
+    REQUIRE(completions.size() == before + 1);
+    return completions.back();
   }
   template <class Done>
-  void wait(Done done) {
-    const auto end = std::chrono::steady_clock::now() + kHang;
+  void run_until(Done done) {
+    const auto end = std::chrono::steady_clock::now() + kMaxWait;
     while (!done() && std::chrono::steady_clock::now() < end) io.run_one_for(milliseconds(100));
   }
   asio::io_context io;
-  Duration quiet = milliseconds(300);
+  Duration io_timeout = milliseconds(300);
   standin::Dependency dependency;
-  std::vector<deps::CallCompletion> reports;
-  DependencyClient caller;
+  std::vector<deps::CallCompletion> completions;
+  DependencyClient client;
 };
 
-TEST_CASE("a whole answer comes back, and its connection carries the next call") {
-  Bench b(FaultKind::none);
+TEST_CASE("a successful call returns the body and its connection is reused") {
+  Fixture fixture(FaultKind::none);
   for (std::uint64_t id = 1; id <= 3; ++id) {
-    const auto report = b.one(id);
-    CHECK(report.outcome == CallOutcome::ok);
-    REQUIRE(report.body);
-    CHECK(*report.body == std::string(100, 'e'));
-    CHECK(b.caller.connections() == 1);
+    const auto completion = fixture.call_and_wait(id);
+    CHECK(completion.outcome == CallOutcome::ok);
+    REQUIRE(completion.body);
+    CHECK(*completion.body == std::string(100, 'e'));
+    CHECK(fixture.client.connections() == 1);
   }
-  CHECK(b.caller.open_calls() == 0);
+  CHECK(fixture.client.open_calls() == 0);
 }
 
-TEST_CASE("each fault is told as what it is, and its connection is not kept") {
+TEST_CASE("each fault is reported with its outcome and its connection is closed") {
   const std::pair<FaultKind, CallOutcome> expected[] = {{FaultKind::reset, CallOutcome::connection_lost},
                                                         {FaultKind::hang, CallOutcome::limit_exceeded},
                                                         {FaultKind::hang_body, CallOutcome::limit_exceeded},
@@ -83,96 +85,98 @@
   for (const auto& [kind, outcome] : expected) {
     const auto fault = kind;  // clang before 16 can't capture a structured binding
     CAPTURE(int(fault));
-    Bench b(fault);
-    CHECK(b.one().outcome == outcome);
-    CHECK(b.caller.connections() == 0);
+    Fixture fixture(fault);
+    CHECK(fixture.call_and_wait().outcome == outcome);
+    CHECK(fixture.client.connections() == 0);
   }
 }
 
-TEST_CASE("an answer that is no success leaves its connection usable") {
+TEST_CASE("a connection is kept after a complete response other than 200") {
   const std::pair<FaultKind, CallOutcome> expected[] = {{FaultKind::error, CallOutcome::error},
                                                         {FaultKind::no_data, CallOutcome::not_found},
                                                         {FaultKind::busy, CallOutcome::overloaded}};
   for (const auto& [kind, outcome] : expected) {
     const auto fault = kind;  // clang before 16 can't capture a structured binding
     CAPTURE(int(fault));
-    Bench b(fault);
-    const auto report = b.one();
-    CHECK(report.outcome == outcome);
-    CHECK(report.retry_after == (outcome == CallOutcome::overloaded
-                                     ? std::optional<Duration>(std::chrono::seconds(7))
-                                     : std::nullopt));
-    CHECK(b.caller.connections() == 1);
+    Fixture fixture(fault);
+    const auto completion = fixture.call_and_wait();
+    CHECK(completion.outcome == outcome);
+    CHECK(completion.retry_after == (outcome == CallOutcome::overloaded
+                                         ? std::optional<Duration>(std::chrono::seconds(7))
+                                         : std::nullopt));
+    CHECK(fixture.client.connections() == 1);
   }
 }
 
-TEST_CASE("a connection closed while it was kept is replaced, and the call not lost") {
-  Bench b(FaultKind::close);
-  for (std::uint64_t id = 1; id <= 5; ++id) CHECK(b.one(id).outcome == CallOutcome::ok);
-  CHECK(b.dependency.counters().arrivals.size() == 5);
+TEST_CASE("a connection that the server closed while idle is replaced and the call succeeds") {
+  Fixture fixture(FaultKind::close);
+  for (std::uint64_t id = 1; id <= 5; ++id) CHECK(fixture.call_and_wait(id).outcome == CallOutcome::ok);
+  CHECK(fixture.dependency.counters().arrivals.size() == 5);
 }
 
-TEST_CASE("nobody at the address is told as such, and so is a full house") {
-  Bench b(FaultKind::hang, 1);
-  b.quiet = std::chrono::seconds(10);
-  b.caller.start(b.call(1));
-  b.wait([&] { return b.dependency.counters().open == 1; });
-  CHECK(b.one(2).outcome == CallOutcome::unreachable);  // the one connection there may be is in use
-  b.caller.cancel(deps::CallId{1});
-  std::uint16_t nobody = 0;
+TEST_CASE("a call is unreachable when the connection limit is reached or nothing listens") {
+  Fixture fixture(FaultKind::hang, 1);
+  fixture.io_timeout = std::chrono::seconds(10);
+  fixture.client.start(fixture.call(1));
+  fixture.run_until([&] { return fixture.dependency.counters().open == 1; });
+  // The only permitted connection is in use.
+  CHECK(fixture.call_and_wait(2).outcome == CallOutcome::unreachable);
+  fixture.client.cancel(deps::CallId{1});
+  std::uint16_t unused_port = 0;
   {
-    asio::ip::tcp::acceptor free(b.io, {asio::ip::address_v4::loopback(), 0});
-    nobody = free.local_endpoint().port();
+    asio::ip::tcp::acceptor acceptor(fixture.io, {asio::ip::address_v4::loopback(), 0});
+    unused_port = acceptor.local_endpoint().port();
   }
-  auto call = b.call(3);
-  call.endpoint.port = nobody;
-  b.caller.start(call);
-  b.wait([&] { return b.reports.size() == 2; });
-  CHECK(b.reports.back().outcome == CallOutcome::unreachable);
-  CHECK(b.caller.connections() == 0);
+  auto call = fixture.call(3);
+  call.endpoint.port = unused_port;
+  fixture.client.start(call);
+  fixture.run_until([&] { return fixture.completions.size() == 2; });
+  CHECK(fixture.completions.back().outcome == CallOutcome::unreachable);
+  CHECK(fixture.client.connections() == 0);
 }
 
-TEST_CASE("an abandoned call is closed at once and never told of") {
-  Bench b(FaultKind::hang);
-  b.quiet = std::chrono::seconds(10);
-  b.caller.start(b.call(1));
-  b.wait([&] { return b.dependency.counters().open == 1; });
-  b.caller.cancel(deps::CallId{1});
-  CHECK(b.caller.open_calls() == 0);
-  CHECK(b.caller.connections() == 0);
-  b.wait([&] { return b.dependency.counters().open == 0; });  // the other side sees it closed
-  CHECK(b.dependency.counters().open == 0);
-  b.caller.start(b.call(2));
-  b.caller.cancel(deps::CallId{2});  // before it began
-  b.caller.start(b.call(3));
-  b.caller.close_all();
-  b.wait([&] { return b.dependency.counters().open == 0; });
-  b.io.poll();
-  CHECK(b.reports.empty());
-  b.caller.start(b.call(4));
-  CHECK(b.caller.open_calls() == 0);
+TEST_CASE("a cancelled call closes its connection and is not reported") {
+  Fixture fixture(FaultKind::hang);
+  fixture.io_timeout = std::chrono::seconds(10);
+  fixture.client.start(fixture.call(1));
+  fixture.run_until([&] { return fixture.dependency.counters().open == 1; });
+  fixture.client.cancel(deps::CallId{1});
+  CHECK(fixture.client.open_calls() == 0);
+  CHECK(fixture.client.connections() == 0);
+  // The dependency detects the close.
+  fixture.run_until([&] { return fixture.dependency.counters().open == 0; });
+  CHECK(fixture.dependency.counters().open == 0);
+  fixture.client.start(fixture.call(2));
+  fixture.client.cancel(deps::CallId{2});  // before its coroutine has started
+  fixture.client.start(fixture.call(3));
+  fixture.client.close_all();
+  fixture.run_until([&] { return fixture.dependency.counters().open == 0; });
+  fixture.io.poll();
+  CHECK(fixture.completions.empty());
+  fixture.client.start(fixture.call(4));
+  CHECK(fixture.client.open_calls() == 0);
 }
 
-TEST_CASE("a part over the bound is dropped, the answer never") {
+TEST_CASE("parts that exceed the bound are dropped and the result is kept") {
   using deps::PartStatus;
   const auto body = [](std::size_t n) { return std::make_shared<const std::string>(n, 'x'); };
   std::vector<edge::GatheredPart> parts{{"small", PartStatus::fresh, milliseconds(5), body(100)},
                                         {"large", PartStatus::stale, milliseconds(9), body(5000)},
                                         {"gone", PartStatus::absent, {}, nullptr}};
-  const auto whole = granitegap::partial_response::compose("result", parts, 100000);
-  CHECK(whole.present_parts == "small,large");
-  CHECK(whole.missing_parts == "gone");
-  CHECK(whole.bytes.size() > 5100);
-  const auto cut = granitegap::partial_response::compose("result", parts, 1000);
-  CHECK(cut.present_parts == "small");
-  CHECK(cut.missing_parts == "large,gone");
-  CHECK(cut.bytes.size() < 1000);
-  const auto bare = granitegap::partial_response::compose("result", parts, 1);
-  CHECK(bare.present_parts.empty());
-  CHECK(bare.bytes.find("result") != std::string::npos);
+  const auto complete = granitegap::partial_response::compose("result", parts, 100000);
+  CHECK(complete.present_parts == "small,large");
+  CHECK(complete.missing_parts == "gone");
+  CHECK(complete.bytes.size() > 5100);
+  const auto truncated = granitegap::partial_response::compose("result", parts, 1000);
+  CHECK(truncated.present_parts == "small");
+  CHECK(truncated.missing_parts == "large,gone");
+  CHECK(truncated.bytes.size() < 1000);
+  const auto result_only = granitegap::partial_response::compose("result", parts, 1);
+  CHECK(result_only.present_parts.empty());
+  CHECK(result_only.bytes.find("result") != std::string::npos);
 }
 
-TEST_CASE("a script's phases, endpoints and shares") {
+TEST_CASE("a stand-in's script is applied by phase, endpoint and share") {
   const auto read = [](const char* text) {
     return std::get<standin::Script>(
         standin::read_script(std::get<typed_config::Document>(typed_config::parse(text, "s"))));
