--- a/src/cache_fill_http/server.cpp
+++ b/src/cache_fill_http/server.cpp
@@ -22,12 +22,13 @@
 
 constexpr std::size_t kMaxRequestBytes = 4096;
 constexpr auto kIdleTimeout = 30s, kWriteTimeout = 2s;
-constexpr int kTimeoutMargin = 5;  // a query may take its timeout and this fraction more
+constexpr int kTimeoutMarginDivisor = 5;  // a query may exceed its timeout by a fifth
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
 }  // namespace
 
+// A query that was submitted to the edge and has no reply yet.
 struct CacheFillServer::PendingQuery {
   explicit PendingQuery(const asio::any_io_executor& executor) : timer(executor) {}
   asio::steady_timer timer;  // cancelled by the reply
@@ -43,7 +44,7 @@
 CacheFillServer::CacheFillServer(const asio::any_io_executor& executor, const Tcp::endpoint& address,
                                  Logger& log)
     : executor_(executor), log_(log), acceptor_(executor, address) {
-  log_.line("fill: others ask for keys at port " + std::to_string(port()),
+  log_.line("cache fill: listening for requests of other members on port " + std::to_string(port()),
             {{"event", "fill_door"}, {"port", std::int64_t(port())}});
 }
 
@@ -69,7 +70,7 @@
 asio::awaitable<void> CacheFillServer::serve() {
   // A named variable: GCC 12 destroys a temporary in a co_await expression twice.
   const net::ConnectionHandler accept = [this](Tcp::socket socket, const asio::ip::address& from) {
-    // Over the limit a member is refused and calls the dependency itself.
+    // At the connection limit the connection is closed, and the member calls the dependency itself.
     if (connections_ < kMaxConnections && hooks_.is_member(from))
       asio::co_spawn(executor_, serve_connection(std::move(socket)), asio::detached);
   };
@@ -107,12 +108,13 @@
 
 asio::awaitable<CacheFillServer::Result> CacheFillServer::handle(const deps::CacheFillRequest& request) {
   Result result;
-  if (request.target_boot_id != boot_id_) {  // of an earlier process, or of whoever had this port then
+  // The request is for a previous process of this member, or for another process that used this port.
+  if (request.target_boot_id != boot_id_) {
     result.status = http::status::gone;
     co_return result;
   }
   const auto query = std::make_shared<PendingQuery>(executor_);
-  query->timer.expires_after(request.timeout + request.timeout / kTimeoutMargin);
+  query->timer.expires_after(request.timeout + request.timeout / kTimeoutMarginDivisor);
   const auto tag = next_tag_;
   ++next_tag_;
   pending_.emplace(tag, query);
