--- a/src/deps/loaded_spec.cpp
+++ b/src/deps/loaded_spec.cpp
@@ -53,7 +53,7 @@
   return loaded;
 }
 
-std::optional<std::size_t> LoadedSpec::gather_of(ClassId cls) const {
+std::optional<std::size_t> LoadedSpec::find_gather(ClassId cls) const {
   const auto i = std::size_t(cls);
   if (i >= gather_by_class.size() || gather_by_class[i] == kNoGather) return std::nullopt;
   return std::size_t(gather_by_class[i]);
--- a/src/deps/loaded_spec.h
+++ b/src/deps/loaded_spec.h
@@ -23,7 +23,7 @@
   std::shared_ptr<const LoadedSpec> cache_fills;
 
   // Returns the index into Spec::gathers; absent when the class has no gather.
-  std::optional<std::size_t> gather_of(ClassId cls) const;
+  std::optional<std::size_t> find_gather(ClassId cls) const;
   // Returns the longest age at which any part may still be served from a cached response of the dependency.
   Duration max_useful_age(std::uint32_t dependency_number) const;
 };
--- a/src/deps/scatter_gather.cpp
+++ b/src/deps/scatter_gather.cpp
@@ -46,11 +46,11 @@
 
 // ---- Gathers ----
 
-bool ScatterGather::has_gather(ClassId cls) const { return loaded_->gather_of(cls).has_value(); }
+bool ScatterGather::has_gather(ClassId cls) const { return loaded_->find_gather(cls).has_value(); }
 
 void ScatterGather::begin(RequestId id, ClassId cls, const RequestAttributes& attributes, Duration budget,
                           bool may_call, TimePoint now) {
-  const auto spec_index = loaded_->gather_of(cls);
+  const auto spec_index = loaded_->find_gather(cls);
   if (!spec_index || gathers_.find(id) != kNoSlot) return;
   const GatherSlot slot = gathers_.create(id, loaded_, *spec_index);
   auto& gather = gathers_[slot];
