--- a/src/deps/endpoints.h
+++ b/src/deps/endpoints.h
@@ -47,7 +47,7 @@
   void on_call_started(Index i);
   void on_success(Index i, Duration took, TimePoint now);
   void on_failure(Index i, TimePoint now);
-  // Ends an attempt that says nothing about the health of the endpoint.
+  // Ends an attempt whose result gives no evidence about the endpoint.
   void on_cancelled(Index i);
 
   // Applies a Retry-After header that the endpoint sent: it is not picked before `until`.
