--- a/src/recovery/fleet_status.cpp
+++ b/src/recovery/fleet_status.cpp
@@ -19,16 +19,17 @@
 };
 using ZoneCounts = std::map<std::string_view, ZoneCount>;
 
-// A peer that advertises no recovery phase is judged by its stage.
+// Uses the stage of a peer that advertises no recovery phase.
 bool is_in_service(const Peer& peer) {
   if (peer.status != Status::alive) return false;
   const auto phase = peer.metadata.recovery_status.phase;
-  if (phase > 0) return phase == metadata_value_of(Phase::in_service);
+  if (phase > 0) return phase == to_metadata_value(Phase::in_service);
   return peer.metadata.stage != Stage::starting;
 }
 
 bool has_metadata(const Peer& peer) { return peer.metadata.version > 0; }
 
+// Returns the mean of the zones' recovering shares; every zone has the same weight.
 double mean_recovering_share(const ZoneCounts& zones) {
   double share = 0;
   for (const auto& [name, zone] : zones) share += zone.recovering / zone.members / double(zones.size());
@@ -37,7 +38,7 @@
 
 }  // namespace
 
-FleetStatus fleet_status_of(const membership::View& view) {
+FleetStatus summarize_fleet(const membership::View& view) {
   FleetStatus status;
   ZoneCounts zones;
   std::size_t present = 0;
@@ -56,7 +57,7 @@
     zone.members += 1;
     zone.recovering += !in_service;
   }
-  // Members that were agreed on and are no longer listed are missing too.
+  // Members that count towards the agreed fleet size but are no longer listed are missing too.
   const auto agreed_peers = std::max<std::size_t>(view.fleet_size, 1) - 1;
   status.peers = std::max(agreed_peers - std::min(agreed_peers, without_metadata), present);
   status.certain =
