--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -9,7 +9,7 @@
 namespace granitegap {
 namespace {
 
-/// Values by key.
+// Values by key.
 using Pairs = std::map<std::string, std::string, std::less<>>;
 constexpr std::size_t kMaxListItems = 4096;
 constexpr double kMaxMilliseconds = 1e12;
@@ -51,23 +51,25 @@
   return std::nullopt;
 }
 
+// Pairs of a keyword and its meaning.
 template <class T>
 using Words = std::vector<std::pair<std::string_view, T>>;
 
-// Converts the values of one text and records those that can't be read. An absent key leaves its target
-// alone.
+// Converts values by key and records those that cannot be converted as invalid. If a key is absent, its
+// target keeps its value.
 class Reader {
  public:
   Reader(const Pairs& pairs, std::vector<InvalidSetting>& invalid) : pairs_(pairs), invalid_(invalid) {}
 
+  // Returns the value of `key`, or an empty text if the key is absent.
   std::string_view text(const std::string& key) const {
     const auto it = pairs_.find(key);
     return it == pairs_.end() ? std::string_view{} : std::string_view(it->second);
   }
   void number(const std::string& key, std::optional<double>& to) {
     read<double>(key, to, [](std::string_view value) {
-      const auto read_value = to_number(value);
-      return read_value && *read_value >= 0 ? read_value : std::nullopt;
+      const auto parsed = to_number(value);
+      return parsed && *parsed >= 0 ? parsed : std::nullopt;
     });
   }
   void flag(const std::string& key, std::optional<bool>& to) { read<bool>(key, to, to_bool); }
@@ -86,12 +88,13 @@
       return std::nullopt;
     });
   }
+  // Returns the number of elements of `list`; 0 if it is absent or over kMaxListItems.
   std::size_t count(const std::string& list) {
     const std::string key = list + ".count";
-    std::optional<double> n;
-    number(key, n);
-    if (!n) return 0;
-    if (*n <= double(kMaxListItems)) return std::size_t(*n);
+    std::optional<double> items;
+    number(key, items);
+    if (!items) return 0;
+    if (*items <= double(kMaxListItems)) return std::size_t(*items);
     invalid_.push_back({key, std::string(text(key))});
     return 0;
   }
@@ -110,8 +113,8 @@
 };
 
 void read_classes(Reader& in, Settings& settings) {
-  const auto calls = split_list(in.text("specifics.class_calls"));
-  const auto skips = split_list(in.text("specifics.degraded_worth"));
+  const auto makes_calls = split_list(in.text("specifics.class_calls"));
+  const auto degraded_weights = split_list(in.text("specifics.degraded_worth"));
   settings.classes.resize(in.count("classes"));
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     auto& configured = settings.classes[i];
@@ -126,8 +129,8 @@
                          {{"retryable", Idempotency::idempotent},
                           {"dedup", Idempotency::with_key},
                           {"fragile", Idempotency::none}});
-    if (i < calls.size()) configured.makes_calls = to_bool(calls[i]);
-    if (i < skips.size()) configured.degraded_weight_fraction = to_number(skips[i]);
+    if (i < makes_calls.size()) configured.makes_calls = to_bool(makes_calls[i]);
+    if (i < degraded_weights.size()) configured.degraded_weight_fraction = to_number(degraded_weights[i]);
   }
 }
 
@@ -140,7 +143,7 @@
   }
 }
 
-// Each of the following reads in a fixed order, which is the order in which invalid settings are named.
+// The following functions read keys in a fixed order, which is the order of Settings::invalid_settings.
 void read_numbers(Reader& in, Settings& settings) {
   in.number("servers", settings.servers);
   in.number("layer", settings.tier);
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,6 +1,8 @@
-// Reads an instance's settings from path=value lines, as the simulator sends them. Translation only: what an
-// absent value means is the controller's decision. Values only; nothing is thrown: a value that can't be read
-// is left absent and listed in Settings::invalid_settings. Unknown keys are ignored.
+// Parses an instance's settings from path=value lines, the format that the simulator sends.
+//
+// The parser applies no defaults: the admission controller decides what an absent value means. It does not
+// report errors by exceptions: a value that cannot be parsed is left absent and listed in
+// Settings::invalid_settings. Unknown keys are ignored.
 #pragma once
 #include <span>
 #include <string>
@@ -11,16 +13,17 @@
 
 namespace granitegap {
 
+/// The result of parse_settings().
 struct ParsedSettings {
   Settings settings;
-  std::vector<std::string> gauges;  ///< the order in which gauge values arrive with a timer
+  std::vector<std::string> gauges;  ///< gauge names, in the order in which a timer event carries their values
 };
 
-/// `text` holds one key=value pair a line; the last pair with a key counts.
+/// Parses `text`, which holds one key=value pair per line. If a key is repeated, its last value applies.
 [[nodiscard]] ParsedSettings parse_settings(std::string_view text);
 
-/// A timer event with the gauge values that came in the order of `names`; unknown names and values that are
-/// negative or not finite are left out.
+/// Returns a timer event with the gauge `values`, given in the order of `names`. Unknown names and values
+/// that are negative or not finite are ignored.
 [[nodiscard]] TimerFired with_gauges(TimerToken token, std::span<const float> values,
                                      const std::vector<std::string>& names);
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,4 @@
-// The reader of an instance's settings.
+// Tests of the parser of an instance's settings.
 #include "settings/settings.h"
 
 #include <gtest/gtest.h>
