--- a/src/operators/dependency_section.cpp
+++ b/src/operators/dependency_section.cpp
@@ -1,4 +1,4 @@
-// The section `dependencies` of an operator file.
+// Reader of the section `dependencies` of an operator file.
 #include <algorithm>
 #include <set>
 #include <utility>
@@ -10,7 +10,7 @@
 
 using typed_config::Value;
 
-std::uint32_t count_of(const Value& dependency, const char* field) {
+std::uint32_t read_count(const Value& dependency, const char* field) {
   return std::uint32_t(dependency[field].as_int());
 }
 
@@ -18,13 +18,15 @@
   return is_plain_name(name) && name.find_first_of("/@") == std::string::npos;
 }
 
-// Of a setting with a lower and an upper bound.
+// Fails if the lower bound of a setting is above its upper bound.
 template <class T>
 void check_order(const Value& dependency, const std::string& path, const char* lower_field, T lower,
                  const char* upper_field, T upper, Diagnostics& diagnostics) {
   if (lower > upper)
     diagnostics.fail(dependency, path + "." + lower_field,
-                     std::string("expected no more than ") + upper_field);
+                     std::string("expected no more than ") + upper_field + " = " +
+                         typed_config::summarize(dependency[upper_field]) + ", found " +
+                         typed_config::summarize(dependency[lower_field]));
 }
 
 std::vector<deps::EndpointSpec> read_endpoints(const Value& list, const std::string& path,
@@ -32,23 +34,27 @@
   std::vector<deps::EndpointSpec> endpoints;
   std::size_t index = 0;
   for (const auto& item : list.as_list()) {
-    const auto here = path + "[" + std::to_string(index++) + "]";
+    const auto item_path = path + "[" + std::to_string(index++) + "]";
     const auto endpoint = parse_endpoint(item.as_string());
     if (!endpoint)
-      diagnostics.fail(item, here, "expected a numeric address and a port, as \"127.0.0.1:9001\"");
+      diagnostics.fail_expected(item, item_path,
+                                "a numeric address and a port from 1 to 65535, such as \"127.0.0.1:9001\"");
     else if (std::find(endpoints.begin(), endpoints.end(), *endpoint) != endpoints.end())
-      diagnostics.fail(item, here, "the same endpoint twice");
+      diagnostics.fail(item, item_path,
+                       "duplicate endpoint " + typed_config::summarize(item) +
+                           "; expected each endpoint of a dependency once");
     else
       endpoints.push_back(*endpoint);
   }
   return endpoints;
 }
 
+// Reads the settings of time-outs, retries and hedged requests.
 void read_retries(const Value& dependency, deps::DependencySpec& spec) {
   spec.min_timeout = dependency["timeout_least"].as_duration();
   spec.max_timeout = dependency["timeout_most"].as_duration();
   spec.timeout_factor = dependency["timeout_factor"].as_double();
-  spec.max_attempts = count_of(dependency, "most_tries");
+  spec.max_attempts = read_count(dependency, "most_tries");
   spec.retry_budget_ratio = dependency["retry_share"].as_double();
   spec.max_retry_budget = dependency["retry_burst"].as_double();
   spec.base_retry_backoff = dependency["retry_pause"].as_duration();
@@ -57,11 +63,11 @@
 }
 
 void read_concurrency(const Value& dependency, deps::DependencySpec& spec) {
-  spec.min_in_flight = count_of(dependency, "least_open");
-  spec.max_in_flight = count_of(dependency, "most_open");
-  spec.fleet_max_in_flight = count_of(dependency, "fleet_open");
+  spec.min_in_flight = read_count(dependency, "least_open");
+  spec.max_in_flight = read_count(dependency, "most_open");
+  spec.fleet_max_in_flight = read_count(dependency, "fleet_open");
   spec.fleet_cache_fill = dependency["fleet_fill"].as_bool();
-  spec.max_queued = count_of(dependency, "most_waiting");
+  spec.max_queued = read_count(dependency, "most_waiting");
 }
 
 void read_outlier_detection(const Value& dependency, deps::DependencySpec& spec) {
@@ -78,9 +84,10 @@
   spec.max_header_bytes = dependency["most_header"].as_byte_size();
   spec.io_timeout = dependency["quiet_most"].as_duration();
   spec.idle_connection_timeout = dependency["idle_most"].as_duration();
-  spec.max_idle_connections = count_of(dependency, "most_idle");
+  spec.max_idle_connections = read_count(dependency, "most_idle");
 }
 
+// Fails for each setting whose lower bound is above its upper bound.
 void check_bounds(const Value& dependency, const deps::DependencySpec& spec, const std::string& path,
                   Diagnostics& diagnostics) {
   const auto check = [&](const char* lower_field, auto lower, const char* upper_field, auto upper) {
@@ -103,9 +110,12 @@
     deps::DependencySpec spec;
     spec.name = dependency["name"].as_string();
     if (!is_host_name(spec.name))
-      diagnostics.fail(dependency["name"], path + ".name", "expected a host's name, as it stands in Host");
+      diagnostics.fail_expected(dependency["name"], path + ".name",
+                                "a host name as sent in the Host header, without spaces, / and @");
     if (!names.insert(spec.name).second)
-      diagnostics.fail(dependency["name"], path + ".name", "a second dependency of this name");
+      diagnostics.fail(dependency["name"], path + ".name",
+                       "duplicate dependency name " + typed_config::summarize(dependency["name"]) +
+                           "; expected a different name for each dependency");
     spec.endpoints = read_endpoints(dependency["endpoints"], path + ".endpoints", diagnostics);
     read_retries(dependency, spec);
     read_concurrency(dependency, spec);
--- a/src/operators/membership_section.cpp
+++ b/src/operators/membership_section.cpp
@@ -1,4 +1,4 @@
-// The section `membership` of an operator file.
+// Reader of the section `membership` of an operator file.
 #include <algorithm>
 
 #include "operators/sections.h"
@@ -8,17 +8,19 @@
 
 using typed_config::Value;
 
-constexpr const char* kSameFamily = "expected the same family of addresses as bind";
+constexpr const char* kSameFamily = "an address of the same family (IPv4 or IPv6) as bind";
 
+// Returns whether the address is 0.0.0.0 or ::.
 bool is_unspecified(const membership::Address& address) {
   return std::all_of(address.ip.begin(), address.ip.end(), [](auto byte) { return byte == 0; });
 }
 
-// Two addresses that were both read, of which one is IPv4 and the other IPv6.
+// Returns whether one address is IPv4 and the other IPv6. False if either could not be parsed.
 bool families_differ(const membership::Address& a, const membership::Address& b) {
   return a && b && a.v6 != b.v6;
 }
 
+// Reads the section into the settings of the membership module.
 class MembershipReader {
  public:
   explicit MembershipReader(Diagnostics& diagnostics) : diagnostics_(diagnostics) {}
@@ -33,11 +35,12 @@
   }
 
  private:
-  // No address, and an error, if the text is none.
+  // Parses an address. Adds an error and returns an empty address if the text is not valid.
   membership::Address read_address(const Value& text, const std::string& path) {
     const auto address = parse_address(text.as_string());
     if (!address)
-      diagnostics_.fail(text, path, "expected a numeric address and a port, as \"127.0.0.1:9101\"");
+      diagnostics_.fail_expected(text, path,
+                                 "a numeric address and a port from 1 to 65535, such as \"127.0.0.1:9101\"");
     return address.value_or(membership::Address{});
   }
 
@@ -45,9 +48,11 @@
     settings_.cluster = section["cluster"].as_string();
     settings_.zone = section["zone"].as_string();
     if (!is_plain_name(settings_.cluster))
-      diagnostics_.fail(section["cluster"], "membership.cluster", "expected a name without spaces");
+      diagnostics_.fail_expected(section["cluster"], "membership.cluster",
+                                 "printable ASCII characters without spaces");
     if (!is_plain_name(settings_.zone))
-      diagnostics_.fail(section["zone"], "membership.zone", "expected a name without spaces");
+      diagnostics_.fail_expected(section["zone"], "membership.zone",
+                                 "printable ASCII characters without spaces");
   }
 
   void read_addresses(const Value& section) {
@@ -57,9 +62,11 @@
     settings_.advertise = advertise ? read_address(*advertise, "membership.advertise") : settings_.bind;
     if (!advertise && settings_.bind && is_unspecified(settings_.bind))
       diagnostics_.fail(bind, "membership.bind",
-                        "others can't reach this address: expected advertise beside it");
+                        "other members cannot reach the unspecified address " +
+                            typed_config::summarize(bind) +
+                            "; expected the field advertise with a reachable address");
     if (advertise && families_differ(settings_.bind, settings_.advertise))
-      diagnostics_.fail(*advertise, "membership.advertise", kSameFamily);
+      diagnostics_.fail_expected(*advertise, "membership.advertise", kSameFamily);
   }
 
   void read_second_path(const Value& second) {
@@ -70,9 +77,10 @@
     bound = read_address(bind, "membership.second.bind");
     advertised = advertise ? read_address(*advertise, "membership.second.advertise") : bound;
     if (bound && bound == settings_.bind)
-      diagnostics_.fail(bind, "membership.second.bind", "expected another address than membership.bind");
+      diagnostics_.fail_expected(bind, "membership.second.bind",
+                                 "an address that differs from membership.bind");
     if (advertise && families_differ(bound, advertised))
-      diagnostics_.fail(*advertise, "membership.second.advertise", kSameFamily);
+      diagnostics_.fail_expected(*advertise, "membership.second.advertise", kSameFamily);
   }
 
   void read_seeds(const Value& list) {
@@ -80,7 +88,7 @@
     for (const auto& item : list.as_list()) {
       const auto path = "membership.seeds[" + std::to_string(seeds.size()) + "]";
       const auto seed = read_address(item, path);
-      if (families_differ(seed, settings_.bind)) diagnostics_.fail(item, path, kSameFamily);
+      if (families_differ(seed, settings_.bind)) diagnostics_.fail_expected(item, path, kSameFamily);
       seeds.push_back(seed);
     }
   }
@@ -100,10 +108,11 @@
     options.max_message_age = section["believe_for"].as_duration();
     options.min_fleet_size = std::size_t(section["expected"].as_int());
     options.max_members = std::size_t(section["members_most"].as_int());
-    // A message that is accepted after its tombstone expired could bring a dead member back.
+    // A message accepted after the tombstone of its sender has expired would add a dead member again.
     if (2 * options.max_message_age > options.tombstone_ttl)
-      diagnostics_.fail(section["believe_for"], "membership.believe_for",
-                        "expected no more than half of forget_after");
+      diagnostics_.fail_expected(
+          section["believe_for"], "membership.believe_for",
+          "no more than half of forget_after = " + typed_config::summarize(section["forget_after"]));
   }
 
   Diagnostics& diagnostics_;
--- a/src/operators/operator_config.cpp
+++ b/src/operators/operator_config.cpp
@@ -10,13 +10,14 @@
 #include "operator_schema.h"
 #include "operators/diagnostics.h"
 #include "operators/sections.h"
+#include "typed_config/printer.h"
 
 namespace granitegap::operators {
 namespace {
 
 using typed_config::Value;
 
-// A value other than 0 that takes up the whole of `text`.
+// Parses a port from 1 to 65535. Returns nothing if `text` is anything else.
 std::optional<std::uint16_t> parse_port(std::string_view text) {
   std::uint16_t port = 0;
   const auto* text_end = text.data() + text.size();
@@ -25,27 +26,28 @@
   return port;
 }
 
-// Fails dependencies that use `field` in a file without membership.
+// Fails for each dependency that uses `field` if the file has no section `membership`.
 template <class IsUsed>
 void require_membership(const Value& dependencies, const OperatorConfig& config, const std::string& field,
-                        const char* message, IsUsed is_used, Diagnostics& diagnostics) {
+                        const char* reason, IsUsed is_used, Diagnostics& diagnostics) {
   if (config.membership) return;
   const auto& list = dependencies.as_list();
   for (std::size_t i = 0; i < list.size(); ++i) {
     if (!is_used(config.spec.dependencies[i])) continue;
-    diagnostics.fail(list[i][field], "dependencies[" + std::to_string(i) + "]." + field, message);
+    const auto& value = list[i][field];
+    diagnostics.fail(
+        value, "dependencies[" + std::to_string(i) + "]." + field,
+        field + " = " + typed_config::summarize(value) + " requires the section membership: " + reason);
   }
 }
 
 void check_membership_is_declared(const Value& dependencies, const OperatorConfig& config,
                                   Diagnostics& diagnostics) {
   require_membership(
-      dependencies, config, "fleet_fill",
-      "expected membership beside it: without it there is nobody to fill it for",
+      dependencies, config, "fleet_fill", "without it there are no other members to share responses with",
       [](const deps::DependencySpec& spec) { return spec.fleet_cache_fill; }, diagnostics);
   require_membership(
-      dependencies, config, "fleet_open",
-      "expected membership beside it: without it nobody knows how many share it",
+      dependencies, config, "fleet_open", "without it the number of members that share the limit is unknown",
       [](const deps::DependencySpec& spec) { return spec.fleet_max_in_flight > 0; }, diagnostics);
 }
 
@@ -123,7 +125,8 @@
       config.spec.gathers[i].cls = *number;
     else
       errors.push_back({config.file, position, "gathers[" + std::to_string(i) + "].class",
-                        "the platform's settings have no class " + name});
+                        "expected a class of the platform's settings, found " +
+                            typed_config::summarize({name, position})});
   }
   return errors;
 }
--- a/src/operators/operator_config.h
+++ b/src/operators/operator_config.h
@@ -1,6 +1,7 @@
-// The operator's own file, read: what it declares, checked against its schema and in itself.
+// Reads the operator file and checks it against its schema and against the rules that the schema cannot
+// express.
 //
-// Nothing here keeps state; the functions may be called from any thread. Only load() does I/O, and it blocks.
+// The functions keep no state and may be called from any thread. Only load() does I/O, and it blocks.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -17,57 +18,62 @@
 
 using typed_config::Errors;
 
-// A class that has gathers, by the name that the platform's settings give it.
+// The class of a gather, by its name in the platform's settings.
 struct GatherClass {
   std::string name;
-  typed_config::Position position;
+  typed_config::Position position;  // of the name in the operator file
 };
 
+// The declarations of an operator file.
 struct OperatorConfig {
-  // The return to service after a restart; see docs/recovery-operators.md.
+  // Settings of the recovery after a restart; see docs/recovery-operators.md.
   struct Recovery {
-    // Requests with idempotency keys wait until no run of an earlier incarnation can be repeated.
+    // Whether requests with idempotency keys are rejected until no run of a previous incarnation can be
+    // repeated.
     bool quarantine_keys = true;
-    std::string directory;  // of snapshots and the shutdown record; empty: none
-    Duration max_clock_back{};
-    Duration snapshot_every{};
-    bool guided = true;  // the load accepted grows with proven work
-    double first = 0.1;
-    double growth = 1.5;
-    double wait_bound = 1;
-    Duration max_learn{};
-    std::uint16_t state_transfer_port = 0;  // TCP; 0: any that is free
-    Duration max_pause{};
-    Duration calm_for{};
+    std::string directory;      // holds the snapshots and the shutdown record; empty: nothing is stored
+    Duration max_clock_back{};  // largest setback of the Unix clock that prolongs the quarantine
+    Duration snapshot_every{};  // interval between snapshots
+    bool guided = true;         // whether the accepted load grows with the work that met its objective
+    double first = 0.1;         // first accepted share of the full load
+    double growth = 1.5;        // largest factor between two steps
+    double wait_bound = 1;      // largest accepted wait for a core, as a multiple of the class's delay target
+    Duration max_learn{};       // longest state transfer
+    std::uint16_t state_transfer_port = 0;  // TCP; 0: any free port
+    Duration max_pause{};                   // a longer pause of the process begins another recovery
+    Duration calm_for{};  // time without rejections for load after which waits are no longer bounded
     bool operator==(const Recovery&) const = default;
   };
 
-  deps::Spec spec;                          // its classes are numbered by resolve_classes()
-  std::vector<GatherClass> gather_classes;  // one for each of the spec's gathers
-  std::size_t dependency_connections = 128;
-  std::uint16_t cache_fill_port = 0;  // TCP; 0: any that is free
+  deps::Spec spec;                           // resolve_classes() sets the class numbers of its gathers
+  std::vector<GatherClass> gather_classes;   // the class of each gather in `spec`, in the same order
+  std::size_t dependency_connections = 128;  // descriptors for calls, idle connections included
+  std::uint16_t cache_fill_port = 0;         // TCP; 0: any free port
   std::optional<membership_udp::Settings> membership;
   std::optional<Recovery> recovery;
-  typed_config::Value values;  // the whole file, with defaults
-  std::string file;            // its name
+  typed_config::Value values;  // all values of the file, with defaults filled in
+  std::string file;            // name of the file
 
-  // Whether this process fills caches for other members: some dependency asks for it, and there is a fleet.
+  // Returns whether this process fills caches for other members: the file declares membership, and at least
+  // one dependency enables fleet-wide cache fills.
   bool cache_fill_enabled() const;
 };
 
-// The schema that the program carries (deploy/operator.schema.cue).
+// Returns the schema of operator files, which is built into the program (deploy/operator.schema.cue).
 const typed_config::Document& schema();
 
-// "127.0.0.1:9101", "[::1]:9101". Absent if it is anything else; nothing is looked up.
+// Parses a numeric address and a port, such as "127.0.0.1:9101" or "[::1]:9101". Returns nothing if `text`
+// has another form; names are not resolved.
 std::optional<membership::Address> parse_address(const std::string& text);
 
-// What the document declares, or every error there is.
+// Returns the declarations of `document`, or all errors in it.
 [[nodiscard]] std::variant<OperatorConfig, Errors> from_document(const typed_config::Document& document);
 
-// Reads and checks the file at `path`.
+// Reads and checks the operator file at `path`.
 [[nodiscard]] std::variant<OperatorConfig, Errors> load(const std::string& path);
 
-// Numbers the classes as the platform's settings do. One error for each class that these do not name.
+// Sets the class numbers of the gathers from the platform's settings. Returns one error for each class that
+// is not in `names`.
 [[nodiscard]] Errors resolve_classes(OperatorConfig& config, const edge::NameRegistry& names);
 
 }  // namespace granitegap::operators
--- a/src/operators/recovery_section.cpp
+++ b/src/operators/recovery_section.cpp
@@ -1,4 +1,4 @@
-// The section `recovery` of an operator file.
+// Reader of the section `recovery` of an operator file.
 #include "operators/sections.h"
 
 namespace granitegap::operators {
--- a/src/operators/sections.h
+++ b/src/operators/sections.h
@@ -1,8 +1,7 @@
-// One reader for each section of an operator file: from values that the schema has vouched for to the
-// settings of the module that uses them. Rules that the schema can't express are checked here. Internal to
-// this module.
+// Readers of the sections of an operator file. Each converts values that satisfy the schema to the settings
+// of the module that uses them and checks the rules that the schema cannot express. Internal to this module.
 //
-// Every reader returns a usable object whatever it finds; what is wrong goes into the diagnostics.
+// A reader adds errors to the diagnostics and returns an object that is safe to use even if there are errors.
 #pragma once
 #include <optional>
 #include <string>
@@ -16,21 +15,22 @@
 
 namespace granitegap::operators {
 
-// A numeric address and a port other than 0, as "127.0.0.1:9001" or "[::1]:9001".
+// Parses a numeric address and a port from 1 to 65535, such as "127.0.0.1:9001" or "[::1]:9001". Returns
+// nothing if `text` has another form.
 std::optional<deps::EndpointSpec> parse_endpoint(const std::string& text);
 
-// The section `dependencies`.
+// Reads the section `dependencies`.
 std::vector<deps::DependencySpec> read_dependencies(const typed_config::Value& list,
                                                     Diagnostics& diagnostics);
 
-// The section `gathers`. The classes' names go into `config.gather_classes`, as their numbers are not known
-// yet.
+// Reads the section `gathers` into `config.spec.gathers`. The class names go to `config.gather_classes`,
+// because the class numbers are not known yet.
 void read_gathers(const typed_config::Value& list, OperatorConfig& config, Diagnostics& diagnostics);
 
-// The section `membership`.
+// Reads the section `membership`.
 membership_udp::Settings read_membership(const typed_config::Value& section, Diagnostics& diagnostics);
 
-// The section `recovery`.
+// Reads the section `recovery`.
 OperatorConfig::Recovery read_recovery(const typed_config::Value& section);
 
 }  // namespace granitegap::operators
--- a/tests/operator_config_test.cpp
+++ b/tests/operator_config_test.cpp
@@ -1,4 +1,4 @@
-// The operator's own file: what it declares, and every error in it.
+// Tests of the reader of operator files: declarations, defaults and error messages.
 #include "operators/operator_config.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   return std::get<typed_config::Document>(std::move(document));
 }
 
-TEST(OperatorConfig, TheExampleIsValidAndPrintsToTheSameValues) {
+TEST(OperatorConfig, ExampleFileIsValidAndPrintsToTheSameValues) {
   const auto declared = load(OPERATOR_EXAMPLE);
   ASSERT_TRUE(std::holds_alternative<OperatorConfig>(declared));
   const auto& d = std::get<OperatorConfig>(declared);
@@ -30,7 +30,7 @@
   EXPECT_EQ(typed_config::print(std::get<OperatorConfig>(again).values), typed_config::print(d.values));
 }
 
-TEST(OperatorConfig, EveryErrorIsReportedAtOnce) {
+TEST(OperatorConfig, AllErrorsAreReportedWithFieldAndValue) {
   const auto result = from_document(parse(R"(version: 1
 dependencies: [
 	{name: "a b", endpoints: ["localhost:1", "127.0.0.1:9", "127.0.0.1:9"], least_open: 9, most_open: 3},
@@ -47,23 +47,32 @@
   ASSERT_TRUE(std::holds_alternative<Errors>(result));
   std::string out;
   for (const auto& e : std::get<Errors>(result)) out += e.field + ": " + e.message + "\n";
-  EXPECT_EQ(out,
-            "dependencies[0].name: expected a host's name, as it stands in Host\n"
-            "dependencies[0].endpoints[0]: expected a numeric address and a port, as \"127.0.0.1:9001\"\n"
-            "dependencies[0].endpoints[2]: the same endpoint twice\n"
-            "dependencies[0].least_open: expected no more than most_open\n"
-            "dependencies[1].endpoints[1]: expected a numeric address and a port, as \"127.0.0.1:9001\"\n"
-            "dependencies[2].name: a second dependency of this name\n"
-            "gathers[0].parts[0].from: no dependency x; expected one of a b, e, e\n"
-            "gathers[0].parts[0].path: {needed} without needs: expected the name of an earlier part there\n"
-            "gathers[0].parts[1].name: a second part of this name\n"
-            "gathers[0].parts[1].path: a path begins with /, at character 1\n"
-            "gathers[0].parts[1].needs: expected the name of an earlier part of this gather\n"
-            "gathers[1].class: class tile has gathers twice; expected one for each class\n"
-            "gathers[1].parts[0].name: expected a name without commas and spaces\n");
+  EXPECT_EQ(
+      out,
+      "dependencies[0].name: expected a host name as sent in the Host header, without spaces, / and @, "
+      "found \"a b\"\n"
+      "dependencies[0].endpoints[0]: expected a numeric address and a port from 1 to 65535, such as "
+      "\"127.0.0.1:9001\", found \"localhost:1\"\n"
+      "dependencies[0].endpoints[2]: duplicate endpoint \"127.0.0.1:9\"; expected each endpoint of a "
+      "dependency once\n"
+      "dependencies[0].least_open: expected no more than most_open = 3, found 9\n"
+      "dependencies[1].endpoints[1]: expected a numeric address and a port from 1 to 65535, such as "
+      "\"127.0.0.1:9001\", found \"127.0.0.1:0\"\n"
+      "dependencies[2].name: duplicate dependency name \"e\"; expected a different name for each "
+      "dependency\n"
+      "gathers[0].parts[0].from: expected one of \"a b\", \"e\", \"e\", found \"x\"\n"
+      "gathers[0].parts[0].path: path \"/{needed}\" uses {needed}, but the part has no field needs; "
+      "expected needs to name an earlier part of this gather\n"
+      "gathers[0].parts[1].name: duplicate part name \"p\"; expected a different name for each part of a "
+      "gather\n"
+      "gathers[0].parts[1].path: invalid path \"no\": a path begins with /, at character 1\n"
+      "gathers[0].parts[1].needs: expected the name of an earlier part of this gather, found \"q\"\n"
+      "gathers[1].class: duplicate gather for class \"tile\"; expected one gather per class\n"
+      "gathers[1].parts[0].name: expected a name without commas, spaces, = and line breaks, found "
+      "\"p,q\"\n");
 }
 
-TEST(OperatorConfig, MembershipAloneIsAValidFile) {
+TEST(OperatorConfig, FileWithOnlyMembershipIsValid) {
   const auto result = from_document(parse(R"(version: 1
 dependencies: []
 gathers: []
@@ -79,7 +88,7 @@
   EXPECT_EQ(m->options.indirect_probes, 3u);
 }
 
-TEST(OperatorConfig, MembershipErrorsNameTheirField) {
+TEST(OperatorConfig, MembershipErrorsNameFieldAndValue) {
   const auto result = from_document(parse(R"(version: 1
 dependencies: []
 gathers: []
@@ -89,11 +98,14 @@
   std::string out;
   for (const auto& e : std::get<Errors>(result)) out += e.field + ": " + e.message + "\n";
   EXPECT_EQ(out,
-            "membership.cluster: expected a name without spaces\n"
-            "membership.bind: others can't reach this address: expected advertise beside it\n"
-            "membership.seeds[0]: expected a numeric address and a port, as \"127.0.0.1:9101\"\n"
-            "membership.seeds[1]: expected the same family of addresses as bind\n"
-            "membership.believe_for: expected no more than half of forget_after\n");
+            "membership.cluster: expected printable ASCII characters without spaces, found \"a b\"\n"
+            "membership.bind: other members cannot reach the unspecified address \"0.0.0.0:9101\"; expected "
+            "the field advertise with a reachable address\n"
+            "membership.seeds[0]: expected a numeric address and a port from 1 to 65535, such as "
+            "\"127.0.0.1:9101\", found \"host:1\"\n"
+            "membership.seeds[1]: expected an address of the same family (IPv4 or IPv6) as bind, found "
+            "\"[::1]:2\"\n"
+            "membership.believe_for: expected no more than half of forget_after = 90s, found 60s\n");
 }
 
 }  // namespace
