--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,5 +1,6 @@
-// What the platform configures for a tile server: the EDGE_CONFIG file with its addresses, limits and
-// settings. Everything is a value; the functions may run on any thread. Errors are returned, not thrown.
+// Reads the platform's configuration of a tile server: the EDGE_CONFIG file with its addresses, limits and
+// settings. The types are plain values, the functions may be called from any thread, and errors are returned,
+// not thrown.
 #pragma once
 #include <chrono>
 #include <cstdint>
@@ -20,11 +21,11 @@
   bool operator==(const Endpoint&) const = default;
 };
 
-/// What the platform grants the process.
+/// Resource limits that the platform sets for the process.
 struct Limits {
   double cores = 1;
   std::size_t memory_mb = 192;
-  std::size_t sockets = 1024;  ///< open descriptors
+  std::size_t sockets = 1024;  ///< maximum number of open descriptors
   bool operator==(const Limits&) const = default;
 };
 
@@ -32,25 +33,25 @@
 struct Config {
   std::string name;
   Endpoint listen, kernel, announce;
-  std::optional<Endpoint> admin;     ///< where operators connect
-  std::uint64_t seed = 0;            ///< of the controller's random numbers
-  std::chrono::milliseconds stop{};  ///< from SIGTERM to SIGKILL
+  std::optional<Endpoint> admin;     ///< address of the admin listener
+  std::uint64_t seed = 0;            ///< seed of the controller's random numbers
+  std::chrono::milliseconds stop{};  ///< time from SIGTERM to SIGKILL
   Limits limits;
-  std::string settings_text;  ///< as path=value lines
+  std::string settings_text;  ///< the settings as path=value lines
   ParsedSettings parsed;
   edge::NameRegistry catalog;  ///< class and tenant names, by position
 };
 
-/// Why a configuration can't be used.
+/// The reason why a configuration was rejected.
 struct ConfigError {
   enum class Kind {
     cannot_open,
     cannot_read,
-    invalid_json,  ///< `value` is the parser's message
+    invalid_json,  ///< `value` is the message of the JSON parser
     not_an_object,
     missing,
     not_text,
-    not_a_number,  ///< or one out of range
+    not_a_number,  ///< not a number, or out of range
     not_an_endpoint,
     not_hexadecimal,
     no_classes,
@@ -59,17 +60,22 @@
     class_named_twice,
   };
   Kind kind{};
-  std::string field;       ///< the JSON member at fault; empty where it is the complete file
-  std::string value;       ///< what it held, where that tells more
-  std::string class_name;  ///< of the request class at fault, else empty
+  std::string field;       ///< path of the invalid JSON member; empty if the error is about the complete file
+  std::string value;       ///< the value found, or the file's path; escaped and cut to a bounded length
+  std::string class_name;  ///< name of the invalid request class, otherwise empty
+  std::string expected = {};  ///< the accepted range, if `kind` does not imply it
 
-  /// One line for logs.
+  /// Returns the error as one line: the field, what was expected and the value found.
   [[nodiscard]] std::string message() const;
 };
 
-/// Reads a host and a port; absent where the text is none. Port 0 lets the system choose one.
+/// Parses HOST:PORT. Returns nothing if `text` has another form. With port 0 the system chooses a port.
 [[nodiscard]] std::optional<Endpoint> read_endpoint(const std::string& text);
+
+/// Parses and checks the contents of a configuration file.
 [[nodiscard]] std::variant<Config, ConfigError> parse(std::string_view json);
+
+/// Reads and checks the configuration file at `path`. Blocks on file I/O.
 [[nodiscard]] std::variant<Config, ConfigError> load(const std::string& path);
 
 }  // namespace granitegap::config
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// The platform's configuration file.
+// Tests of the reader of the platform's configuration file.
 #include "config/config.h"
 
 #include <doctest/doctest.h>
@@ -36,21 +36,31 @@
     REQUIRE(std::holds_alternative<config::ConfigError>(parsed));
     return std::get<config::ConfigError>(parsed).message();
   };
-  CHECK(problem(kConfig, "127.0.0.1:7001", "nowhere") == "listen is no address with a port: nowhere");
-  CHECK(problem(kConfig, "\"ff\"", "7") == "seed is not a text");
-  CHECK(problem(kConfig, "\"stop_ms\":3200,", "") == "no stop_ms");
-  CHECK(problem(kConfig, "3200", "-1") == "stop_ms is no usable number");
-  CHECK(problem(kConfig, "\"classes\"", "\"c\"") == "\"settings\" names no class");
-  CHECK(problem(kConfig, "{\"name\"", "{name").find('\n') == std::string::npos);
-  // Settings that would break a promise to callers.
-  CHECK(problem(kConfig, "dedup", "often") == "class a, b: effect is none of retryable, dedup, fragile");
+  CHECK(problem(kConfig, "127.0.0.1:7001", "nowhere") ==
+        "listen: expected HOST:PORT with a port from 0 to 65535, found \"nowhere\"");
+  CHECK(problem(kConfig, "\"ff\"", "7") == "seed: expected a non-empty string, found 7");
+  CHECK(problem(kConfig, "\"stop_ms\":3200,", "") == "required field stop_ms is missing");
+  CHECK(problem(kConfig, "3200", "-1") == "stop_ms: expected a number from 0 to 1000000000, found -1");
+  CHECK(problem(kConfig, "\"classes\"", "\"c\"") ==
+        "settings.classes: expected an array of at least one class, found no such field");
+  const auto invalid_json = problem(kConfig, "{\"name\"", "{name");
+  CHECK(invalid_json.starts_with("invalid JSON: "));
+  CHECK(invalid_json.find('\n') == std::string::npos);
+  // Settings with which the guarantees of a class could not be met.
+  CHECK(problem(kConfig, "dedup", "often") ==
+        "class \"a, b\": effect: expected one of retryable, dedup, fragile, found \"often\"");
   CHECK(problem(kConfig, "\"aim_ms\"", "\"deadline_ms\":0,\"aim_ms\"") ==
-        "class a, b: deadline_ms is not above 0");
+        "class \"a, b\": deadline_ms: expected milliseconds above 0 and at most 1e12, found 0 us");
   CHECK(problem(kConfig, "\"aim_ms\"", "\"deadline_ms\":-5,\"aim_ms\"") ==
-        "class a, b: deadline_ms is not above 0");
+        "class \"a, b\": deadline_ms: expected milliseconds above 0 and at most 1e12, found \"-5\"");
   CHECK(problem(kConfig, "\"aim_ms\"", "\"repeat_window_ms\":0.0,\"aim_ms\"") ==
-        "class a, b: repeat_window_ms is not above 0");
-  CHECK(problem(kConfig, "\"dedup\"}", "\"dedup\"},{\"name\":\"a, b\"}") == "class a, b: is named twice");
+        "class \"a, b\": repeat_window_ms: expected milliseconds above 0 and at most 1e12, found 0 us");
+  CHECK(problem(kConfig, "\"dedup\"}", "\"dedup\"},{\"name\":\"a, b\"}") ==
+        "class \"a, b\": duplicate name; expected a different name for each class");
+  // Values found are escaped and cut to a bounded length.
+  CHECK(problem(kConfig, "127.0.0.1:7001", "a\\n" + std::string(1000, 'b')) ==
+        "listen: expected HOST:PORT with a port from 0 to 65535, found \"a\\n" + std::string(56, 'b') +
+            "...");
 }
 
 }  // namespace
