--- a/src/typed_config/constraints.cpp
+++ b/src/typed_config/constraints.cpp
@@ -8,7 +8,8 @@
 namespace granitegap::typed_config {
 namespace {
 
-struct TypeOf {
+// Visitor that maps the data of a value to its type.
+struct GetType {
   ValueType operator()(std::nullptr_t) const { return ValueType::null; }
   ValueType operator()(bool) const { return ValueType::boolean; }
   ValueType operator()(std::int64_t) const { return ValueType::integer; }
@@ -20,12 +21,12 @@
   ValueType operator()(const Record&) const { return ValueType::any; }
 };
 
-ValueType type_of(const Value& value) { return std::visit(TypeOf{}, value.data); }
+ValueType get_type(const Value& value) { return std::visit(GetType{}, value.data); }
 
-// The value as that type. An integer is a number too; and as JSON has no literals for durations and sizes, a
-// text that reads as one is one.
+// Converts the value to `type`, or returns nothing. An integer is also a number. A text that parses as a
+// duration or a size is converted, because JSON has no literals for them.
 std::optional<Value> coerce(const Value& value, ValueType type) {
-  if (type == ValueType::any || type_of(value) == type) return value;
+  if (type == ValueType::any || get_type(value) == type) return value;
   if (const auto* integer = std::get_if<std::int64_t>(&value.data); integer && type == ValueType::number)
     return Value{double(*integer), value.position};
   const auto* text = std::get_if<std::string>(&value.data);
@@ -37,6 +38,7 @@
   return std::nullopt;
 }
 
+// Returns whether both are equal scalars of one type. False for records and lists.
 bool equal_scalars(const Value& a, const Value& b) {
   if (a.data.index() != b.data.index()) return false;
   if (std::holds_alternative<Record>(a.data) || std::holds_alternative<List>(a.data)) return false;
@@ -60,7 +62,7 @@
   return false;
 }
 
-// `value`: already of the bound's type.
+// Returns whether `value`, which has the type of the bound, satisfies the bound.
 bool within_bound(const Value& value, const Expression& bound) {
   const auto& limit = bound.literal;
   if (const auto* number = std::get_if<double>(&value.data))
@@ -74,19 +76,21 @@
   return false;
 }
 
+// Returns the value as the bound types it, or nothing if the bound does not hold.
 std::optional<Value> apply_bound(const Value& value, const Expression& bound) {
-  const auto limit_type = type_of(bound.literal);
+  const auto limit_type = get_type(bound.literal);
   const auto type = limit_type == ValueType::integer ? ValueType::number : limit_type;
   auto typed = coerce(value, type);
   if (!typed || !within_bound(*typed, bound)) return std::nullopt;
-  // A bound on a number leaves an integer an integer.
+  // An integer remains an integer, although it is compared as a number.
   if (std::holds_alternative<double>(typed->data)) return value;
   return typed;
 }
 
-// The elements of a list, or the characters of a text in UTF-8; absent for what has no length of that kind.
-std::optional<std::int64_t> length_of(const Value& value, bool of_list) {
-  if (of_list) {
+// Returns the number of elements of a list or, without `expect_list`, of code points of a UTF-8 text. Returns
+// nothing for values of other types.
+std::optional<std::int64_t> measure_length(const Value& value, bool expect_list) {
+  if (expect_list) {
     const auto* list = std::get_if<List>(&value.data);
     if (!list) return std::nullopt;
     return std::int64_t(list->size());
@@ -97,10 +101,10 @@
   return std::count_if(text->begin(), text->end(), begins_character);
 }
 
-// list.MinItems(n), list.MaxItems(n), strings.MinRunes(n), strings.MaxRunes(n)
-bool holds_call(const Value& value, const Expression& call) {
+// Evaluates list.MinItems(n), list.MaxItems(n), strings.MinRunes(n) and strings.MaxRunes(n).
+bool satisfies_call(const Value& value, const Expression& call) {
   const auto limit = call.parts.front().literal.as_int();
-  const auto length = length_of(value, call.name.starts_with("list."));
+  const auto length = measure_length(value, call.name.starts_with("list."));
   if (!length) return false;
   const bool is_minimum = call.name.ends_with("MinItems") || call.name.ends_with("MinRunes");
   return is_minimum ? *length >= limit : *length <= limit;
@@ -111,7 +115,7 @@
 std::optional<Value> apply_constraint(const Value& value, const Expression& constraint) {
   switch (constraint.kind) {
     case ExpressionKind::literal: {
-      auto typed = coerce(value, type_of(constraint.literal));
+      auto typed = coerce(value, get_type(constraint.literal));
       if (!typed || !equal_scalars(*typed, constraint.literal)) return std::nullopt;
       return typed;
     }
@@ -120,7 +124,7 @@
     case ExpressionKind::bound:
       return apply_bound(value, constraint);
     case ExpressionKind::call:
-      if (!holds_call(value, constraint)) return std::nullopt;
+      if (!satisfies_call(value, constraint)) return std::nullopt;
       return value;
     default:
       return std::nullopt;
--- a/src/typed_config/constraints.h
+++ b/src/typed_config/constraints.h
@@ -1,4 +1,4 @@
-// The constraints on one value that need no schema: literals, types, bounds and counts. Internal to this
+// Evaluation of the constraints that need no schema: literals, types, bounds and counts. Internal to this
 // module.
 #pragma once
 #include <optional>
@@ -8,8 +8,8 @@
 
 namespace granitegap::typed_config {
 
-// The value as `constraint` types it; absent if it does not hold. `constraint`: of kind literal, type, bound
-// or call.
+// Returns the value as `constraint` types it, or nothing if the constraint does not hold. The constraint has
+// the kind literal, type, bound or call.
 std::optional<Value> apply_constraint(const Value& value, const Expression& constraint);
 
 }  // namespace granitegap::typed_config
--- a/src/typed_config/expression_builder.cpp
+++ b/src/typed_config/expression_builder.cpp
@@ -8,6 +8,7 @@
 #include <utility>
 
 #include "typed_config/grammar.h"
+#include "typed_config/printer.h"
 #include "typed_config/string_literal.h"
 #include "typed_config/units.h"
 
@@ -19,7 +20,7 @@
 
 Expression build_expression(const Node& node);
 
-Position position_of(const Node& node) { return {node.begin().line, node.begin().column}; }
+Position get_position(const Node& node) { return {node.begin().line, node.begin().column}; }
 
 // ---- Literals ----
 
@@ -33,7 +34,10 @@
 
 std::string parse_text(std::string_view literal, Position position) {
   auto text = unquote(literal);
-  if (!text) throw BuildError(ErrorCode::syntax_error, position, "half of a surrogate pair in a text");
+  if (!text)
+    throw BuildError(ErrorCode::syntax_error, position,
+                     "expected complete surrogate pairs in a text, found " +
+                         quote_excerpt(literal.substr(1, literal.size() - 2)));
   return std::move(*text);
 }
 
@@ -49,7 +53,11 @@
   double number = 0;
   const auto [end, error] = std::from_chars(text.data(), text_end, number);
   if (error != std::errc{} || end != text_end || !std::isfinite(number))
-    throw BuildError(ErrorCode::syntax_error, position, "a number out of range");
+    throw BuildError(
+        ErrorCode::syntax_error, position,
+        "expected a finite number, or a duration or size of at most 1e15 us or B without sign and "
+        "exponent, found " +
+            quote_excerpt(text));
   return {number, position};
 }
 
@@ -66,7 +74,7 @@
   if (known == std::end(kTypes))
     throw BuildError(
         ErrorCode::unknown_name, position,
-        "unknown word " + std::string(word) +
+        "unknown word " + quote_excerpt(word) +
             "; expected true, false, null, a \"text\", or one of the types bool int number string duration "
             "size _");
   Expression type;
@@ -78,7 +86,7 @@
 
 // ---- Bounds, calls and operators ----
 
-Comparison comparison_of(std::string_view sign) {
+Comparison parse_comparison(std::string_view sign) {
   if (sign == "<") return Comparison::less;
   if (sign == "<=") return Comparison::less_or_equal;
   if (sign == ">") return Comparison::greater;
@@ -88,8 +96,8 @@
 Expression build_bound(const Node& node) {
   Expression bound;
   bound.kind = ExpressionKind::bound;
-  bound.position = position_of(node);
-  bound.comparison = comparison_of(node.children.at(0)->string_view());
+  bound.position = get_position(node);
+  bound.comparison = parse_comparison(node.children.at(0)->string_view());
   bound.literal = build_expression(*node.children.at(1)).literal;
   return bound;
 }
@@ -99,35 +107,36 @@
                                                     "strings.MaxRunes"};
   Expression call;
   call.kind = ExpressionKind::call;
-  call.position = position_of(node);
+  call.position = get_position(node);
   call.name = node.children.at(0)->string();
   call.parts.push_back(build_expression(*node.children.at(1)));
   if (std::find(std::begin(kFunctions), std::end(kFunctions), call.name) == std::end(kFunctions))
     throw BuildError(ErrorCode::unknown_name, call.position,
-                     "unknown " + call.name +
-                         "(); expected list.MinItems, list.MaxItems, strings.MinRunes or strings.MaxRunes");
+                     "unknown function " + quote_excerpt(call.name) +
+                         "; expected list.MinItems, list.MaxItems, strings.MinRunes or strings.MaxRunes");
   const auto& argument = call.parts.front();
   const bool is_integer =
       argument.kind == ExpressionKind::literal && std::holds_alternative<std::int64_t>(argument.literal.data);
   if (!is_integer)
-    throw BuildError(ErrorCode::type_mismatch, argument.position,
-                     "expected a whole number as the argument of " + call.name);
+    throw BuildError(
+        ErrorCode::type_mismatch, argument.position,
+        "expected an integer as the argument of " + call.name + ", found " + shorten(describe(argument)));
   return call;
 }
 
 Expression build_reference(const Node& node) {
   Expression reference;
   reference.kind = ExpressionKind::reference;
-  reference.position = position_of(node);
+  reference.position = get_position(node);
   reference.name = node.string();
   return reference;
 }
 
-// An expression whose parts are the node's children.
+// Builds an expression whose parts are the children of the node.
 Expression build_compound(ExpressionKind kind, const Node& node) {
   Expression compound;
   compound.kind = kind;
-  compound.position = position_of(node);
+  compound.position = get_position(node);
   for (const auto& child : node.children) compound.parts.push_back(build_expression(*child));
   return compound;
 }
@@ -144,11 +153,13 @@
 Expression build_any_of(const Node& node) {
   Expression any_of;
   any_of.kind = ExpressionKind::any_of;
-  any_of.position = position_of(node);
+  any_of.position = get_position(node);
   for (const auto& alternative : node.children) {
     const bool is_default = alternative->children.front()->is_type<grammar::DefaultMark>();
     if (is_default && any_of.preferred)
-      throw BuildError(ErrorCode::duplicate_name, position_of(*alternative), "a second default");
+      throw BuildError(ErrorCode::duplicate_name, get_position(*alternative),
+                       "second default after *" + shorten(describe(any_of.parts[any_of.preferred - 1])) +
+                           "; expected at most one alternative marked with *");
     any_of.parts.push_back(build_expression(*alternative->children.back()));
     if (is_default) any_of.preferred = any_of.parts.size();
   }
@@ -165,15 +176,19 @@
 
 void add_definition(Definitions* definitions, const std::string& name, Expression value, Position position) {
   if (!definitions)
-    throw BuildError(ErrorCode::misplaced, position, "definitions stand at the top of the file");
+    throw BuildError(ErrorCode::misplaced, position,
+                     "definition " + quote_excerpt(name) +
+                         " is inside a record; expected definitions only at the top level of the file");
   if (!definitions->emplace(name, std::move(value)).second)
-    throw BuildError(ErrorCode::duplicate_name, position, name + " is defined twice");
+    throw BuildError(ErrorCode::duplicate_name, position,
+                     "duplicate definition " + quote_excerpt(name) + "; expected one definition per name");
 }
 
-// `definitions`: where the file's #Names go; null below the file's top, where none may stand.
+// Adds a field to `record`, or a #Name to `definitions`, which is null below the top level, where definitions
+// are not allowed.
 void add_field(const Node& node, Expression& record, Definitions* definitions) {
   FieldDeclaration field;
-  field.position = position_of(node);
+  field.position = get_position(node);
   field.name = field_name(*node.children.at(0), field.position);
   field.optional = node.children.at(1)->is_type<grammar::OptionalMark>();
   auto value = build_expression(*node.children.back());
@@ -182,7 +197,9 @@
   const bool is_repeated = std::any_of(record.fields.begin(), record.fields.end(),
                                        [&](const auto& earlier) { return earlier.name == field.name; });
   if (is_repeated)
-    throw BuildError(ErrorCode::duplicate_name, field.position, "field " + field.name + " stands twice");
+    throw BuildError(
+        ErrorCode::duplicate_name, field.position,
+        "duplicate field " + quote_excerpt(field.name) + "; expected each field of a record once");
   field.type = std::make_shared<const Expression>(std::move(value));
   record.fields.push_back(std::move(field));
 }
@@ -199,13 +216,13 @@
 Expression build_record(const Node& node) {
   Expression record;
   record.kind = ExpressionKind::record;
-  record.position = position_of(node);
+  record.position = get_position(node);
   add_members(node, record, nullptr);
   return record;
 }
 
 Expression build_expression(const Node& node) {
-  const auto position = position_of(node);
+  const auto position = get_position(node);
   if (node.is_type<grammar::Number>()) return make_literal(parse_number(node.string_view(), position));
   if (node.is_type<grammar::Text>())
     return make_literal({parse_text(node.string_view(), position), position});
@@ -219,7 +236,7 @@
   if (node.is_type<grammar::AnyExpression>()) return build_any_of(node);
   const bool has_operator = node.is_type<grammar::AllOf>() && node.children.size() > 1;
   if (has_operator) return build_compound(ExpressionKind::all_of, node);
-  return build_expression(*node.children.front());  // an operand alone, or a group in parentheses
+  return build_expression(*node.children.front());  // a single operand, or a group in parentheses
 }
 
 }  // namespace
--- a/src/typed_config/expression_builder.h
+++ b/src/typed_config/expression_builder.h
@@ -1,4 +1,4 @@
-// From PEGTL's parse tree to a Document. Internal to this module.
+// Conversion of PEGTL's parse tree to a Document. Internal to this module.
 #pragma once
 #include <stdexcept>
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace granitegap::typed_config {
 
-// Thrown for a tree that the grammar accepts and the language does not. Never leaves parse().
+// Thrown for a tree that the grammar accepts but the language does not. parse() catches it.
 struct BuildError : std::runtime_error {
   BuildError(ErrorCode error_code, Position error_position, const std::string& message)
       : std::runtime_error(message), code(error_code), position(error_position) {}
@@ -17,7 +17,7 @@
   Position position;
 };
 
-// `root`: of a tree made with grammar::Selector. Throws BuildError.
+// Builds the document from the root of a parse tree made with grammar::Selector. Throws BuildError.
 Document build_document(const tao::pegtl::parse_tree::node& root, std::string file);
 
 }  // namespace granitegap::typed_config
--- a/src/typed_config/field_path.h
+++ b/src/typed_config/field_path.h
@@ -1,4 +1,4 @@
-// Paths of fields in error messages, as `dependencies[0].name`. Internal to this module.
+// Paths of fields in error messages, such as `dependencies[0].name`. Internal to this module.
 #pragma once
 #include <cstddef>
 #include <string>
--- a/src/typed_config/grammar.h
+++ b/src/typed_config/grammar.h
@@ -1,4 +1,4 @@
-// The grammar of configuration files, in PEGTL, with the message for each place where parsing can stop.
+// The grammar of configuration files in PEGTL, with an error message for each rule that must match.
 //
 // Internal to this module. The rules mirror docs/operators-file.md.
 #pragma once
@@ -86,12 +86,13 @@
 struct AnyExpression
     : pegtl::seq<Alternative, pegtl::star<InlineSpace, pegtl::one<'|'>, Space, NextAlternative>> {};
 
-// JSON's outermost braces may stand round the whole file.
+// The complete file may be enclosed in braces, as in JSON.
 struct FileInBraces : pegtl::seq<RecordBraces, Space, pegtl::at<pegtl::eof>> {};
 struct FileEnd : pegtl::eof {};
 struct File : pegtl::seq<Space, pegtl::sor<FileInBraces, Members>, Space, pegtl::must<FileEnd>> {};
 
-// The rules that become nodes of the parse tree: those whose text matters, and those that only hold children.
+// Selects the rules that become nodes of the parse tree: first those that keep their text, then those that
+// only have children.
 template <class Rule>
 using Selector = pegtl::parse_tree::selector<
     Rule,
@@ -100,14 +101,14 @@
     pegtl::parse_tree::remove_content::on<AnyExpression, Alternative, AllOf, Bound, Call, RecordBraces,
                                           ListBrackets, ListOf, Group, RecordField>>;
 
-// ---- The message where a rule that must match does not ----
+// ---- Error messages of the rules that must match ----
 template <class>
 inline constexpr const char* kExpected = nullptr;
 template <>
-inline constexpr const char* kExpected<TextEnd> = "expected the closing \" of a text on its line";
+inline constexpr const char* kExpected<TextEnd> = "expected the closing \" of the text on the same line";
 template <>
 inline constexpr const char* kExpected<NumberEnd> =
-    "expected a number, or one with a unit: us ms s m h B KiB MiB GiB";
+    "expected the end of the number or a unit: us ms s m h B KiB MiB GiB";
 template <>
 inline constexpr const char* kExpected<AnyExpression> = "expected a value";
 template <>
@@ -117,25 +118,25 @@
 template <>
 inline constexpr const char* kExpected<CallEnd> = "expected ) after the argument";
 template <>
-inline constexpr const char* kExpected<BoundOperand> = "expected a number or text to compare with";
+inline constexpr const char* kExpected<BoundOperand> = "expected a number or text after the comparison";
 template <>
-inline constexpr const char* kExpected<Colon> = "expected : after the field's name";
+inline constexpr const char* kExpected<Colon> = "expected : after the field name";
 template <>
 inline constexpr const char* kExpected<RecordEnd> =
     "expected a field or }, with a comma or a new line between fields";
 template <>
 inline constexpr const char* kExpected<ListEnd> = "expected , or ]";
 template <>
-inline constexpr const char* kExpected<GroupEnd> = "expected )";
+inline constexpr const char* kExpected<GroupEnd> = "expected ) after the expression";
 template <>
 inline constexpr const char* kExpected<FileEnd> =
     "expected a field, with a comma or a new line between fields";
 
-// PEGTL's interface for messages: it prescribes both names.
+// The interface that PEGTL requires for custom messages. PEGTL prescribes both member names.
 struct Messages {
   template <class Rule>
   static constexpr auto message = kExpected<Rule>;  // NOLINT(readability-identifier-naming): named by PEGTL
-  // Only where must<> asks for it: elsewhere a rule may be one of several alternatives.
+  // Only must<> raises errors: elsewhere the rule may be one of several alternatives.
   template <class Rule>
   static constexpr bool raise_on_failure = false;  // NOLINT(readability-identifier-naming): named by PEGTL
 };
--- a/src/typed_config/printer.cpp
+++ b/src/typed_config/printer.cpp
@@ -13,7 +13,7 @@
 bool is_letter(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z'); }
 bool is_digit(char c) { return c >= '0' && c <= '9'; }
 
-// Whether a field's name may stand without quotes.
+// Returns whether a field name needs no quotes.
 bool is_identifier(std::string_view name) {
   if (name.empty() || is_digit(name.front())) return false;
   return std::all_of(name.begin(), name.end(),
@@ -29,7 +29,7 @@
   return out;
 }
 
-// Appends values to a text, indented by tabs.
+// Formats values as text, indented by tabs.
 class Printer {
  public:
   void print_fields(const Record& record, int depth) {
@@ -106,7 +106,7 @@
   return "";
 }
 
-const char* sign_of(Comparison comparison) {
+const char* comparison_sign(Comparison comparison) {
   switch (comparison) {
     case Comparison::less:
       return "<";
@@ -133,16 +133,22 @@
 
 }  // namespace
 
-std::string summarize(const Value& value) {
+std::string shorten(std::string text) {
   constexpr std::size_t kMaxLength = 60;
   constexpr std::string_view kEllipsis = "...";
+  if (text.size() <= kMaxLength) return text;
+  return text.replace(kMaxLength - kEllipsis.size(), std::string::npos, kEllipsis);
+}
+
+std::string quote_excerpt(std::string_view text) { return shorten(quote(text)); }
+
+std::string summarize(const Value& value) {
   if (std::holds_alternative<Record>(value.data)) return "a record";
-  if (const auto* list = std::get_if<List>(&value.data)) return "a list of " + std::to_string(list->size());
+  if (const auto* list = std::get_if<List>(&value.data))
+    return "a list of " + std::to_string(list->size()) + " elements";
   Printer printer;
   printer.print(value, 0);
-  const auto& text = printer.text();
-  if (text.size() <= kMaxLength) return text;
-  return text.substr(0, kMaxLength - kEllipsis.size()).append(kEllipsis);
+  return shorten(printer.text());
 }
 
 std::string describe(const Expression& expression) {
@@ -152,7 +158,7 @@
     case ExpressionKind::type:
       return type_name(expression.type);
     case ExpressionKind::bound:
-      return sign_of(expression.comparison) + summarize(expression.literal);
+      return comparison_sign(expression.comparison) + summarize(expression.literal);
     case ExpressionKind::call:
       return expression.name + "(" + describe(expression.parts.front()) + ")";
     case ExpressionKind::reference:
@@ -164,7 +170,7 @@
     case ExpressionKind::record:
       return "a record";
     case ExpressionKind::list:
-      return "a list of " + std::to_string(expression.parts.size());
+      return "a list of " + std::to_string(expression.parts.size()) + " elements";
     case ExpressionKind::list_of:
       return "a list of " + describe(expression.parts.front());
   }
--- a/src/typed_config/resolver.cpp
+++ b/src/typed_config/resolver.cpp
@@ -9,6 +9,7 @@
 namespace granitegap::typed_config {
 namespace {
 
+// Returns whether both have one type and are equal. False for lists.
 bool equal_scalars(const Value& a, const Value& b) {
   const bool same_type = a.data.index() == b.data.index();
   return same_type && !std::holds_alternative<List>(a.data) && summarize(a) == summarize(b);
@@ -35,7 +36,7 @@
       break;
   }
   return fail(ErrorCode::not_concrete, expression.position, path,
-              "expected a value, found " + describe(expression));
+              "expected a concrete value, found " + shorten(describe(expression)));
 }
 
 std::optional<Value> Resolver::resolve_list(const Expression& list, const std::string& path) {
@@ -50,7 +51,9 @@
   for (const auto& field : record.fields) {
     const auto here = field_path(path, field.name);
     if (field.optional) {
-      fail(ErrorCode::misplaced, field.position, here, "a ? belongs in definitions; expected a value");
+      fail(
+          ErrorCode::misplaced, field.position, here,
+          "expected a field with a value, found the optional field mark ?, which is allowed only in schemas");
       continue;
     }
     if (auto value = resolve(*field.type, here)) fields.push_back({field.name, std::move(*value)});
@@ -63,11 +66,12 @@
   const auto definition = document_.definitions.find(name);
   if (definition == document_.definitions.end())
     return fail(ErrorCode::undefined_reference, reference.position, path,
-                name + " is not defined in this file");
-  // Without this a definition that contains itself would be resolved for ever.
+                "undefined reference " + quote_excerpt(name) + "; expected a definition in this file");
+  // Without this check a definition that contains itself would recurse without end.
   auto& in_progress = definitions_in_progress_;
   if (std::find(in_progress.begin(), in_progress.end(), name) != in_progress.end())
-    return fail(ErrorCode::circular_reference, reference.position, path, name + " stands in itself");
+    return fail(ErrorCode::circular_reference, reference.position, path,
+                "definition " + quote_excerpt(name) + " contains itself; expected no cycle");
   in_progress.push_back(name);
   auto value = resolve(definition->second, path);
   in_progress.pop_back();
@@ -94,7 +98,7 @@
   if (!fields || !added_fields) {
     if (equal_scalars(target, addition)) return true;
     fail(ErrorCode::conflicting_values, addition.position, path,
-         "both " + summarize(target) + " and " + summarize(addition));
+         "conflicting values " + summarize(target) + " and " + summarize(addition) + "; expected one value");
     return false;
   }
   for (auto& [name, value] : *added_fields) {
--- a/src/typed_config/string_literal.cpp
+++ b/src/typed_config/string_literal.cpp
@@ -7,9 +7,9 @@
 namespace granitegap::typed_config {
 namespace {
 
-constexpr std::size_t kHexDigits = 4;  // of a \u escape
+constexpr std::size_t kHexDigits = 4;  // hexadecimal digits of a \u escape
 constexpr std::uint32_t kHighSurrogates = 0xd800, kLowSurrogates = 0xdc00, kAfterSurrogates = 0xe000;
-constexpr std::uint32_t kFirstSupplementary = 0x10000;  // the code points that take a surrogate pair
+constexpr std::uint32_t kFirstSupplementary = 0x10000;  // first code point that takes a surrogate pair
 
 char continuation_byte(std::uint32_t code_point, int shift) {
   return char(0x80 | (code_point >> shift & 0x3f));
@@ -48,8 +48,8 @@
   return index == std::string_view::npos ? escaped : kCharacters[index];
 }
 
-// Reads the \u escape whose u is at `at`, and moves `at` to its last digit, or to that of the low surrogate
-// that follows.
+// Parses the \u escape whose u is at `at`, together with a low surrogate that follows it. Moves `at` to the
+// last digit.
 std::optional<std::uint32_t> parse_unicode_escape(std::string_view body, std::size_t& at) {
   auto code = parse_hex(body, at + 1);
   at += kHexDigits;
--- a/src/typed_config/string_literal.h
+++ b/src/typed_config/string_literal.h
@@ -1,4 +1,4 @@
-// Quoted strings with JSON's escapes, in both directions.
+// Conversion between texts and quoted strings with JSON escapes.
 #pragma once
 #include <optional>
 #include <string>
@@ -6,11 +6,11 @@
 
 namespace granitegap::typed_config {
 
-// The text in quotes, with ", \ and control characters escaped.
+// Returns the text in quotes, with ", \ and control characters escaped.
 std::string quote(std::string_view text);
 
-// The text of a literal that the grammar has accepted, quotes included. Absent if a \u escape is one half of
-// a surrogate pair without the other.
+// Returns the text of a quoted literal that the grammar has accepted. Returns nothing if a \u escape is half
+// of a surrogate pair without the other half.
 std::optional<std::string> unquote(std::string_view literal);
 
 }  // namespace granitegap::typed_config
--- a/src/typed_config/units.cpp
+++ b/src/typed_config/units.cpp
@@ -13,12 +13,13 @@
 constexpr std::uint64_t kMebibyte = 1 << 20;
 constexpr std::uint64_t kGibibyte = 1 << 30;
 
+// A unit and its size in the smallest unit.
 struct Unit {
   std::string_view name;
   double factor;
 };
 
-// The number in `text` in the smallest unit, rounded.
+// Parses a number with one of `units`. Returns the amount in the smallest unit, rounded.
 std::optional<std::int64_t> parse_amount(std::string_view text, std::initializer_list<Unit> units) {
   const auto number_length = text.find_first_not_of("0123456789.");
   if (number_length == 0 || number_length == std::string_view::npos) return std::nullopt;
--- a/src/typed_config/units.h
+++ b/src/typed_config/units.h
@@ -8,16 +8,18 @@
 
 namespace granitegap::typed_config {
 
-// Units us, ms, s, m, h; rounded to a microsecond. Absent if `text` is not such a number or is over 1e15 us.
+// Parses a duration with the unit us, ms, s, m or h and rounds it to a microsecond. Returns nothing if `text`
+// is not a duration or exceeds 1e15 us.
 std::optional<Duration> parse_duration(std::string_view text);
 
-// Units B, KiB, MiB, GiB; rounded to a byte. Absent if `text` is not such a number or is over 1e15 bytes.
+// Parses a size with the unit B, KiB, MiB or GiB and rounds it to a byte. Returns nothing if `text` is not a
+// size or exceeds 1e15 bytes.
 std::optional<ByteSize> parse_byte_size(std::string_view text);
 
-// In the largest of s, ms and us that needs no fraction.
+// Formats the duration in the largest of s, ms and us that needs no fraction.
 std::string format_duration(Duration duration);
 
-// In the largest of MiB, KiB and B that needs no fraction.
+// Formats the size in the largest of MiB, KiB and B that needs no fraction.
 std::string format_byte_size(ByteSize size);
 
 }  // namespace granitegap::typed_config
--- a/src/typed_config/validator.cpp
+++ b/src/typed_config/validator.cpp
@@ -1,4 +1,4 @@
-// validate(): a data file against a definition of a schema.
+// Implementation of validate().
 #include <algorithm>
 #include <optional>
 #include <utility>
@@ -12,8 +12,8 @@
 namespace granitegap::typed_config {
 namespace {
 
-// Whether any of these errors, of a value at `path`, is about something below it.
-bool any_below(const Errors& errors, const std::string& path) {
+// Returns whether any error of the value at `path` is about a value nested in it.
+bool any_nested(const Errors& errors, const std::string& path) {
   return std::any_of(errors.begin(), errors.end(), [&](const auto& error) { return error.field != path; });
 }
 
@@ -22,13 +22,14 @@
 // Checks concrete values against the expressions of a schema.
 class Validator {
  public:
-  // `file`: of the data. Both must outlive the validator.
+  // `file` is the name of the data file. Both arguments must outlive the validator.
   Validator(const Document& schema, const std::string& file) : schema_(schema), file_(file) {}
 
-  // The value as the schema types it, with its defaults. Absent with at least one error added.
+  // Returns the value as the schema types it, with its defaults, or adds at least one error and returns
+  // nothing.
   std::optional<Value> check(const Value& value, const Expression& type, const std::string& path,
                              Errors& errors) const;
-  // Null if the schema has no definition of that name.
+  // Returns null if the schema has no definition of that name.
   const Expression* find_definition(const std::string& name) const;
 
  private:
@@ -46,9 +47,9 @@
                              Record& typed, Errors& errors) const;
   bool check_other_fields(const Record& record, const Expression& type, const std::string& path,
                           Record& typed, Errors& errors) const;
-  std::optional<Value> default_of(const Expression& type) const;
-  std::optional<Value> default_of_any_of(const Expression& any_of) const;
-  std::optional<Value> default_of_all_of(const Expression& all_of) const;
+  std::optional<Value> find_default(const Expression& type) const;
+  std::optional<Value> find_default_of_any_of(const Expression& any_of) const;
+  std::optional<Value> find_default_of_all_of(const Expression& all_of) const;
 
   void fail(Errors& errors, ErrorCode code, const Value& value, const std::string& path,
             std::string message) const {
@@ -114,8 +115,9 @@
       typed = std::move(*next);
       continue;
     }
-    // The expression as a whole says more than the part that failed, unless the fault lies deeper.
-    if (!any_below(part_errors, path)) return fail_mismatch(errors, value, all_of, path);
+    // The complete expression is more informative than the failed operand, unless the error is about a nested
+    // value.
+    if (!any_nested(part_errors, path)) return fail_mismatch(errors, value, all_of, path);
     append(errors, part_errors);
     return std::nullopt;
   }
@@ -124,14 +126,14 @@
 
 std::optional<Value> Validator::check_any_of(const Value& value, const Expression& any_of,
                                              const std::string& path, Errors& errors) const {
-  Errors deeper_errors;  // of the first alternative that fits at the top and fails below
+  Errors nested_errors;  // of the first alternative that matches the value itself but not a nested value
   for (const auto& part : any_of.parts) {
     Errors part_errors;
     if (auto typed = check(value, part, path, part_errors)) return typed;
-    if (deeper_errors.empty() && any_below(part_errors, path)) deeper_errors = std::move(part_errors);
+    if (nested_errors.empty() && any_nested(part_errors, path)) nested_errors = std::move(part_errors);
   }
-  if (deeper_errors.empty()) return fail_mismatch(errors, value, any_of, path);
-  append(errors, deeper_errors);
+  if (nested_errors.empty()) return fail_mismatch(errors, value, any_of, path);
+  append(errors, nested_errors);
   return std::nullopt;
 }
 
@@ -165,7 +167,8 @@
   return Value{std::move(typed), value.position};
 }
 
-// The fields that the schema names: given, or filled in with their defaults. False if any has an error.
+// Checks the fields that the schema declares and fills in the defaults of absent ones. Returns false if any
+// has an error.
 bool Validator::check_declared_fields(const Value& value, const Expression& type, const std::string& path,
                                       Record& typed, Errors& errors) const {
   bool valid = true;
@@ -173,9 +176,10 @@
     const auto here = field_path(path, field.name);
     const auto* given = value.find(field.name);
     if (!given && field.optional) continue;
-    auto result = given ? check(*given, *field.type, here, errors) : default_of(*field.type);
+    auto result = given ? check(*given, *field.type, here, errors) : find_default(*field.type);
     if (!given && !result)
-      errors.push_back({file_, value.position, here, "missing; expected " + describe(*field.type),
+      errors.push_back({file_, value.position, here,
+                        "required field is missing; expected " + describe(*field.type),
                         ErrorCode::missing_field, ""});
     if (result)
       typed.push_back({field.name, std::move(*result)});
@@ -185,7 +189,8 @@
   return valid;
 }
 
-// The fields that the schema does not name: kept in an open record, errors in a closed one.
+// Handles fields that the schema does not declare: an open record keeps them, in a closed one they are
+// errors.
 bool Validator::check_other_fields(const Record& record, const Expression& type, const std::string& path,
                                    Record& typed, Errors& errors) const {
   bool valid = true;
@@ -206,18 +211,18 @@
   return valid;
 }
 
-std::optional<Value> Validator::default_of(const Expression& type) const {
+std::optional<Value> Validator::find_default(const Expression& type) const {
   Errors ignored;
   switch (type.kind) {
     case ExpressionKind::literal:
       return Value{type.literal.data, {}};
     case ExpressionKind::any_of:
-      return default_of_any_of(type);
+      return find_default_of_any_of(type);
     case ExpressionKind::all_of:
-      return default_of_all_of(type);
+      return find_default_of_all_of(type);
     case ExpressionKind::reference: {
       const auto* definition = find_definition(type.name);
-      return definition ? default_of(*definition) : std::nullopt;
+      return definition ? find_default(*definition) : std::nullopt;
     }
     case ExpressionKind::record:
       return check(Value{Record{}, {}}, type, "", ignored);
@@ -230,11 +235,12 @@
   }
 }
 
-// Typed as the other alternatives are, so that a default written as a text comes out as a duration.
-std::optional<Value> Validator::default_of_any_of(const Expression& any_of) const {
+// Returns the default, converted by the other alternatives, so that a default written as a text becomes a
+// duration.
+std::optional<Value> Validator::find_default_of_any_of(const Expression& any_of) const {
   if (!any_of.preferred) return std::nullopt;
   const auto preferred_index = any_of.preferred - 1;
-  auto value = default_of(any_of.parts[preferred_index]);
+  auto value = find_default(any_of.parts[preferred_index]);
   if (!value) return std::nullopt;
   Errors ignored;
   for (std::size_t i = 0; i < any_of.parts.size(); ++i) {
@@ -244,18 +250,18 @@
   return value;
 }
 
-std::optional<Value> Validator::default_of_all_of(const Expression& all_of) const {
+std::optional<Value> Validator::find_default_of_all_of(const Expression& all_of) const {
   Errors ignored;
   for (const auto& part : all_of.parts)
-    if (const auto value = default_of(part)) return check(*value, all_of, "", ignored);
+    if (const auto value = find_default(part)) return check(*value, all_of, "", ignored);
   return std::nullopt;
 }
 
-// A field that could not be read is not missing as well.
-void drop_missing_where_unreadable(Errors& errors, const Errors& unreadable) {
+// Removes errors about missing fields that are present but could not be resolved.
+void drop_missing_where_unresolved(Errors& errors, const Errors& unresolved) {
   std::erase_if(errors, [&](const Error& error) {
     return error.code == ErrorCode::missing_field &&
-           std::any_of(unreadable.begin(), unreadable.end(),
+           std::any_of(unresolved.begin(), unresolved.end(),
                        [&](const Error& other) { return other.field.starts_with(error.field); });
   });
 }
@@ -272,16 +278,20 @@
                                      std::string_view definition) {
   Errors errors;
   const auto concrete = Resolver(data, errors).resolve(data.root, "");
-  const auto unreadable = errors;
+  const auto unresolved = errors;
   const std::string name(definition);
   const Validator validator(schema, data.file);
   const auto* type = validator.find_definition(name);
   if (!type)
-    errors.push_back(
-        {schema.file, {}, "", "no " + name + " in the schema", ErrorCode::undefined_reference, ""});
+    errors.push_back({schema.file,
+                      {},
+                      "",
+                      "expected a definition " + name + " in the schema, found none",
+                      ErrorCode::undefined_reference,
+                      ""});
   std::optional<Value> typed;
   if (concrete && type) typed = validator.check(*concrete, *type, "", errors);
-  drop_missing_where_unreadable(errors, unreadable);
+  drop_missing_where_unresolved(errors, unresolved);
   if (errors.empty() && typed) return std::move(*typed);
   sort_by_position(errors);
   return errors;
