--- a/deploy/operator.cue
+++ b/deploy/operator.cue
@@ -1,6 +1,6 @@
-// An example of an operator's own file: route profiles take elevations and place names from two services below.
-// Hold it against the schema with `granitegap check deploy/operator.cue`; serve with it by
-// `granitegap serve --operator deploy/operator.cue`. The platform's `run` line does not name it.
+// Example of an operator file: route profiles fetch elevations and place names from two dependencies.
+// `granitegap check deploy/operator.cue` checks it against the schema; `granitegap serve --operator deploy/operator.cue`
+// serves with it. The platform's `run` line does not use it.
 
 version: 1
 
@@ -17,7 +17,7 @@
 	#Below & {
 		name: "names.example.org"
 		endpoints: ["127.0.0.1:9003"]
-		hedge_after: 0 // one endpoint: a second try would meet the same
+		hedge_after: 0 // only one endpoint: a hedged request would go to the same one
 	},
 ]
 
--- a/deploy/operator.schema.cue
+++ b/deploy/operator.schema.cue
@@ -1,49 +1,55 @@
-// What an operator's file may declare, in its own form; docs/operators-file.md explains it. Built into the
-// program: `granitegap check FILE` holds a file against it.
+// Schema of operator files, in the language of the files; docs/operators-file.md describes it. It is built into the
+// program: `granitegap check FILE` checks a file against it.
 
+// A dependency: its endpoints and the limits of calls to it.
 #Dependency: {
-	// What stands in Host. Nothing is looked up.
+	// The host name sent in the Host header. It is not resolved.
 	name: strings.MinRunes(1) & strings.MaxRunes(253)
 	// Numeric addresses with ports: "127.0.0.1:9001", "[::1]:9001".
 	endpoints: list.MinItems(1) & list.MaxItems(64) & [...string]
 
-	// A try may take timeout_factor times the 99th centile of recent answers, between these two, and never more
-	// than the time left.
+	// The time-out of an attempt is timeout_factor times the 99th percentile of recent response times, at least
+	// timeout_least and at most timeout_most, and never more than the remaining time of the call.
 	timeout_least:  duration & >=1ms & <=60s | *10ms
 	timeout_most:   duration & >=1ms & <=60s | *1s
 	timeout_factor: >=1 & <=20 | *3
 
-	// Tries of one call, and what pays for those beyond the first: a share of recent successes.
+	// Maximum number of attempts of one call. Attempts beyond the first, hedged requests included, use a retry
+	// budget: each success adds retry_share, up to retry_burst. The backoff bound doubles from retry_pause up to
+	// retry_pause_most.
 	most_tries:       int & >=1 & <=4 | *3
 	retry_share:      >=0 & <=1 | *0.1
 	retry_burst:      >=0 & <=1000 | *10
 	retry_pause:      duration & >=1ms & <=10s | *10ms
 	retry_pause_most: duration & >=1ms & <=60s | *250ms
-	// The quantile of recent answers after which a second try starts; 0: never.
+	// The quantile of recent response times after which a hedged request is sent; 0: never.
 	hedge_after: >=0 & <1 | *0.95
 
-	// Bounds of the concurrency limit, and of the calls that wait for it.
+	// Minimum and maximum of the concurrency limit; most_waiting (below) is the maximum number of calls that wait for it.
 	least_open:   int & >=1 & <=1024 | *2
 	most_open:    int & >=1 & <=1024 | *64
-	// Calls open at once of the whole fleet together, shared evenly over the members that are there (membership has
-	// to be declared); 0: no such bound.
+	// Maximum number of concurrent attempts of the complete fleet, divided evenly among its current members. Requires
+	// the section membership. 0: no limit.
 	fleet_open: int & >=0 & <=1000000 | *0
-	// One member of the fleet asks for a path and tells the others, for parts that may be kept (fresh_for; membership
-	// has to be declared).
+	// Whether one member of the fleet requests a path and shares the response with the others, for parts that may be
+	// cached (fresh_for). Requires the section membership.
 	fleet_fill: bool | *false
 	most_waiting: int & >=0 & <=4096 | *128
 
-	// Endpoints that fail in a row are out for a while, longer each time; this share of them at most.
+	// Outlier ejection: an endpoint with consecutive failures is ejected for eject_for, longer with each ejection in a
+	// row, up to eject_most. At most the share most_ejected of the endpoints is ejected. After its ejection an
+	// endpoint regains its full load within slow_start.
 	most_ejected: >=0 & <=1 | *0.5
 	eject_for:    duration & >=10ms & <=60s | *500ms
 	eject_most:   duration & >=10ms & <=600s | *30s
 	slow_start:   duration & >=0ms & <=60s | *2s
 
-	// While all of it is out: the pause between probes, growing.
+	// While the dependency is unavailable: first and longest interval between its health checks.
 	probe_every: duration & >=10ms & <=60s | *100ms
 	probe_most:  duration & >=10ms & <=60s | *1s
 
-	// Bounds of an answer, of silence within it, and of the connections kept.
+	// Maximum size of a response and of its header, maximum time without data during a response, and maximum idle time
+	// and number of idle connections.
 	most_answer: size & >=1B & <=128KiB | *64KiB
 	most_header: size & >=256B & <=64KiB | *8KiB
 	quiet_most:  duration & >=1ms & <=60s | *1s
@@ -51,118 +57,127 @@
 	most_idle:   int & >=0 & <=256 | *16
 }
 
+// One part of a gather: a response that is fetched from a dependency.
 #Part: {
 	name: strings.MinRunes(1) & strings.MaxRunes(64)
-	// The name of a dependency above.
+	// The name of a declared dependency.
 	from: strings.MinRunes(1)
-	// May hold {obj}, {body}, {class} and, with needs, {needed}.
+	// May contain the placeholders {obj}, {body}, {class} and, if the part has needs, {needed}.
 	path: strings.MinRunes(1) & strings.MaxRunes(1024)
-	// A request whose required part can't be had is failed before it takes core time.
+	// A request whose required part is not available fails before it uses core time.
 	required: bool | *false
-	// The name of an earlier part of the same gather.
+	// The name of an earlier part of the same gather, whose response is inserted for {needed}.
 	needs?: strings.MinRunes(1)
-	// Of the gather's budget; 0ms: all of it.
+	// Maximum time for this part within the budget of the gather; 0ms: the complete budget.
 	within: duration & >=0ms & <=60s | *0ms
-	// Ages up to which a kept answer is as good as new, and better than none.
+	// Maximum age up to which a cached response counts as fresh, and up to which it is used, marked stale, if no fresh
+	// response is available.
 	fresh_for: duration & >=0ms & <=24h | *0ms
 	stale_for: duration & >=0ms & <=168h | *0ms
+	// The text that is used if no response is available.
 	default?:  strings.MaxRunes(65536)
 }
 
+// The parts that requests of one class fetch.
 #Gather: {
-	// A class of the platform's settings.
+	// The name of a class in the platform's settings.
 	class:  strings.MinRunes(1)
+	// Maximum time for all parts together.
 	budget: duration & >=1ms & <=60s | *400ms
 	parts:  list.MinItems(1) & list.MaxItems(32) & [...#Part]
 }
 
+// A secondary network path to this process.
 #Path: {
 	bind:       strings.MinRunes(1)
 	advertise?: strings.MinRunes(1)
 }
 
-// Who else of the fleet is there: docs/membership-operators.md.
+// Membership of the fleet; docs/membership-operators.md describes it.
 #Membership: {
-	// Only members of one cluster hear each other.
+	// Members accept messages only from members of the same cluster.
 	cluster: strings.MinRunes(1) & strings.MaxRunes(64)
-	// The UDP address to listen on, and the one that others are told, where that differs.
+	// The UDP address to listen on, and the address advertised to other members if it differs.
 	bind:       strings.MinRunes(1)
 	advertise?: strings.MinRunes(1)
-	// Another way to reach this process, as over other cables or by IPv6: asked by where the first one is late.
+	// A secondary path to this process, such as another network or IPv6. Members probe it if the primary path is late.
 	second?: #Path
-	// Members to begin with: numeric addresses, nothing is looked up. Its own may be among them.
+	// Members that are contacted first: numeric addresses, which are not resolved. May include the own address.
 	seeds: list.MaxItems(64) & [...string]
-	// Machines that fail together share a zone.
+	// Machines that are likely to fail together have the same zone.
 	zone: strings.MaxRunes(32) | *""
 
-	// One probe of the round each; most other times are multiples of it.
+	// Interval between probes. Most other times are multiples of it.
 	period: duration & >=20ms & <=60s | *500ms
-	// A probe counts as late no sooner than this, however quick its peer has been.
+	// Minimum time after which a probe counts as late, regardless of earlier response times.
 	late_least: duration & >=1ms & <=10s | *20ms
-	// Members asked to probe for one that did not answer.
+	// Number of members that are requested to probe a member that did not answer (indirect pings).
 	indirect: int & >=1 & <=10 | *3
-	// Least time from suspect to dead: so many periods times the decimal logarithm of the fleet's size. And how
-	// many times that while nobody confirms, and how many confirmations bring it down.
+	// Minimum suspicion time-out, in periods times the decimal logarithm of the fleet size; the factor by which it is
+	// longer while no other member confirms the suspicion; and the number of confirmations that reduce it to the minimum.
 	suspicion:      >=1 & <=20 | *2
 	suspicion_most: >=1 & <=20 | *5
 	confirmations:  int & >=1 & <=5 | *3
-	// How often an update is sent on: so many times the decimal logarithm of the fleet's size.
+	// Number of times that an update is sent, as a multiple of the decimal logarithm of the fleet size.
 	spread: int & >=1 & <=10 | *4
-	// This part of the fleet silent at once makes the view uncertain: nobody is removed.
+	// If this fraction of the fleet is silent at the same time, the view is uncertain and no member is removed.
 	mass_share: >=0.05 & <=1 | *0.3
-	// How long a majority must hold a member dead until the fleet counts as smaller; until it is forgotten; and
-	// how late a datagram may come and still be believed, half of that at the most.
+	// How long a majority must consider a member dead before the quorum shrinks (shrink_after) and before its tombstone
+	// expires (forget_after); and the maximum age of an accepted datagram (believe_for), at most half of forget_after.
 	shrink_after: duration & >=1s & <=24h | *30s
 	forget_after: duration & >=2s & <=168h | *2m
 	believe_for:  duration & >=1s & <=1h | *20s
-	// The fleet's least size, where it is known: a part that starts alone then sees no majority. 0: not known.
+	// Minimum size of the fleet: with it, a part of the fleet that starts alone does not have a majority. 0: unknown.
 	expected:     int & >=0 & <=100000 | *0
 	members_most: int & >=2 & <=100000 | *10000
 }
 
-// How a process comes back after a restart: docs/recovery-operators.md.
+// Recovery after a restart; docs/recovery-operators.md describes it.
 #Recovery: {
-	// What an earlier life ran is not known. wait_out: keyed requests are refused, with the time when to come again,
-	// until each window in which it may have run one is over. go_on: they run at once, and one may run twice.
+	// After a restart it is unknown which requests the previous incarnation ran. wait_out: requests with idempotency keys
+	// are rejected, with the time for a retry, until all windows in which it may have run them are over. go_on: they run
+	// immediately, and a request may run twice.
 	after_lost_memory: "go_on" | *"wait_out"
-	// A directory of this process alone, for what one life leaves to the next: it shortens the wait after an orderly
-	// end on the same boot. While it can't be used keyed requests are refused.
+	// A directory used only by this process, for state that outlives a process. It shortens the quarantine after a clean
+	// shutdown within the same boot of the machine. While it cannot be used, requests with idempotency keys are rejected.
 	folder?: strings.MinRunes(1) & strings.MaxRunes(1024)
-	// How often what was learned is written there.
+	// Interval between snapshots of the warm state in that directory.
 	snapshot_every: duration & >=100ms & <=1h | *5s
-	// A Unix clock that was set back lengthens the wait by as much; past this the earlier one is taken for wrong.
+	// A Unix clock that was set back prolongs the quarantine by the same amount. If it was set back by more than this, the
+	// earlier time is considered wrong.
 	clock_back_most: duration & >=0s & <=168h | *1h
-	// Whether the way to full service is guided: what is offered grows with proven work, from `first` on and by
-	// `growth` a step at the most, and until then nobody is taken who would wait longer for a core than `wait_bound`
-	// times the target of its class.
+	// Whether the ramp to full service is guided: the advertised share starts at `first`, grows with runs
+	// that met their objective and is at most `growth` times the share that they verified. During the ramp, requests that
+	// would wait longer for a core than `wait_bound` times the latency objective of their class are not admitted.
 	guided:     bool | *true
 	first:      >=0.01 & <=1 | *0.1
 	growth:     >=1.1 & <=4 | *1.5
 	wait_bound: >=0.1 & <=20 | *1
-	// How long nobody must have been turned away for load before the bound on waits is lifted.
+	// Time without rejections for load after which waits are no longer bounded.
 	calm_for: duration & >=100ms & <=1h | *3s
-	// How long others are asked for what they know, at the most.
+	// Maximum duration of the state transfer from other members.
 	learn_most: duration & >=0s & <=30s | *800ms
-	// A process that stood still for longer (SIGSTOP, a sleeping machine) takes what it remembers for old, and asks
-	// again.
+	// A process that was stopped for longer (SIGSTOP, a sleeping machine) considers its warm state outdated and requests
+	// it again.
 	pause_most: duration & >=500ms & <=1h | *5s
-	// TCP, on the address of membership.bind: where this process tells others what it has learned. 0: any that is
-	// free, which membership tells them.
+	// TCP port on the address of membership.bind where other members request the warm state of this process. 0: any free
+	// port, which membership advertises.
 	donate_port: int & >=0 & <=65535 | *0
 }
 
+// The complete file.
 #Operator: {
 	version: 1
 	dependencies: list.MaxItems(64) & [...#Dependency]
 	gathers:      list.MaxItems(64) & [...#Gather]
-	// Of kept answers.
+	// Maximum size of the cached responses.
 	cache: size & >=0B & <=1GiB | *4MiB
-	// How long a call that failed is not tried again for the same path.
+	// Time after a failed call during which the same path is not requested again.
 	remember_failures: duration & >=0ms & <=60s | *200ms
-	// Descriptors for calls, idle connections included; they come off the platform's limit.
+	// Descriptors for calls, idle connections included. They are subtracted from the platform's limit.
 	connections: int & >=1 & <=4096 | *128
-	// TCP, on the address of membership.bind: where others ask for what this process fills. 0: any that is free, which
-	// membership tells them. Opened only where a dependency has fleet_fill.
+	// TCP port on the address of membership.bind where other members request cache fills. 0: any free port, which
+	// membership advertises. Opened only if a dependency has fleet_fill.
 	fill_port: int & >=0 & <=65535 | *0
 	membership?: #Membership
 	recovery?:   #Recovery
--- a/src/operators/operator_config.h
+++ b/src/operators/operator_config.h
@@ -34,10 +34,10 @@
     std::string directory;      // holds the snapshots and the shutdown record; empty: nothing is stored
     Duration max_clock_back{};  // largest setback of the Unix clock that prolongs the quarantine
     Duration snapshot_every{};  // interval between snapshots
-    bool guided = true;         // whether the accepted load grows with the work that met its objective
-    double first = 0.1;         // first accepted share of the full load
-    double growth = 1.5;        // largest factor between two steps
-    double wait_bound = 1;      // largest accepted wait for a core, as a multiple of the class's delay target
+    bool guided = true;         // whether the advertised share grows with runs that met their objective
+    double first = 0.1;         // share advertised before any run has ended
+    double growth = 1.5;        // the advertised share is at most this times the verified share
+    double wait_bound = 1;      // longest expected wait for a core, in latency objectives of the class
     Duration max_learn{};       // longest state transfer
     std::uint16_t state_transfer_port = 0;  // TCP; 0: any free port
     Duration max_pause{};                   // a longer pause of the process begins another recovery
