--- a/src/deps/scatter_gather_fleet.cpp
+++ b/src/deps/scatter_gather_fleet.cpp
@@ -188,7 +188,7 @@
                                         std::max(now - entry.stored_at, Duration{})};
     const bool is_useful = response.age < loaded_->max_useful_age(entry.dependency);
     if (!warm_state::is_within_limits(response) || !is_useful) continue;
-    bytes += warm_state::size_of(response);
+    bytes += warm_state::size_in_bytes(response);
     if (bytes > warm_state::kMaxCachedResponseBytes ||
         state.cached_responses.size() >= warm_state::kMaxCachedResponses)
       break;
