--- a/src/snapshot/clock_stamp.cpp
+++ b/src/snapshot/clock_stamp.cpp
@@ -10,7 +10,7 @@
 
 constexpr char kBootIdFile[] = "/proc/sys/kernel/random/boot_id";
 
-// Microseconds by a system clock; absent where it can't be read.
+// Returns a system clock's time in microseconds, or nullopt if it can't be read.
 std::optional<std::int64_t> read_clock_us(clockid_t clock) {
   timespec time{};
   if (::clock_gettime(clock, &time) != 0) return std::nullopt;
@@ -43,7 +43,7 @@
   return Duration(now.unix_us - then.unix_us);
 }
 
-Duration clock_behind(const ClockStamp& then, const ClockStamp& now) {
+Duration unix_clock_setback(const ClockStamp& then, const ClockStamp& now) {
   const auto elapsed = same_boot(then, now) ? now.since_boot - then.since_boot : Duration{};
   return std::max(Duration(then.unix_us + elapsed.count() - now.unix_us), Duration{});
 }
--- a/src/snapshot/persistence_actor.cpp
+++ b/src/snapshot/persistence_actor.cpp
@@ -15,7 +15,7 @@
 using namespace std::chrono_literals;
 
 constexpr auto kLockRetryInterval = 200ms;
-constexpr auto kSlowDiskThreshold = 1s;  // an operation that takes longer is logged
+constexpr auto kSlowDiskThreshold = 1s;  // a longer disk operation is logged
 
 std::int64_t to_ms(Duration duration) { return duration.count() / 1000; }
 
@@ -44,8 +44,8 @@
   loaded.shutdown_record = read_shutdown_record(directory_);
   loaded.newest = read_newest_snapshot(directory_);
   loaded.loaded_at = read_clock_stamp();
-  // The record is removed even if it is damaged: it must be gone before any request runs of which it does not
-  // know.
+  // The record is removed even if it is damaged. It must not exist any more when a request runs, because it
+  // does not cover requests that run after it was written.
   const auto* record = std::get_if<std::optional<ShutdownRecord>>(&loaded.shutdown_record);
   const bool no_file = record && !*record;
   if (!no_file) loaded.error = remove_shutdown_record(directory_);
@@ -59,12 +59,14 @@
 // ---- On the io thread ----
 
 template <class Task>
-auto PersistenceActor::run_on_disk_thread(Task task, const char* delayed)
+auto PersistenceActor::run_on_disk_thread(Task task, const char* consequence)
     -> asio::awaitable<decltype(task())> {
   slow_disk_timer_.expires_after(kSlowDiskThreshold);
-  slow_disk_timer_.async_wait([this, delayed](const boost::system::error_code& error) {
+  slow_disk_timer_.async_wait([this, consequence](const boost::system::error_code& error) {
     if (error) return;
-    log_.line("recovery: " + directory_.string() + " is slow to respond: " + delayed,
+    const auto threshold_ms = std::chrono::milliseconds(kSlowDiskThreshold).count();
+    log_.line("recovery: state directory " + directory_.string() + " did not respond within " +
+                  std::to_string(threshold_ms) + " ms: " + consequence,
               {{"event", "recovery_disk_slow"}});
   });
   ++pending_disk_tasks_;
@@ -94,7 +96,7 @@
   while (!directory_locked_ && !shutting_down_) {
     const auto task = [this] { return lock_and_load(); };
     auto loaded = co_await run_on_disk_thread(
-        task, "requests with an idempotency key are rejected until it does, reads are served");
+        task, "requests with an idempotency key are rejected until it does; reads are served");
     handle_load(std::move(loaded));
     if (directory_locked_) break;
     co_await wait(kLockRetryInterval);
@@ -105,11 +107,12 @@
   while (!shutting_down_) {
     co_await wait(snapshot_interval_);
     if (shutting_down_) co_return;
-    // The stamp is of the time of collection: stamped after a hanging disk, the ages would be too low.
+    // The stamp is read when the state is collected. Read on the disk thread, after a disk that hangs, it
+    // would be too late, and the ages computed from it too low.
     const auto snapshot =
         std::make_shared<const Snapshot>(Snapshot{read_clock_stamp(), callbacks_.collect_warm_state()});
     const auto task = [this, snapshot] { return write(*snapshot); };
-    const auto error = co_await run_on_disk_thread(task, "no snapshot is written meanwhile");
+    const auto error = co_await run_on_disk_thread(task, "no snapshot is written until it does");
     handle_write(error);
   }
 }
@@ -121,15 +124,16 @@
   auto snapshot = select_snapshot(std::move(loaded.newest));
   if (snapshot)
     previous.clock_setback =
-        std::max(previous.clock_setback, clock_behind(snapshot->taken_at, loaded.loaded_at));
+        std::max(previous.clock_setback, unix_clock_setback(snapshot->taken_at, loaded.loaded_at));
   callbacks_.previous_incarnation_found(previous);
   if (snapshot) handle_snapshot(*std::move(snapshot), loaded.loaded_at);
 }
 
 void PersistenceActor::handle_unusable_directory(const StorageError& error) {
   if (!std::exchange(unusable_logged_, true))
-    log_.line("recovery: requests with an idempotency key are rejected until " + directory_.string() +
-                  " can be used: " + error.message(),
+    log_.line("recovery: state directory " + directory_.string() + " is unusable: " + error.message() +
+                  "; rejecting requests with an idempotency key and retrying every " +
+                  std::to_string(std::chrono::milliseconds(kLockRetryInterval).count()) + " ms",
               {{"event", "recovery_folder"}, {"why", error.message()}});
   recovery::PreviousIncarnation previous;
   previous.shutdown_record_remains = true;
@@ -137,15 +141,15 @@
 }
 
 recovery::PreviousIncarnation PersistenceActor::evaluate_shutdown_record(const LoadResult& loaded) {
-  const std::string what = "shutdown record";
+  const std::string file_kind = "shutdown record";
   if (const auto* error = std::get_if<StorageError>(&loaded.shutdown_record)) {
-    log_rejected(what, error->message());
+    log_rejected(file_kind, error->message());
     return {};
   }
   const auto& record = std::get<std::optional<ShutdownRecord>>(loaded.shutdown_record);
   if (!record) return {};
   if (record->name != name_) {
-    log_rejected(what, "written by " + record->name);
+    log_rejected(file_kind, written_by_other_process(record->name));
     return {};
   }
   const auto previous = previous_incarnation(*record, loaded.loaded_at);
@@ -158,11 +162,11 @@
 }
 
 std::optional<Snapshot> PersistenceActor::select_snapshot(NewestSnapshot newest) {
-  const std::string what = "snapshot";
+  const std::string file_kind = "snapshot";
   for (const auto& error : newest.errors)
-    log_rejected(what, error.path.filename().string() + ": " + error.message());
+    log_rejected(file_kind, error.path.filename().string() + ": " + error.message());
   if (newest.snapshot && newest.snapshot->state.process_name != name_) {
-    log_rejected(what, "written by " + newest.snapshot->state.process_name);
+    log_rejected(file_kind, written_by_other_process(newest.snapshot->state.process_name));
     return std::nullopt;
   }
   return std::move(newest.snapshot);
@@ -182,7 +186,8 @@
     return;
   }
   if (std::exchange(write_failure_logged_, true)) return;
-  log_.line("recovery: the snapshot could not be written: " + error->message(),
+  log_.line("recovery: could not write a snapshot to " + directory_.string() + ": " + error->message() +
+                "; retrying every " + std::to_string(to_ms(snapshot_interval_)) + " ms",
             {{"event", "recovery_snapshot_unwritten"}, {"why", error->message()}});
 }
 
@@ -195,7 +200,9 @@
   }
   ++pending_disk_tasks_;
   asio::post(disk_thread_, [this, snapshot = Snapshot{read_clock_stamp(), callbacks_.collect_warm_state()}] {
-    (void)write(snapshot);  // without it the next start is only colder; the record below counts
+    // An error is ignored: without this snapshot the next process only starts with older warm state or none.
+    // The shutdown record shortens its restart quarantine.
+    (void)write(snapshot);
     const auto error = write_shutdown_record(directory_, {name_, read_clock_stamp()});
     --pending_disk_tasks_;
     asio::post(executor_, [this, error] { handle_last_write(error); });
@@ -205,12 +212,18 @@
 void PersistenceActor::handle_last_write(const std::optional<StorageError>& error) {
   last_write_done_ = true;
   if (!error) return;
-  log_.line("recovery: the shutdown record could not be written: " + error->message(),
+  log_.line("recovery: could not write the shutdown record to " + directory_.string() + ": " +
+                error->message() + "; the next process can't shorten its restart quarantine",
             {{"event", "recovery_end_unwritten"}, {"why", error->message()}});
 }
 
-void PersistenceActor::log_rejected(const std::string& what, const std::string& why) {
-  log_.line("recovery: " + what + " rejected: " + why, {{"event", "recovery_unbelieved"}, {"why", why}});
+std::string PersistenceActor::written_by_other_process(const std::string& name) const {
+  return "written by process " + name + ", this process is " + name_;
+}
+
+void PersistenceActor::log_rejected(const std::string& file_kind, const std::string& why) {
+  log_.line("recovery: " + file_kind + " rejected: " + why + "; ignoring it",
+            {{"event", "recovery_unbelieved"}, {"why", why}});
 }
 
 }  // namespace granitegap::snapshot
--- a/src/snapshot/persistence_actor.h
+++ b/src/snapshot/persistence_actor.h
@@ -1,10 +1,11 @@
-// The actor that persists what the next process of this server needs: it locks the storage directory at the
-// start, reads the previous process's shutdown record and snapshot, writes a snapshot at an interval, and
-// last of all writes the shutdown record.
+// The actor that persists warm state and the shutdown record for the next process with this name. At start it
+// locks the state directory and reads the shutdown record and the snapshot of the previous process. It then
+// writes a snapshot at an interval. The shutdown record is its last write.
 //
-// Threads: all member functions and callbacks run on the io thread of `executor`; disk work runs on one
+// Threads: all member functions and callbacks run on the io thread of `executor`; disk operations run on one
 // thread that the actor owns. Serving never waits for the disk: a disk that hangs delays only the next write.
-// Errors are logged, each kind once until it is over; none is thrown.
+// Until the directory has been loaded, requests with an idempotency key are rejected and all others are
+// served. Errors are logged and not thrown; a failure that persists is logged once.
 #pragma once
 #include <atomic>
 #include <boost/asio/awaitable.hpp>
@@ -25,34 +26,35 @@
 class PersistenceActor {
  public:
   struct Callbacks {
-    // What the previous process left; called again whenever that changes.
+    // Reports what the directory shows about the previous process. Called after each attempt to load it.
     std::function<void(const recovery::PreviousIncarnation&)> previous_incarnation_found;
-    // The newest snapshot, faded by its age; called at most once, and only if there is one.
+    // Passes on the newest snapshot's state, decayed by its age. Called at most once, and only if one is
+    // valid.
     std::function<void(warm_state::WarmState)> warm_state_loaded;
-    // The state to be written now.
+    // Returns the current state, to be written as a snapshot.
     std::function<warm_state::WarmState()> collect_warm_state;
   };
 
-  // `name`: of this server; files of another name are ignored. `log` must outlive the actor.
+  // `name` is this server's; files written under another name are ignored. `log` must outlive the actor.
   PersistenceActor(const boost::asio::any_io_executor& executor, std::filesystem::path directory,
                    std::string name, Duration snapshot_interval, Callbacks callbacks, Logger& log);
-  // Waits for the disk thread: don't destroy it while disk_busy().
+  // Joins the disk thread, so it blocks if the actor is destroyed while disk_busy().
   ~PersistenceActor();
   PersistenceActor(const PersistenceActor&) = delete;
   PersistenceActor& operator=(const PersistenceActor&) = delete;
 
-  // Retries until the directory is locked, then writes snapshots until shut_down().
+  // Retries until the directory is locked and loaded, then writes snapshots until shut_down().
   boost::asio::awaitable<void> run();
-  // Starts the last writes: a snapshot and the shutdown record, if this process holds the directory. To be
-  // called when no request is in flight any more; later calls do nothing.
+  // Starts the last writes, a snapshot and the shutdown record, if this process holds the directory lock.
+  // Must be called only when no request is in flight any more. Repeated calls have no effect.
   void shut_down();
-  // Whether shut_down() was called and its writes are over.
+  // Whether shut_down() was called and its writes have ended.
   [[nodiscard]] bool finished() const { return shutting_down_ && last_write_done_; }
   // Whether a disk operation is in progress.
   [[nodiscard]] bool disk_busy() const { return pending_disk_tasks_ > 0; }
 
  private:
-  // What was in the directory when it was locked, or why it can't be used.
+  // The contents of the directory when it was locked, or the error that makes it unusable.
   struct LoadResult {
     std::optional<StorageError> error;
     StorageResult<std::optional<ShutdownRecord>> shutdown_record = std::nullopt;
@@ -60,13 +62,14 @@
     ClockStamp loaded_at;
   };
 
-  // On the disk thread.
+  // These run on the disk thread.
   LoadResult lock_and_load();
   std::optional<StorageError> write(const Snapshot& snapshot);
 
-  // Runs `task` on the disk thread; logs what is `delayed` if it takes long.
+  // Runs `task` on the disk thread. If it takes longer than a threshold, logs `consequence`: what the process
+  // does or does not do meanwhile.
   template <class Task>
-  auto run_on_disk_thread(Task task, const char* delayed) -> boost::asio::awaitable<decltype(task())>;
+  auto run_on_disk_thread(Task task, const char* consequence) -> boost::asio::awaitable<decltype(task())>;
   boost::asio::awaitable<void> load_until_locked();
   boost::asio::awaitable<void> write_snapshots();
   boost::asio::awaitable<void> wait(Duration duration);
@@ -78,7 +81,8 @@
   void handle_snapshot(Snapshot snapshot, const ClockStamp& now);
   void handle_write(const std::optional<StorageError>& error);
   void handle_last_write(const std::optional<StorageError>& error);
-  void log_rejected(const std::string& what, const std::string& why);
+  [[nodiscard]] std::string written_by_other_process(const std::string& name) const;
+  void log_rejected(const std::string& file_kind, const std::string& why);
 
   boost::asio::any_io_executor executor_;
   std::filesystem::path directory_;
@@ -95,7 +99,8 @@
   bool write_failure_logged_ = false;
   bool shutting_down_ = false;
   bool last_write_done_ = false;
-  boost::asio::thread_pool disk_thread_{1};  // last, so that it is joined before what it uses is destroyed
+  // Last, so that it is joined before the members that its tasks use are destroyed.
+  boost::asio::thread_pool disk_thread_{1};
 };
 
 }  // namespace granitegap::snapshot
--- a/src/snapshot/shutdown_record.cpp
+++ b/src/snapshot/shutdown_record.cpp
@@ -16,22 +16,22 @@
 constexpr char kFileName[] = "ended";
 constexpr std::size_t kMaxFileBytes = 512, kMaxTextBytes = 200;
 
-// A text is its length as a 64-bit integer, then its bytes.
+// Appends a string as its length, a 64-bit integer, followed by its bytes.
 void append_text(std::string& bytes, const std::string& text) {
   const auto bounded = text.substr(0, kMaxTextBytes);
   append_uint64(bytes, bounded.size());
   bytes += bounded;
 }
 
-// Reads the body from front to back. After the first field that does not fit, every read gives an empty value
-// and complete() is false.
+// Reads the fields of the body in order. After a field that is truncated or too long, every read returns an
+// empty value and complete() is false.
 class BodyReader {
  public:
   explicit BodyReader(std::string_view bytes) : bytes_(bytes) {}
 
   std::uint64_t read_uint64() {
-    if (!good_ || bytes_.size() - offset_ < kUint64Bytes) {
-      good_ = false;
+    if (!valid_ || bytes_.size() - offset_ < kUint64Bytes) {
+      valid_ = false;
       return 0;
     }
     const auto value = uint64_at(bytes_, offset_);
@@ -41,8 +41,8 @@
 
   std::string read_text() {
     const auto size = read_uint64();
-    if (!good_ || size > kMaxTextBytes || bytes_.size() - offset_ < size) {
-      good_ = false;
+    if (!valid_ || size > kMaxTextBytes || bytes_.size() - offset_ < size) {
+      valid_ = false;
       return {};
     }
     const auto text = bytes_.substr(offset_, size);
@@ -50,13 +50,13 @@
     return std::string(text);
   }
 
-  // Every field was there, and nothing is left.
-  bool complete() const { return good_ && offset_ == bytes_.size(); }
+  // Whether every field was valid and no bytes remain.
+  bool complete() const { return valid_ && offset_ == bytes_.size(); }
 
  private:
   std::string_view bytes_;
   std::size_t offset_ = 0;
-  bool good_ = true;
+  bool valid_ = true;
 };
 
 }  // namespace
@@ -87,7 +87,7 @@
   recovery::PreviousIncarnation previous;
   if (same_boot(record.shutdown_at, now))
     previous.clean_shutdown_age = now.since_boot - record.shutdown_at.since_boot;
-  previous.clock_setback = clock_behind(record.shutdown_at, now);
+  previous.clock_setback = unix_clock_setback(record.shutdown_at, now);
   return previous;
 }
 
@@ -95,7 +95,7 @@
   const auto path = directory / kFileName;
   struct stat status {};
   if (::stat(path.c_str(), &status) != 0 && errno == ENOENT) return std::nullopt;
-  const auto bytes = read_file(path, kMaxFileBytes + 1);  // one more, so that a longer file is noticed
+  const auto bytes = read_file(path, kMaxFileBytes + 1);  // one byte more detects a file that is too long
   if (const auto* error = std::get_if<StorageError>(&bytes)) return *error;
   auto record = decode_shutdown_record(std::get<std::string>(bytes));
   if (auto* error = std::get_if<StorageError>(&record)) {
--- a/src/snapshot/storage_error.cpp
+++ b/src/snapshot/storage_error.cpp
@@ -11,17 +11,17 @@
   std::string message(int code) const override {
     switch (StorageErrc(code)) {
       case StorageErrc::damaged:
-        return "damaged";
+        return "damaged (truncated, checksum mismatch or invalid field)";
       case StorageErrc::too_large:
-        return "too large";
+        return "larger than the maximum size";
       case StorageErrc::foreign_format:
-        return "not a file of this program";
+        return "unknown format (magic number does not match)";
       case StorageErrc::other_version:
-        return "of another version";
+        return "unsupported format version";
       case StorageErrc::name_too_long:
-        return "a name is too long";
+        return "a name exceeds its maximum length";
       case StorageErrc::lock_held:
-        return "another process holds it";
+        return "held by another process";
     }
     return "unknown error";
   }
@@ -29,28 +29,28 @@
 
 }  // namespace
 
-const char* text_of(StorageStep step) {
+const char* step_text(StorageStep step) {
   switch (step) {
     case StorageStep::create_directory:
-      return "making the directory";
+      return "creating the directory";
     case StorageStep::open_lock_file:
-      return "opening the lock";
+      return "opening the lock file";
     case StorageStep::lock_directory:
-      return "locking the directory";
+      return "acquiring the directory lock";
     case StorageStep::open_file:
-      return "opening it";
+      return "opening the file";
     case StorageStep::read_file:
-      return "reading it";
+      return "reading the file";
     case StorageStep::create_file:
-      return "creating it";
+      return "creating the file";
     case StorageStep::write_file:
-      return "writing it";
+      return "writing the file";
     case StorageStep::sync_file:
-      return "syncing it";
+      return "syncing the file";
     case StorageStep::rename_file:
-      return "renaming it";
+      return "renaming the temporary file";
     case StorageStep::remove_file:
-      return "taking it away";
+      return "removing the file";
     case StorageStep::open_directory:
       return "opening the directory";
     case StorageStep::sync_directory:
@@ -66,7 +66,7 @@
 
 std::error_code make_error_code(StorageErrc code) { return {int(code), storage_category()}; }
 
-std::string StorageError::message() const { return std::string(text_of(step)) + ": " + cause.message(); }
+std::string StorageError::message() const { return std::string(step_text(step)) + ": " + cause.message(); }
 
 StorageError errno_error(StorageStep step, const std::filesystem::path& path) {
   const int number = errno;  // before anything else can change it
--- a/src/snapshot/storage_error.h
+++ b/src/snapshot/storage_error.h
@@ -1,7 +1,7 @@
-// The error type of this module's files and of messages in its envelope.
+// The error type for stored files and for messages in a checksum envelope.
 //
-// A StorageError names the step that failed, the cause, and the file where there is one. Causes are
-// std::error_code values: an errno of the system, or a StorageErrc where the content is not accepted.
+// A StorageError contains the step that failed, the cause, and the file if there is one. Causes are
+// std::error_code values: an errno, or a StorageErrc if no errno describes the cause.
 #pragma once
 #include <cstdint>
 #include <filesystem>
@@ -27,15 +27,15 @@
   open_directory,
   sync_directory,
 };
-// The step as error messages name it, such as "opening it".
-const char* text_of(StorageStep step);
+// Returns the step as it appears in error messages, such as "opening the file".
+const char* step_text(StorageStep step);
 
-// Causes that no errno names.
+// Causes that no errno describes.
 enum class StorageErrc : std::uint8_t {
   damaged = 1,     // truncated, checksum mismatch, or fields out of bounds
-  too_large,       // longer than any valid one
-  foreign_format,  // the magic number is another program's
-  other_version,   // the magic number is this program's, its version is not
+  too_large,       // longer than the maximum size of its format
+  foreign_format,  // the magic number is not that of the expected format
+  other_version,   // the expected format in another version
   name_too_long,   // a name field exceeds its bound
   lock_held,       // another process holds the directory lock
 };
@@ -50,13 +50,13 @@
   [[nodiscard]] std::string message() const;
 };
 
-// The value, or why there is none.
+// A value, or the error that occurred instead.
 template <class T>
 using StorageResult = std::variant<T, StorageError>;
 
-// An error with the current errno as its cause.
+// Returns an error with the current errno as its cause.
 StorageError errno_error(StorageStep step, const std::filesystem::path& path);
-// Content that is not accepted: the step is StorageStep::read_file.
+// Returns an error for rejected content; its step is StorageStep::read_file.
 StorageError format_error(StorageErrc cause);
 
 }  // namespace granitegap::snapshot
--- a/tests/recovery_process_test.cpp
+++ b/tests/recovery_process_test.cpp
@@ -79,7 +79,8 @@
   std::filesystem::create_directories(f.state_folder("n0"));
   std::ofstream(f.state_folder("n0") / "ended") << "gge1 and then nothing that makes sense";
   f.up();
-  EXPECT_TRUE(f.wait_until([&] { return f.says("shutdown record rejected: reading it: damaged"); }, kLong));
+  EXPECT_TRUE(
+      f.wait_until([&] { return f.says("shutdown record rejected: reading the file: damaged"); }, kLong));
   EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
 }
 
@@ -231,7 +232,8 @@
   f.kill("n0");
   ASSERT_FALSE(busy.acquire(f.state_folder("n0")));
   f.up();
-  EXPECT_TRUE(f.wait_until([&] { return f.says("another process holds it"); }, kLong));
+  EXPECT_TRUE(
+      f.wait_until([&] { return f.says("acquiring the directory lock: held by another process"); }, kLong));
   EXPECT_EQ(f.report(kOther)->code, standin::ResponseCode::rejected);
   EXPECT_EQ(f.ran(kOther), 0);
 }
@@ -248,7 +250,10 @@
     ASSERT_EQ(::mkfifo(note.c_str(), 0600), 0);  // whoever opens it waits
     f.up();
     ASSERT_TRUE(f.wait_until(
-        [&] { return f.says("is slow to respond: requests with an idempotency key are rejected"); }, kLong));
+        [&] {
+          return f.says("did not respond within 1000 ms: requests with an idempotency key are rejected");
+        },
+        kLong));
     const auto way = membership_udp::query_status(f.bound("n0"), 2s, true);
     ASSERT_TRUE(way && way->recovery_report);
     EXPECT_GT(way->recovery_report->keyed_wait_ms, 1'000'000'000u);  // no end in sight
--- a/tests/restart_quarantine_test.cpp
+++ b/tests/restart_quarantine_test.cpp
@@ -142,7 +142,7 @@
   other_version[3] = '2';
   EXPECT_EQ(std::get<StorageError>(decode_shutdown_record(other_version)).cause, StorageErrc::other_version);
   EXPECT_EQ(std::get<StorageError>(decode_shutdown_record(other_version)).message(),
-            "reading it: of another version");
+            "reading the file: unsupported format version");
 }
 
 TEST(ShutdownRecord, ItsAgeIsKnownOnlyWithinOneBootOfTheMachine) {
@@ -169,7 +169,7 @@
   const auto error = write_shutdown_record(directory.path / "none", kShutdownRecord);
   ASSERT_TRUE(error);
   EXPECT_EQ(error->step, StorageStep::create_file);
-  EXPECT_EQ(error->message(), "creating it: No such file or directory");
+  EXPECT_EQ(error->message(), "creating the file: No such file or directory");
   EXPECT_TRUE(remove_shutdown_record(directory.path / "none"));
   std::ofstream(directory.path / "file") << "x";
   DirectoryLock lock;
@@ -189,7 +189,7 @@
   const auto error = second.acquire(directory.path / "state");
   ASSERT_TRUE(error);
   EXPECT_EQ(error->cause, StorageErrc::lock_held);
-  EXPECT_EQ(error->message(), "locking the directory: another process holds it");
+  EXPECT_EQ(error->message(), "acquiring the directory lock: held by another process");
   EXPECT_FALSE(first.acquire(directory.path / "state"));
 }
 
@@ -240,7 +240,7 @@
   other_version[3] = '9';
   EXPECT_EQ(std::get<StorageError>(decode_snapshot(other_version)).cause, StorageErrc::other_version);
   EXPECT_EQ(std::get<StorageError>(decode_snapshot(other_version)).message(),
-            "reading it: of another version");
+            "reading the file: unsupported format version");
   EXPECT_TRUE(std::holds_alternative<StorageError>(decode_snapshot(std::string(kMaxSnapshotBytes + 1, 'g'))));
 }
 
@@ -285,7 +285,7 @@
   const auto error = write_snapshot(directory.path / "none", "x");
   ASSERT_TRUE(error);
   EXPECT_EQ(error->step, StorageStep::create_file);
-  EXPECT_EQ(error->message(), "creating it: No such file or directory");
+  EXPECT_EQ(error->message(), "creating the file: No such file or directory");
 }
 
 TEST(Snapshot, ItsAgeIsKnownWithinOneBootOrByAUnixClockThatIsNotBehind) {
