--- a/src/snapshot/checksum_envelope.h
+++ b/src/snapshot/checksum_envelope.h
@@ -1,10 +1,11 @@
-// The envelope around every stored file and transferred snapshot: a magic number, a checksum, the body.
+// The envelope of the stored files and of warm-state transfer messages: a magic number, a checksum and the
+// body.
 //
 //   offset 0, 4 bytes: the magic number; its last character is the version of the format
 //   offset 4, 8 bytes: XXH3-64 of the body, little-endian
 //   offset 12:         the body
 //
-// Pure functions without I/O. Errors are returned as StorageError values.
+// Pure functions that perform no I/O. Errors are returned as StorageError values.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -15,13 +16,13 @@
 namespace granitegap::snapshot {
 
 inline constexpr std::size_t kMagicBytes = 4, kChecksumBytes = 8;
-inline constexpr std::size_t kEnvelopeBytes = kMagicBytes + kChecksumBytes;  // in front of the body
+inline constexpr std::size_t kEnvelopeBytes = kMagicBytes + kChecksumBytes;  // precedes the body
 
-// `magic`: kMagicBytes characters.
+// Returns the body in an envelope. `magic` has kMagicBytes characters.
 [[nodiscard]] std::string wrap_with_checksum(std::string_view magic, std::string_view body);
 
-// The body, as a view into `bytes`; an error where they are longer than `max_bytes`, of another format or
-// version, or damaged.
+// Returns the body as a view into `bytes`. Returns an error if `bytes` is longer than `max_bytes`, has
+// another format or version, or is damaged.
 [[nodiscard]] StorageResult<std::string_view> unwrap_checked(std::string_view magic, std::string_view bytes,
                                                              std::size_t max_bytes);
 
--- a/src/snapshot/directory_lock.h
+++ b/src/snapshot/directory_lock.h
@@ -1,4 +1,4 @@
-// Exclusive ownership of the storage directory among processes.
+// An exclusive lock on the state directory.
 #pragma once
 #include <filesystem>
 #include <optional>
@@ -8,15 +8,15 @@
 
 namespace granitegap::snapshot {
 
-// Holds an flock(2) on the directory's lock file until destruction; the system releases it however the
-// process ends. It guards against a predecessor that is still draining and would write its shutdown record
-// after this process has read the directory.
+// Holds an flock(2) on the directory's lock file until destruction. The operating system releases the lock
+// when the process ends in any way. Without it, a previous process that is still draining could write its
+// shutdown record after this process has read the directory.
 //
-// Blocking (file system calls only, it never waits for the lock) and not thread-safe.
+// Makes blocking file system calls, but never waits for the lock. Not thread-safe.
 class DirectoryLock {
  public:
-  // Creates the directory if it is missing. StorageErrc::lock_held where another process holds the lock; no
-  // error where this object holds it already.
+  // Acquires the lock and creates the directory if it is missing. Fails with StorageErrc::lock_held if
+  // another process holds the lock. Does nothing if this object already holds it.
   [[nodiscard]] std::optional<StorageError> acquire(const std::filesystem::path& directory);
   [[nodiscard]] bool held() const { return fd_.valid(); }
 
--- a/src/snapshot/little_endian.h
+++ b/src/snapshot/little_endian.h
@@ -1,4 +1,4 @@
-// 64-bit little-endian integers in byte strings, as the stored files hold them.
+// 64-bit little-endian integers in byte strings, as used in the stored files.
 #pragma once
 #include <cstddef>
 #include <cstdint>
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -11,42 +11,44 @@
 
 constexpr char kMagic[] = "ggl1";
 constexpr std::size_t kMaxTextBytes = 255;
-constexpr Duration kMaxSpan = std::chrono::hours(24 * 365);
+constexpr Duration kMaxDuration = std::chrono::hours(24 * 365);
 constexpr std::size_t kIpv4Bytes = 4, kIpv6Bytes = 16;
 
-bool is_plausible_span(std::int64_t span_us) { return span_us >= 0 && span_us <= kMaxSpan.count(); }
+bool is_valid_duration(std::int64_t duration_us) {
+  return duration_us >= 0 && duration_us <= kMaxDuration.count();
+}
 
 bool is_port(std::uint32_t port) { return port != 0 && port <= std::numeric_limits<std::uint16_t>::max(); }
 
 // ---- Encoding ----
 
 void add_endpoint(wire::Snapshot& message, const warm_state::Endpoint& endpoint) {
-  auto* to = message.add_endpoints();
-  to->set_dependency(endpoint.dependency);
-  to->set_host(endpoint.host);
-  to->set_port(endpoint.port);
-  to->set_out_for_us(endpoint.ejected_for.count());
-  to->set_times_out(endpoint.consecutive_ejections);
-  to->set_latency_us(endpoint.latency.count());
-  to->set_heard_ago_us(endpoint.latency_age.count());
+  auto* out = message.add_endpoints();
+  out->set_dependency(endpoint.dependency);
+  out->set_host(endpoint.host);
+  out->set_port(endpoint.port);
+  out->set_out_for_us(endpoint.ejected_for.count());
+  out->set_times_out(endpoint.consecutive_ejections);
+  out->set_latency_us(endpoint.latency.count());
+  out->set_heard_ago_us(endpoint.latency_age.count());
 }
 
 void add_member(wire::Snapshot& message, const membership::Address& member) {
-  auto* to = message.add_members();
-  to->set_ip(member.ip.data(), member.v6 ? kIpv6Bytes : kIpv4Bytes);
-  to->set_port(member.port);
+  auto* out = message.add_members();
+  out->set_ip(member.ip.data(), member.v6 ? kIpv6Bytes : kIpv4Bytes);
+  out->set_port(member.port);
 }
 
 void add_cached_response(wire::Snapshot& message, const warm_state::CachedResponse& response) {
-  auto* to = message.add_cached_responses();
-  to->set_dependency(response.dependency);
-  to->set_path(response.path);
-  to->set_body(*response.body);
-  to->set_age_us(response.age.count());
+  auto* out = message.add_cached_responses();
+  out->set_dependency(response.dependency);
+  out->set_path(response.path);
+  out->set_body(*response.body);
+  out->set_age_us(response.age.count());
 }
 
-// Long names can still exceed the size limit. Endpoints are dropped then, half of them at a time: a smaller
-// snapshot only costs warmth.
+// Drops endpoints, half of them at a time, until the message fits the size limit. With long names a state can
+// exceed it even within the item limits. Losing endpoints only reduces the warm state of the next process.
 void shrink_to_limit(wire::Snapshot& message) {
   while (message.ByteSizeLong() + kEnvelopeBytes > kMaxSnapshotBytes && message.endpoints_size() > 0) {
     const int kept = message.endpoints_size() / 2;
@@ -54,7 +56,8 @@
   }
 }
 
-// ---- Decoding: a correct checksum proves who wrote the message, not that its values are within bounds ----
+// ---- Decoding: a correct checksum shows that the bytes are intact, not that the values are within bounds
+// ----
 
 bool has_valid_header(const wire::Snapshot& message) {
   return message.by().size() <= kMaxTextBytes && message.boot().size() <= kMaxTextBytes &&
@@ -63,11 +66,11 @@
          std::size_t(message.cached_responses_size()) <= warm_state::kMaxCachedResponses;
 }
 
-std::optional<warm_state::Endpoint> endpoint_of(const wire::Endpoint& from) {
+std::optional<warm_state::Endpoint> decode_endpoint(const wire::Endpoint& from) {
   if (from.dependency().size() > kMaxTextBytes || from.host().size() > kMaxTextBytes) return std::nullopt;
   if (!is_port(from.port())) return std::nullopt;
-  if (!is_plausible_span(from.out_for_us()) || !is_plausible_span(from.latency_us()) ||
-      !is_plausible_span(from.heard_ago_us()))
+  if (!is_valid_duration(from.out_for_us()) || !is_valid_duration(from.latency_us()) ||
+      !is_valid_duration(from.heard_ago_us()))
     return std::nullopt;
   return warm_state::Endpoint{from.dependency(),
                               from.host(),
@@ -78,7 +81,7 @@
                               Duration(from.heard_ago_us())};
 }
 
-std::optional<membership::Address> member_of(const wire::Address& from) {
+std::optional<membership::Address> decode_member(const wire::Address& from) {
   const auto ip_bytes = from.ip().size();
   if ((ip_bytes != kIpv4Bytes && ip_bytes != kIpv6Bytes) || !is_port(from.port())) return std::nullopt;
   membership::Address address;
@@ -88,34 +91,34 @@
   return address;
 }
 
-std::optional<warm_state::CachedResponse> cached_response_of(const wire::CachedResponse& from) {
+std::optional<warm_state::CachedResponse> decode_cached_response(const wire::CachedResponse& from) {
   warm_state::CachedResponse response{from.dependency(), from.path(),
                                       std::make_shared<const std::string>(from.body()),
                                       Duration(from.age_us())};
   if (response.dependency.size() > kMaxTextBytes || !warm_state::is_within_limits(response) ||
-      !is_plausible_span(from.age_us()))
+      !is_valid_duration(from.age_us()))
     return std::nullopt;
   return response;
 }
 
-// The state in a message; absent where any value is out of bounds.
-std::optional<warm_state::WarmState> state_of(const wire::Snapshot& message) {
+// Returns the state in a message, or nullopt if any value is out of bounds.
+std::optional<warm_state::WarmState> decode_state(const wire::Snapshot& message) {
   warm_state::WarmState state;
   state.process_name = message.by();
   state.boot_id = message.boot_id();
   for (const auto& from : message.endpoints()) {
-    auto endpoint = endpoint_of(from);
+    auto endpoint = decode_endpoint(from);
     if (!endpoint) return std::nullopt;
     state.endpoints.push_back(*std::move(endpoint));
   }
   for (const auto& from : message.members()) {
-    const auto member = member_of(from);
+    const auto member = decode_member(from);
     if (!member) return std::nullopt;
     state.members.push_back(*member);
   }
   std::size_t total_bytes = 0;
   for (const auto& from : message.cached_responses()) {
-    auto response = cached_response_of(from);
+    auto response = decode_cached_response(from);
     if (!response) return std::nullopt;
     total_bytes += warm_state::size_in_bytes(*response);
     if (total_bytes > warm_state::kMaxCachedResponseBytes) return std::nullopt;
@@ -149,7 +152,7 @@
   wire::Snapshot message;
   if (!message.ParseFromArray(body.data(), int(body.size()))) return format_error(StorageErrc::damaged);
   if (!has_valid_header(message)) return format_error(StorageErrc::damaged);
-  auto state = state_of(message);
+  auto state = decode_state(message);
   if (!state) return format_error(StorageErrc::damaged);
   const ClockStamp taken_at{message.boot(), Duration(message.since_boot_us()), message.unix_us()};
   return Snapshot{taken_at, *std::move(state)};
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -1,8 +1,8 @@
 // A snapshot of the warm state of a process, and its encoding.
 //
 // The encoding is the protobuf message of snapshot.proto in a checksum envelope of magic number "ggl1". It is
-// what lies on disk (snapshot_files.h) and what a donor sends to a peer (state_transfer/codec.h). Pure
-// functions without I/O; errors are returned as StorageError values.
+// used for the files on disk (snapshot_files.h) and for warm-state transfer (state_transfer/codec.h). Pure
+// functions that perform no I/O; errors are returned as StorageError values.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -13,16 +13,16 @@
 
 namespace granitegap::snapshot {
 
-inline constexpr std::size_t kMaxSnapshotBytes = std::size_t{256} * 1024;  // encoded, with the envelope
+inline constexpr std::size_t kMaxSnapshotBytes = std::size_t{256} * 1024;  // encoded, including the envelope
 
 struct Snapshot {
   ClockStamp taken_at;
   warm_state::WarmState state;
 };
 
-// At most kMaxSnapshotBytes, whatever the state: what exceeds its bounds is left out.
+// Encodes a snapshot in at most kMaxSnapshotBytes. Items that exceed the limits are dropped.
 [[nodiscard]] std::string encode(const Snapshot& snapshot);
-// Accepts only what is undamaged and within the bounds of warm_state.
+// Decodes a snapshot. Rejects damaged bytes and states that exceed the limits in warm_state.h.
 [[nodiscard]] StorageResult<Snapshot> decode_snapshot(const std::string& bytes);
 
 }  // namespace granitegap::snapshot
--- a/src/snapshot/snapshot_files.cpp
+++ b/src/snapshot/snapshot_files.cpp
@@ -16,7 +16,7 @@
   return a.unix_us > b.unix_us;
 }
 
-// When a file was last written; absent where there is none.
+// Returns when a file was last written, or nullopt if it does not exist.
 std::optional<timespec> modification_time(const std::filesystem::path& path) {
   struct stat status {};
   if (::stat(path.c_str(), &status) != 0) return std::nullopt;
@@ -27,7 +27,7 @@
   return a.tv_sec != b.tv_sec ? a.tv_sec < b.tv_sec : a.tv_nsec < b.tv_nsec;
 }
 
-// The file to overwrite next: the older one, or the second where only the first exists.
+// Returns the file to overwrite next: the older one, or the second if only the first exists.
 const char* oldest_file_name(const std::filesystem::path& directory) {
   const auto first = modification_time(directory / kFileNames[0]);
   const auto second = modification_time(directory / kFileNames[1]);
@@ -38,7 +38,7 @@
 }  // namespace
 
 StorageResult<Snapshot> read_snapshot_file(const std::filesystem::path& file) {
-  const auto bytes = read_file(file, kMaxSnapshotBytes + 1);  // one more, so that a longer file is noticed
+  const auto bytes = read_file(file, kMaxSnapshotBytes + 1);  // one byte more detects a file that is too long
   if (const auto* error = std::get_if<StorageError>(&bytes)) return *error;
   auto snapshot = decode_snapshot(std::get<std::string>(bytes));
   if (auto* error = std::get_if<StorageError>(&snapshot)) error->path = file;
--- a/src/snapshot/snapshot_files.h
+++ b/src/snapshot/snapshot_files.h
@@ -1,8 +1,8 @@
-// The snapshot files of one storage directory: two, of which the older is overwritten, so that one complete
+// The two snapshot files of a state directory. Each write replaces the older one, so that one complete
 // snapshot remains if a write is interrupted.
 //
-// Blocking: call these off the io thread. Errors are returned as StorageError values; any damage costs only
-// warmth, as the process starts without the snapshot then.
+// The functions block: don't call them on the io thread. Errors are returned as StorageError values. A
+// damaged file is not fatal: the process starts without that snapshot.
 #pragma once
 #include <filesystem>
 #include <optional>
@@ -13,7 +13,7 @@
 
 namespace granitegap::snapshot {
 
-// The newest valid snapshot, and why any file that exists was rejected; each error names its file.
+// The newest valid snapshot, and one error with a path for each existing file that was rejected.
 struct NewestSnapshot {
   std::optional<Snapshot> snapshot;
   std::vector<StorageError> errors;
@@ -21,7 +21,7 @@
 
 [[nodiscard]] StorageResult<Snapshot> read_snapshot_file(const std::filesystem::path& file);
 [[nodiscard]] NewestSnapshot read_newest_snapshot(const std::filesystem::path& directory);
-// Replaces the older of the two files by an encoded snapshot. Durable when it returns no error.
+// Replaces the older of the two files with an encoded snapshot. The write is durable if no error is returned.
 [[nodiscard]] std::optional<StorageError> write_snapshot(const std::filesystem::path& directory,
                                                          const std::string& bytes);
 
--- a/src/snapshot/snapshot_json.h
+++ b/src/snapshot/snapshot_json.h
@@ -1,4 +1,4 @@
-// A snapshot as JSON, for people and scripts (`granitegap snapshot show`).
+// Formats a snapshot as JSON for `granitegap snapshot show`.
 #pragma once
 #include <string>
 
@@ -6,8 +6,8 @@
 
 namespace granitegap::snapshot {
 
-// One object on one line: `by`, `life`, `unix_ms`, `endpoints`, `parts`, `members`. Durations are in
-// milliseconds. Bytes that are not UTF-8 are replaced.
+// Returns one object on one line, with the keys `by`, `life`, `unix_ms`, `endpoints`, `parts` and `members`.
+// Durations are in milliseconds. Bytes that are not valid UTF-8 are replaced.
 [[nodiscard]] std::string to_json(const Snapshot& snapshot);
 
 }  // namespace granitegap::snapshot
