--- a/src/state_transfer/actor.cpp
+++ b/src/state_transfer/actor.cpp
@@ -22,13 +22,13 @@
 
 constexpr std::size_t kMaxConnections = 4;
 constexpr double kRequestsPerSecond = 8, kRequestBurst = 8;
-constexpr auto kConnectionTimeout = 2s;  // for the query and the sending of the response together
+constexpr auto kConnectionTimeout = 2s;  // for receiving the query and sending the response together
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
 SteadyTime to_steady(TimePoint time) { return SteadyTime(time.time_since_epoch()); }
 
-// Closes a socket at a point in time, whatever operation is under way; disarmed on destruction.
+// Closes a socket at a point in time, which ends any pending operation. Disarmed on destruction.
 class SocketDeadline {
  public:
   SocketDeadline(asio::ip::tcp::socket& socket, SteadyTime at) : timer_(socket.get_executor(), at) {
@@ -39,11 +39,13 @@
   }
 
  private:
-  std::shared_ptr<int> alive_ = std::make_shared<int>();  // the timer's handler may outlive this object
+  // Expires with this object, which the timer's handler may outlive.
+  std::shared_ptr<int> alive_ = std::make_shared<int>();
   asio::steady_timer timer_;
 };
 
-// One message with its length prefix; absent where the connection ends or the length is out of bounds.
+// Reads a message and its length prefix. Returns nullopt if the connection ends or the length is out of
+// bounds.
 asio::awaitable<std::optional<std::string>> read_message(asio::ip::tcp::socket& socket,
                                                          std::size_t max_bytes) {
   error_code error;
@@ -57,7 +59,7 @@
   co_return bytes;
 }
 
-std::string joined(const std::vector<std::string>& names) {
+std::string join_names(const std::vector<std::string>& names) {
   std::string text;
   for (const auto& name : names) text += (text.empty() ? "" : ", ") + name;
   return text;
@@ -76,7 +78,7 @@
       wake_timer_(executor),
       rate_tokens_(kRequestBurst),
       tokens_refilled_at_(callbacks_.clock()) {
-  log_.line("recovery: donates warm state on port " + std::to_string(port()),
+  log_.line("recovery: donating warm state to other members on port " + std::to_string(port()),
             {{"event", "learning"}, {"port", std::int64_t(port())}});
 }
 
@@ -101,11 +103,11 @@
 
 asio::awaitable<void> Actor::run_server() {
   // A named variable: GCC 12 destroys a temporary in a co_await expression twice.
-  const net::ConnectionHandler take = [this](Tcp::socket socket, const asio::ip::address& from) {
+  const net::ConnectionHandler handle_connection = [this](Tcp::socket socket, const asio::ip::address& from) {
     if (callbacks_.may_request(from) && admit_request())
       asio::co_spawn(executor_, serve_connection(std::move(socket)), asio::detached);
   };
-  co_await net::accept_connections(acceptor_, closed_, take);
+  co_await net::accept_connections(acceptor_, closed_, handle_connection);
 }
 
 asio::awaitable<void> Actor::serve_connection(Tcp::socket socket) {
@@ -119,7 +121,7 @@
   auto response = callbacks_.make_response();
   response.nonce = query->nonce;
   const auto out = add_length_prefix(encode(response));
-  error_code ignored;  // the client turns to another donor
+  error_code ignored;  // on failure the client requests the state of another donor
   co_await asio::async_write(socket, asio::buffer(out), into(ignored));
 }
 
@@ -145,7 +147,7 @@
     if (transfer_pending_) advance_transfer(now);
     const auto next = transfer_pending_ ? donor_selection_.next_deadline(now) : std::nullopt;
     wake_timer_.expires_at(next ? to_steady(*next) : SteadyTime::max());
-    error_code ignored;  // cancelled where there is something to do earlier
+    error_code ignored;  // the wait is cancelled when there is work to do earlier
     co_await wake_timer_.async_wait(into(ignored));
   }
 }
@@ -160,7 +162,7 @@
   transfer_pending_ = false;
   donors_ = donor_selection_.donors();
   transferred_at_ = now;
-  const auto names = joined(donors_);
+  const auto names = join_names(donors_);
   log_.line("recovery: warm state received from " + (names.empty() ? std::string("no donor") : names),
             {{"event", "learned_from"}, {"names", names}});
   callbacks_.finished(donor_selection_.result(), donor_selection_.donor_count());
--- a/src/state_transfer/actor.h
+++ b/src/state_transfer/actor.h
@@ -1,10 +1,11 @@
 // Warm-state transfer between members over TCP: a server that donates this process's state, and a client that
 // fetches the state of several donors after a start.
 //
-// The server limits its rate and its concurrency; a connection beyond them, one that is too slow and one that
-// sends anything but a valid query is closed without a response, and the client there turns to another donor.
-// Only loopback and members' addresses are admitted. Message sizes and waiting times are bounded on both
-// sides. Everything runs on the io thread of `executor`; no thread is started.
+// The server limits the request rate and the number of open connections. It closes a connection without a
+// response if a limit is exceeded, if the client is too slow, or if it sends anything but a valid query. The
+// client then requests the state of another donor. Only loopback and members' addresses are admitted. Message
+// sizes and waiting times are bounded on both sides. Everything runs on the io thread of `executor`; no
+// thread is started.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -27,37 +28,37 @@
  public:
   struct Callbacks {
     std::function<TimePoint()> clock;
-    // What this process donates; the actor fills in the nonce.
+    // Returns the state that this process donates. The actor sets the nonce.
     std::function<recovery::TransferResponse()> make_response;
-    // Whether a client at this address is admitted.
+    // Whether a client at this address may request the state.
     std::function<bool(const boost::asio::ip::address&)> may_request;
-    // The merged state of `donor_count` donors, once the transfer is over; zero where none had any.
+    // Passes on the merged state of `donor_count` donors when the transfer has ended. Zero: no donor had any.
     std::function<void(warm_state::WarmState state, std::size_t donor_count)> finished;
   };
   struct Options {
     std::string cluster, name, zone;
     boost::asio::ip::address bind_address;
-    std::uint16_t port = 0;  // 0: any free one
-    std::uint64_t seed = 0;  // of the choice of donors
+    std::uint16_t port = 0;  // 0: any free port
+    std::uint64_t seed = 0;  // of the random choice of donors
   };
 
-  // Throws boost::system::system_error where the address can't be bound. `log` must outlive the actor.
+  // Throws boost::system::system_error if the address can't be bound. `log` must outlive the actor.
   Actor(const boost::asio::any_io_executor& executor, Options options, recovery::DonorSelectionOptions rules,
         Callbacks callbacks, Logger& log);
-  // The port that the server listens on.
+  // Returns the port on which the server listens.
   [[nodiscard]] std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
-  // The two sides; both run until close().
+  // Run the server and the client until close().
   boost::asio::awaitable<void> run_server();
   boost::asio::awaitable<void> run_client();
 
-  // Begins a transfer, also where one is under way.
+  // Starts a transfer. One that is in progress is started again.
   void start_transfer();
-  // The newest membership view, from which donors are chosen.
+  // Sets the newest membership view, from which donors are chosen.
   void update_view(std::shared_ptr<const membership::View> newest);
   void close();
 
-  // The names of the last transfer's donors, and when it was over.
+  // The names of the last transfer's donors, and when it ended.
   [[nodiscard]] const std::vector<std::string>& donors() const { return donors_; }
   [[nodiscard]] TimePoint transferred_at() const { return transferred_at_; }
 
@@ -83,8 +84,8 @@
   boost::asio::steady_timer wake_timer_;
   std::vector<std::string> donors_;
   TimePoint transferred_at_{};
-  std::size_t open_connections_ = 0;  // of the server
-  double rate_tokens_;                // of its token bucket
+  std::size_t open_connections_ = 0;  // on the server side
+  double rate_tokens_;                // token bucket that limits the server's request rate
   TimePoint tokens_refilled_at_;
   bool transfer_pending_ = false;
   bool closed_ = false;
--- a/src/state_transfer/codec.cpp
+++ b/src/state_transfer/codec.cpp
@@ -17,7 +17,7 @@
 using snapshot::StorageError;
 using snapshot::StorageResult;
 
-// The protobuf message in an envelope.
+// Parses the protobuf message in an envelope.
 template <class Message>
 StorageResult<Message> parse_message(const char* magic, std::string_view bytes, std::size_t max_bytes) {
   const auto unwrapped = snapshot::unwrap_checked(magic, bytes, max_bytes);
@@ -29,7 +29,7 @@
   return message;
 }
 
-// Whole milliseconds, as far as the field can hold them.
+// Converts a duration to milliseconds, rounded down and clamped to the range of the field.
 std::uint32_t to_uint32_ms(Duration duration) {
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
   return std::uint32_t(std::clamp<std::int64_t>(ms, 0, std::numeric_limits<std::uint32_t>::max()));
@@ -63,7 +63,7 @@
   message.set_sure(response.view_certain);
   message.set_view_age_ms(to_uint32_ms(response.view_age));
   if (response.in_service) {
-    // Without a time stamp: the state is as of now, and its elements carry their ages.
+    // The snapshot has no time stamp: its state is current, and its items carry their ages.
     snapshot::Snapshot snapshot;
     snapshot.state = response.state;
     message.set_warm_state(snapshot::encode(snapshot));
