--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -1,5 +1,5 @@
-// Files and messages written by an earlier version (tests/data/stored): the present code reads them, and
-// writes the same bytes for the same values.
+// Compatibility with files and messages of an earlier version (tests/data/stored): the current code decodes
+// them, and encodes the same values to the same bytes.
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -51,7 +51,7 @@
   return std::make_shared<const std::string>(std::move(bytes));
 }
 
-// The state in snapshot.bin and in transfer_response.bin.
+// Returns the state in snapshot.bin and in transfer_response.bin.
 warm_state::WarmState stored_state() {
   warm_state::WarmState state;
   state.process_name = kName;
@@ -89,7 +89,7 @@
   EXPECT_EQ(stored.state, stored_state());
 }
 
-TEST(StoredSnapshot, IsFoundUnderTheNamesOfItsFiles) {
+TEST(StoredSnapshot, IsFoundUnderEitherFileName) {
   for (const auto* name : {"learned-a", "learned-b"}) {
     const TemporaryDirectory directory;
     std::filesystem::copy_file(fixture("snapshot.bin"), directory.path() / name);
@@ -135,7 +135,7 @@
   EXPECT_EQ(file_bytes(directory.path() / "ended"), file_bytes(fixture("shutdown_record.bin")));
 }
 
-// ---- Warm-state transfer: not stored, but exchanged between processes of both versions ----
+// ---- Warm-state transfer messages: not stored, but exchanged between processes of different versions ----
 
 TEST(StoredTransferQuery, IsReadWithEveryValue) {
   const auto decoded = state_transfer::decode_query(file_bytes(fixture("transfer_query.bin")));
@@ -193,8 +193,8 @@
 constexpr std::uint64_t kFirstProcess = 0x1111111111111111, kSecondProcess = 0x2222222222222222;
 constexpr std::uint64_t kMagic = 0x67676170636c6d31;
 
-hot_restart::UnixTime at(Duration since) { return hot_restart::UnixTime(Duration(1764576000s) + since); }
-std::int64_t us_at(Duration since) { return at(since).time_since_epoch().count(); }
+hot_restart::UnixTime time_at(Duration since) { return hot_restart::UnixTime(Duration(1764576000s) + since); }
+std::int64_t unix_us_at(Duration since) { return time_at(since).time_since_epoch().count(); }
 
 std::string from_hex(const std::string& digits) {
   std::string bytes;
@@ -203,7 +203,8 @@
   return bytes;
 }
 
-// The whole file that a .hex fixture stands for.
+// Returns the complete file that a .hex fixture describes: its size, then pairs of an offset and hex digits.
+// All other bytes are zero.
 std::string lease_table_bytes(const std::string& name) {
   std::istringstream in(file_bytes(fixture(name)));
   std::string word, digits;
@@ -216,7 +217,7 @@
   return bytes;
 }
 
-// A directory with the table of a fixture, opened by a process that was not there when it was written.
+// A directory with the lease table of a fixture, and a function that opens it as the process `boot_id`.
 struct StoredTable {
   explicit StoredTable(const std::string& fixture_name) {
     std::ofstream(path(), std::ios::binary) << lease_table_bytes(fixture_name);
@@ -224,12 +225,12 @@
   std::filesystem::path path() const { return directory.path() / "granitegap-tile-7.claims"; }
   std::variant<SharedLeaseTable, hot_restart::LeaseTableError> open(std::uint64_t boot_id,
                                                                     Duration now) const {
-    return SharedLeaseTable::open(directory.path().string(), kName, boot_id, kLongLease, at(now));
+    return SharedLeaseTable::open(directory.path().string(), kName, boot_id, kLongLease, time_at(now));
   }
   TemporaryDirectory directory;
 };
 
-TEST(StoredLeaseTable, HasTheHeaderThatTheStructDescribes) {
+TEST(StoredLeaseTable, HeaderMatchesTheStructLayout) {
   const auto bytes = lease_table_bytes("lease_table.hex");
   ASSERT_EQ(bytes.size(), SharedLeaseTable::kFileBytes);
   LeaseTableHeader header;
@@ -238,14 +239,14 @@
   EXPECT_EQ(header.slots, SharedLeaseTable::kSlots);
   EXPECT_EQ(header.quarantine_until_us, 0);
   EXPECT_EQ(header.processes[0].boot_id, kFirstProcess);
-  EXPECT_EQ(header.processes[0].serving, 0u);  // it was draining
+  EXPECT_EQ(header.processes[0].serving, 0u);  // the first process was draining
   EXPECT_EQ(header.processes[1].boot_id, kSecondProcess);
   EXPECT_EQ(header.processes[1].serving, 1u);
   for (std::size_t k = 2; k < LeaseTableHeader::kMaxProcesses; ++k)
     EXPECT_EQ(header.processes[k].boot_id, 0u) << k;
 }
 
-TEST(StoredLeaseTable, HoldsTheLeasesThatTheStructDescribes) {
+TEST(StoredLeaseTable, LeasesMatchTheStructLayout) {
   const auto bytes = lease_table_bytes("lease_table.hex");
   std::vector<KeyLease> held;
   for (std::size_t offset = sizeof(LeaseTableHeader); offset < bytes.size(); offset += sizeof(KeyLease)) {
@@ -254,13 +255,15 @@
     if (lease.checksum != 0) held.push_back(lease);
   }
   const KeyLease expected[] = {
-      {hash_key("sign-order", "key-a"), us_at(4s), us_at(4s + kShortLease), kSecondProcess, 0},
-      {hash_key("trail-report", "key-b"), us_at(3s + 4us), us_at(3s + 4us + kLongLease), kSecondProcess, 0},
-      {hash_key("trail-report", "key-a"), us_at(2s), us_at(2s + kLongLease), kFirstProcess, 0},
+      {hash_key("sign-order", "key-a"), unix_us_at(4s), unix_us_at(4s + kShortLease), kSecondProcess, 0},
+      {hash_key("trail-report", "key-b"), unix_us_at(3s + 4us), unix_us_at(3s + 4us + kLongLease),
+       kSecondProcess, 0},
+      {hash_key("trail-report", "key-a"), unix_us_at(2s), unix_us_at(2s + kLongLease), kFirstProcess, 0},
   };
   ASSERT_EQ(held.size(), std::size(expected));
   for (const auto& lease : expected) {
-    const auto it = std::find_if(held.begin(), held.end(), [&](const auto& h) { return h.key == lease.key; });
+    const auto it = std::find_if(held.begin(), held.end(),
+                                 [&](const auto& candidate) { return candidate.key == lease.key; });
     ASSERT_NE(it, held.end());
     EXPECT_EQ(it->received_us, lease.received_us);
     EXPECT_EQ(it->expires_us, lease.expires_us);
@@ -275,7 +278,7 @@
   auto& table = std::get<SharedLeaseTable>(opened);
   EXPECT_FALSE(table.was_reset());
   const auto acquire = [&](const char* request_class, const char* key, Duration received) {
-    return table.acquire(hash_key(request_class, key), at(received), kLongLease, at(received));
+    return table.acquire(hash_key(request_class, key), time_at(received), kLongLease, time_at(received));
   };
   EXPECT_EQ(acquire("trail-report", "key-a", 10s), LeaseDecision::held_by_other);
   EXPECT_EQ(acquire("trail-report", "key-b", 10s), LeaseDecision::held_by_other);
@@ -285,34 +288,35 @@
   EXPECT_EQ(acquire("sign-order", "key-a", 16s + 1us), LeaseDecision::acquired);
 }
 
-TEST(StoredLeaseTable, ItsHolderRenewsItsLease) {
+TEST(StoredLeaseTable, HolderRenewsItsLease) {
   const StoredTable stored("lease_table.hex");
   auto opened = stored.open(kFirstProcess, 10s);
   ASSERT_TRUE(std::holds_alternative<SharedLeaseTable>(opened));
   auto& table = std::get<SharedLeaseTable>(opened);
-  EXPECT_EQ(table.acquire(hash_key("trail-report", "key-a"), at(10s), kLongLease, at(10s)),
+  EXPECT_EQ(table.acquire(hash_key("trail-report", "key-a"), time_at(10s), kLongLease, time_at(10s)),
             LeaseDecision::acquired);
-  EXPECT_EQ(table.acquire(hash_key("trail-report", "key-b"), at(10s), kLongLease, at(10s)),
+  EXPECT_EQ(table.acquire(hash_key("trail-report", "key-b"), time_at(10s), kLongLease, time_at(10s)),
             LeaseDecision::held_by_other);
 }
 
-TEST(StoredLeaseTable, AQuarantineIsWaitedOut) {
+TEST(StoredLeaseTable, KeysAreUnknownUntilTheQuarantineEnds) {
   const StoredTable stored("quarantined_lease_table.hex");
   auto opened = stored.open(0x4444444444444444, 1s);
   ASSERT_TRUE(std::holds_alternative<SharedLeaseTable>(opened));
   auto& table = std::get<SharedLeaseTable>(opened);
   EXPECT_FALSE(table.was_reset());
   const auto key = hash_key("trail-report", "key-a");
-  EXPECT_EQ(table.acquire(key, at(kLongLease - 1us), kLongLease, at(kLongLease - 1us)),
+  EXPECT_EQ(table.acquire(key, time_at(kLongLease - 1us), kLongLease, time_at(kLongLease - 1us)),
             LeaseDecision::unknown);
-  EXPECT_EQ(table.acquire(key, at(kLongLease), kLongLease, at(kLongLease)), LeaseDecision::acquired);
+  EXPECT_EQ(table.acquire(key, time_at(kLongLease), kLongLease, time_at(kLongLease)),
+            LeaseDecision::acquired);
 }
 
-// The operations that wrote lease_table.hex, done again.
+// Repeats the operations that produced lease_table.hex.
 TEST(StoredLeaseTable, IsWrittenWithTheSameBytes) {
   const TemporaryDirectory directory;
   const auto open = [&](std::uint64_t boot_id, Duration now) {
-    return SharedLeaseTable::open(directory.path().string(), kName, boot_id, kLongLease, at(now));
+    return SharedLeaseTable::open(directory.path().string(), kName, boot_id, kLongLease, time_at(now));
   };
   {
     auto opened_first = open(kFirstProcess, 0s), opened_second = open(kSecondProcess, 1s);
@@ -322,25 +326,26 @@
     first.mark_serving();
     second.mark_serving();
     first.mark_draining();
-    EXPECT_EQ(first.acquire(hash_key("trail-report", "key-a"), at(2s), kLongLease, at(2s + 10us)),
-              LeaseDecision::acquired);
-    EXPECT_EQ(second.acquire(hash_key("trail-report", "key-b"), at(3s + 4us), kLongLease, at(3s + 20us)),
+    EXPECT_EQ(first.acquire(hash_key("trail-report", "key-a"), time_at(2s), kLongLease, time_at(2s + 10us)),
               LeaseDecision::acquired);
-    EXPECT_EQ(second.acquire(hash_key("sign-order", "key-a"), at(4s), kShortLease, at(4s)),
+    EXPECT_EQ(
+        second.acquire(hash_key("trail-report", "key-b"), time_at(3s + 4us), kLongLease, time_at(3s + 20us)),
+        LeaseDecision::acquired);
+    EXPECT_EQ(second.acquire(hash_key("sign-order", "key-a"), time_at(4s), kShortLease, time_at(4s)),
               LeaseDecision::acquired);
-    EXPECT_EQ(second.acquire(released, at(5s), kLongLease, at(5s)), LeaseDecision::acquired);
+    EXPECT_EQ(second.acquire(released, time_at(5s), kLongLease, time_at(5s)), LeaseDecision::acquired);
     second.release(released);
   }
   const auto written = file_bytes(directory.path() / "granitegap-tile-7.claims");
-  EXPECT_TRUE(written == lease_table_bytes("lease_table.hex"));  // not EXPECT_EQ: it would print both
+  EXPECT_TRUE(written == lease_table_bytes("lease_table.hex"));  // EXPECT_EQ would print both files
 }
 
-TEST(StoredLeaseTable, AQuarantinedOneIsWrittenWithTheSameBytes) {
+TEST(StoredLeaseTable, QuarantinedTableIsWrittenWithTheSameBytes) {
   const TemporaryDirectory directory;
   const auto path = directory.path() / "granitegap-tile-7.claims";
   std::ofstream(path) << "no table";
   const auto opened =
-      SharedLeaseTable::open(directory.path().string(), kName, 0x3333333333333333, kLongLease, at(0s));
+      SharedLeaseTable::open(directory.path().string(), kName, 0x3333333333333333, kLongLease, time_at(0s));
   EXPECT_TRUE(std::get<SharedLeaseTable>(opened).was_reset());
   EXPECT_TRUE(file_bytes(path) == lease_table_bytes("quarantined_lease_table.hex"));
 }
