--- a/src/membership_udp/actor.cpp
+++ b/src/membership_udp/actor.cpp
@@ -19,10 +19,25 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-constexpr std::size_t kMaxBatch = 64;  // datagrams before other work gets its turn
-constexpr int kSocketBuffer = 256 * 1024;
+// Datagrams processed before other work on the executor gets its turn.
+constexpr std::size_t kMaxDatagramsPerTurn = 64;
+constexpr int kSocketBufferBytes = 256 * 1024;
+// Minimum time between two log lines about datagrams that can't be decoded.
 constexpr Duration kMinLogInterval = std::chrono::seconds(10);
 
+// Returns the log text for a change of the connectivity of this process.
+const char* connectivity_text(LocalConnectivity connectivity) {
+  switch (connectivity) {
+    case LocalConnectivity::ok:
+      return "this process sends and receives datagrams again";
+    case LocalConnectivity::outbound_broken:
+      return "datagrams from this process reach no member";
+    case LocalConnectivity::inbound_broken:
+      return "datagrams of the other members do not reach this process";
+  }
+  return "?";
+}
+
 }  // namespace
 
 udp::endpoint endpoint_of(const Address& a) {
@@ -48,26 +63,27 @@
   open_socket(socket_, settings_.bind);
   if (settings_.secondary_bind) open_socket(secondary_socket_, settings_.secondary_bind);
   log_.line("membership: cluster " + settings_.cluster + ", bound to " + text_of(settings_.bind) +
-                ", reached at " + text_of(settings_.advertise),
+                ", advertised as " + text_of(settings_.advertise),
             {{"event", "membership"}, {"cluster", settings_.cluster}});
   if (has_secondary())
-    log_.line("membership: a second path, bound to " + text_of(settings_.secondary_bind) + ", reached at " +
-                  text_of(settings_.secondary_advertise),
+    log_.line("membership: secondary path bound to " + text_of(settings_.secondary_bind) +
+                  ", advertised as " + text_of(settings_.secondary_advertise),
               {{"event", "membership_second"}});
 }
 
-void Actor::open_socket(udp::socket& socket, const Address& at) {
-  const auto bind = endpoint_of(at);
-  socket.open(bind.protocol());
-  if (at.v6) socket.set_option(asio::ip::v6_only(true));
-  socket.bind(bind);
+void Actor::open_socket(udp::socket& socket, const Address& bind) {
+  const auto endpoint = endpoint_of(bind);
+  socket.open(endpoint.protocol());
+  if (bind.v6) socket.set_option(asio::ip::v6_only(true));
+  socket.bind(endpoint);
   socket.non_blocking(true);
-  error_code ignored;  // with a smaller buffer only more is lost
-  socket.set_option(asio::socket_base::receive_buffer_size(kSocketBuffer), ignored);
-  socket.set_option(asio::socket_base::send_buffer_size(kSocketBuffer), ignored);
+  error_code ignored;  // a smaller buffer only causes more datagram loss
+  socket.set_option(asio::socket_base::receive_buffer_size(kSocketBufferBytes), ignored);
+  socket.set_option(asio::socket_base::send_buffer_size(kSocketBufferBytes), ignored);
 }
 
-// What waits is received before anything is decided by the clock: after a pause this comes first.
+// Pending datagrams are processed before any decision that depends on the clock, so that after a pause of
+// this process they count before its timers fire.
 asio::awaitable<void> Actor::receive_from(udp::socket& socket) {
   for (;;) {
     error_code error;
@@ -86,7 +102,7 @@
     error_code woken;
     co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, woken));
     if (!socket_.is_open()) co_return;
-    if (woken) continue;  // a datagram has moved the wake-up
+    if (woken) continue;  // cancelled: a datagram has changed the next wake-up
     receive_pending(socket_);
     if (has_secondary()) receive_pending(secondary_socket_);
     if (hooks_.local_state && !leaving_) {
@@ -101,10 +117,10 @@
 }
 
 void Actor::receive_pending(udp::socket& socket) {
-  for (std::size_t k = 0; k < kMaxBatch; ++k) {
+  for (std::size_t k = 0; k < kMaxDatagramsPerTurn; ++k) {
     error_code error;
     const auto bytes = socket.receive_from(asio::buffer(buffer_), sender_, 0, error);
-    if (error) return;  // none waits; or an error of one datagram, which is over with it
+    if (error) return;  // no datagram is pending, or the error concerned a single datagram
     handle(bytes, socket);
   }
 }
@@ -121,8 +137,8 @@
   const auto at = now();
   if (decode_error_logged_at_ != TimePoint{} && at - decode_error_logged_at_ < kMinLogInterval) return;
   decode_error_logged_at_ = at;
-  log_.line(std::string("membership: datagrams left unread, the newest as ") + text_of(error) + ": " +
-                std::to_string(decode_errors_[std::size_t(error)]) + " so far",
+  log_.line("membership: dropped a datagram from " + text_of(address_of(sender_)) + ": " + text_of(error) +
+                "; " + std::to_string(decode_errors_[std::size_t(error)]) + " dropped for this reason so far",
             {{"event", "membership_bad_datagram"}, {"why", text_of(error)}});
 }
 
@@ -137,7 +153,7 @@
   timer_.cancel();
 }
 
-// Never waits: a full buffer loses the datagram, as the network might.
+// Does not wait: if the send buffer is full, the datagram is dropped and counted.
 void Actor::send(udp::socket& by, const udp::endpoint& to, const std::string& bytes) {
   error_code error;
   by.send_to(asio::buffer(bytes), to, 0, error);
@@ -169,53 +185,51 @@
   dispatch_outputs();
 }
 
-void Actor::log_change(const Change& c) {
+void Actor::log_change(const Change& change) {
   const auto line = [&](const std::string& text, std::string_view event) {
-    log_.line("membership: " + text, {{"event", event}, {"subject", c.name}});
+    log_.line("membership: " + text, {{"event", event}, {"subject", change.name}});
   };
-  const auto i = member_.roster().find(c.name);
-  switch (c.kind) {
+  const auto i = member_.roster().find(change.name);
+  switch (change.kind) {
     case ChangeKind::joined:
-      return line(c.name + " joined", "member_joined");
+      return line(change.name + " joined", "member_joined");
     case ChangeKind::restarted:
-      return line(c.name + " has restarted", "member_restarted");
+      return line(change.name + " has restarted", "member_restarted");
     case ChangeKind::suspected:
-      return line(c.name + " is suspect", "member_suspect");
+      return line(change.name + " is suspected to have failed", "member_suspect");
     case ChangeKind::refuted:
-      return line(c.name + " is alive", "member_alive");
+      return line(change.name + " is alive", "member_alive");
     case ChangeKind::died:
-      return line(c.name + " is held dead", "member_dead");
+      return line(change.name + " is declared dead", "member_dead");
     case ChangeKind::left:
-      return line(c.name + " has left", "member_left");
+      return line(change.name + " has left", "member_left");
     case ChangeKind::removed:
     case ChangeKind::metadata_updated:
     case ChangeKind::limit_holders:
       return;
     case ChangeKind::link_broken:
       if (i != kNoMember)
-        line(member_.roster().at(i).link_inbound ? "nothing arrives straight from " + c.name
-                                                 : "nothing arrives straight at " + c.name,
+        line(member_.roster().at(i).link_inbound ? "no datagrams arrive directly from " + change.name
+                                                 : "no datagrams arrive directly at " + change.name,
              "link_broken");
       return;
     case ChangeKind::link_recovered:
-      return line("straight link with " + c.name + " works again", "link_mended");
+      return line("direct link with " + change.name + " works again", "link_mended");
     case ChangeKind::local_connectivity:
-      return line(std::string("this process is ") + (member_.local_connectivity() == LocalConnectivity::ok
-                                                         ? "heard and hears again"
-                                                         : text_of(member_.local_connectivity())),
-                  "hearing");
+      return line(connectivity_text(member_.local_connectivity()), "hearing");
     case ChangeKind::view_certainty:
-      return line(member_.uncertain() ? "view uncertain: many silent at once, nobody is removed"
-                                      : "view certain again",
+      return line(member_.uncertain()
+                      ? "view uncertain: many members fell silent at once, none is declared dead"
+                      : "view certain again",
                   "certainty");
     case ChangeKind::quorum:
-      return line(
-          member_.has_quorum() ? "most of the fleet is seen again" : "no majority of the fleet is seen",
-          "majority");
+      return line(member_.has_quorum() ? "a majority of the fleet is reachable again"
+                                       : "no majority of the fleet is reachable",
+                  "majority");
     case ChangeKind::name_conflict:
       return line(member_.conflicting_address()
-                      ? "another process lives under this name at " + text_of(*member_.conflicting_address())
-                      : "no other process under this name any more",
+                      ? "another process runs under this name at " + text_of(*member_.conflicting_address())
+                      : "no other process runs under this name any more",
                   "twin");
   }
 }
@@ -230,7 +244,7 @@
   return false;
 }
 
-std::string Actor::name_of(std::uint64_t hash) const {
+std::string Actor::find_name(std::uint64_t hash) const {
   if (hash == name_hash(member_.self().name)) return member_.self().name;
   const auto& roster = member_.roster();
   for (Index i = 0; i < roster.slot_count(); ++i)
@@ -238,7 +252,7 @@
   return {};
 }
 
-MemberStatusLine Actor::own_status_line() const {
+MemberStatusLine Actor::make_own_status_line() const {
   MemberStatusLine line;
   line.name = member_.self().name;
   line.address = text_of(member_.self().address);
@@ -249,16 +263,16 @@
   return line;
 }
 
-MemberStatusLine Actor::status_line_of(const MemberState& e) const {
+MemberStatusLine Actor::make_status_line(const MemberState& member) const {
   MemberStatusLine line;
-  line.name = e.name;
-  line.address = text_of(e.address);
-  line.incarnation = e.incarnation;
-  line.status = e.status;
-  line.certain_status = e.certain_status;
-  line.reachable = e.reachable && e.status == Status::alive;
-  line.since_ms = std::uint64_t(std::max<std::int64_t>(to_milliseconds(now() - e.status_since), 0));
-  add_metadata(line, e.metadata);
+  line.name = member.name;
+  line.address = text_of(member.address);
+  line.incarnation = member.incarnation;
+  line.status = member.status;
+  line.certain_status = member.certain_status;
+  line.reachable = member.reachable && member.status == Status::alive;
+  line.since_ms = std::uint64_t(std::max<std::int64_t>(to_milliseconds(now() - member.status_since), 0));
+  add_metadata(line, member.metadata);
   return line;
 }
 
@@ -270,13 +284,13 @@
   line.recovery_status = metadata.recovery_status;
   if (metadata.conflicting_address) line.conflicting_address = text_of(metadata.conflicting_address);
   for (const auto& fault : metadata.links) {
-    auto peer = name_of(fault.peer);
+    auto peer = find_name(fault.peer);
     if (peer.empty()) continue;
     (fault.inbound ? line.unheard_from : line.not_reaching).push_back(std::move(peer));
   }
 }
 
-StatusReply Actor::status_header(const StatusQuery& query) const {
+StatusReply Actor::make_status_header(const StatusQuery& query) const {
   StatusReply reply;
   reply.nonce = query.nonce;
   reply.cluster = settings_.cluster;
@@ -290,25 +304,25 @@
   return reply;
 }
 
-void Actor::answer(const StatusQuery& query, udp::socket& by) {
+void Actor::answer(const StatusQuery& query, udp::socket& from) {
   if (!is_authorized(sender_.address())) return;
-  auto reply = status_header(query);
+  auto reply = make_status_header(query);
   if (query.recovery_report) {
     if (hooks_.recovery_report) reply.recovery_report = hooks_.recovery_report();
     reply.last = true;
     while (reply.recovery_report && encode(reply).size() > kMaxDatagram &&
            !reply.recovery_report->sources.empty())
       reply.recovery_report->sources.pop_back();
-    return send(by, sender_, encode(reply));
+    return send(from, sender_, encode(reply));
   }
-  // This member first, then the others by slot, so that a list that changes between two queries names nobody
-  // twice.
+  // The line of this process comes first, then the other members in the order of their slots, so that no
+  // member is listed twice if the roster changes between two queries.
   const auto& roster = member_.roster();
   auto next = query.from;
   for (; next <= roster.slot_count(); ++next) {
     const bool own = next == 0;
     if (!own && !roster.at(next - 1).known) continue;
-    reply.members.push_back(own ? own_status_line() : status_line_of(roster.at(next - 1)));
+    reply.members.push_back(own ? make_own_status_line() : make_status_line(roster.at(next - 1)));
     reply.next = next + 1;
     if (encode(reply).size() > kMaxDatagram) {
       reply.members.pop_back();
@@ -317,7 +331,7 @@
   }
   reply.next = next;
   reply.last = next > roster.slot_count();
-  send(by, sender_, encode(reply));
+  send(from, sender_, encode(reply));
 }
 
 }  // namespace granitegap::membership_udp
--- a/src/membership_udp/actor.h
+++ b/src/membership_udp/actor.h
@@ -1,10 +1,9 @@
-// The actor that takes part in the fleet: one UDP socket (two with a secondary path) and one
-// membership::Member.
+// Actor that runs one membership::Member over one UDP socket, or two with a secondary path.
 //
-// Queues are bounded: inbound by the socket's own buffer; outbound there is none, and a datagram that the
-// socket does not take at once is lost and counted, as any datagram may be. Nothing here waits for a peer.
-// Starts no thread; all calls come from the executor's. Errors: datagrams that don't decode are counted and
-// logged.
+// Queues are bounded. The inbound queue is the receive buffer of the socket. There is no outbound queue: a
+// datagram that the socket does not accept at once is dropped and counted, which the protocol tolerates like
+// any lost datagram. No operation waits for a peer. The actor starts no thread; all calls must come from the
+// executor's thread. Datagrams that can't be decoded are counted and logged.
 #pragma once
 #include <array>
 #include <boost/asio/awaitable.hpp>
@@ -24,51 +23,53 @@
 
 namespace granitegap::membership_udp {
 
-// Conversions between the protocol's addresses and sockets'.
+// Conversions between protocol addresses and socket endpoints.
 boost::asio::ip::udp::endpoint endpoint_of(const membership::Address& address);
 membership::Address address_of(const boost::asio::ip::udp::endpoint& endpoint);
 
+// Takes part in the fleet on behalf of this process.
 class Actor {
  public:
-  // What the program publishes of itself, asked for at each wake-up.
+  // Metadata that this process publishes about itself, read at each wake-up.
   struct LocalState {
     membership::Stage stage{};
     std::uint8_t warmup_percent = 0, pressure_percent = 0;
     std::vector<membership::EndpointHealth> endpoint_health;
     membership::RecoveryStatus recovery_status;
   };
+  // Callbacks into the rest of the process.
   struct Hooks {
     std::function<LocalState()> local_state;
-    // Takes a new view, at most once a wake-up.
+    // Receives each new view, at most once per batch of processed datagrams or wake-up.
     std::function<void(std::shared_ptr<const membership::View>)> view;
     std::function<TimePoint()> clock;
-    // Absent where recovery is not controlled.
+    // Returns no report if recovery is not controlled.
     std::function<std::optional<RecoveryReport>()> recovery_report;
   };
-  // Throws boost::system::system_error where an address can't be bound. `log` must outlive it.
+  // Throws boost::system::system_error if an address can't be bound. `log` must outlive the actor.
   Actor(const boost::asio::any_io_executor& executor, Settings settings, std::string name,
         std::uint64_t boot_id, membership::Incarnation first_incarnation, std::uint64_t seed, Hooks hooks,
         Logger& log);
-  // Receives from the primary socket until it is closed.
+  // Processes datagrams of the primary socket until it is closed.
   boost::asio::awaitable<void> receive() { return receive_from(socket_); }
-  // The same of the secondary socket; only where has_secondary().
+  // Processes datagrams of the secondary socket until it is closed. Requires has_secondary().
   boost::asio::awaitable<void> receive_secondary() { return receive_from(secondary_socket_); }
   bool has_secondary() const { return secondary_socket_.is_open(); }
-  // Wakes the member when it is due, until the socket is closed.
+  // Wakes the member whenever a wake-up is due, until the primary socket is closed.
   boost::asio::awaitable<void> run();
-  // Takes over new options; logs the settings that wait for a restart.
+  // Applies new options, and logs the changed settings that take effect only after a restart.
   void change(Settings settings);
   // Starts a graceful leave.
   void leave();
-  // Whether a started leave is over, or none was started.
+  // Returns whether the graceful leave has finished, or none was started.
   bool has_left() const { return !leaving_ || member_.has_left(); }
   boost::asio::ip::udp::endpoint local() const { return socket_.local_endpoint(); }
   const membership::Member& member() const { return member_; }
-  // Whether a host may ask this process about the fleet: loopback and known members.
+  // Returns whether status queries from `host` are answered: those of loopback and of hosts of known members.
   bool is_authorized(const boost::asio::ip::address& host) const;
-  // Since the last valid datagram of a member.
+  // Returns the time since the last valid datagram of another member arrived.
   Duration time_since_last_received() const { return now() - std::min(member_.last_received_at(), now()); }
-  // Member::set_join_addresses().
+  // See Member::set_join_addresses().
   void set_join_addresses(std::vector<membership::Address> addresses) {
     member_.set_join_addresses(std::move(addresses));
   }
@@ -84,11 +85,11 @@
             const std::string& bytes);
   void log_change(const membership::Change& change);
   void count_decode_error(DecodeError error);
-  StatusReply status_header(const StatusQuery& query) const;
-  MemberStatusLine own_status_line() const;
-  MemberStatusLine status_line_of(const membership::MemberState& e) const;
+  StatusReply make_status_header(const StatusQuery& query) const;
+  MemberStatusLine make_own_status_line() const;
+  MemberStatusLine make_status_line(const membership::MemberState& member) const;
   void add_metadata(MemberStatusLine& line, const membership::MemberMetadata& metadata) const;
-  std::string name_of(std::uint64_t hash) const;
+  std::string find_name(std::uint64_t hash) const;
   TimePoint now() const { return hooks_.clock(); }
 
   Settings settings_;
--- a/src/membership_udp/codec.cpp
+++ b/src/membership_udp/codec.cpp
@@ -14,12 +14,13 @@
 
 namespace {
 
-// The envelope: magic with the format's version, checksum, protobuf message.
+// Envelope: magic with the format version, checksum (least significant byte first), protobuf message.
 constexpr std::string_view kMagic = "ggm1";
 constexpr std::size_t kChecksumBytes = 8;
 constexpr std::size_t kHeaderBytes = kMagic.size() + kChecksumBytes;
 
-std::uint64_t checksum_of(std::string_view bytes) {
+// Returns the XXH3 of the bytes after the header.
+std::uint64_t compute_checksum(std::string_view bytes) {
   return XXH3_64bits(bytes.data() + kHeaderBytes, bytes.size() - kHeaderBytes);
 }
 
@@ -30,6 +31,7 @@
   return sum;
 }
 
+// Encodes `packet` and puts the envelope in front.
 std::string seal(const wire::Packet& packet) {
   std::string bytes(kHeaderBytes, '\0');
   packet.AppendToString(&bytes);
@@ -40,7 +42,7 @@
 }  // namespace
 
 std::string reseal(std::string bytes) {
-  const auto sum = checksum_of(bytes);
+  const auto sum = compute_checksum(bytes);
   for (std::size_t i = 0; i < kChecksumBytes; ++i) bytes[kMagic.size() + i] = char(sum >> (8 * i));
   return bytes;
 }
@@ -67,7 +69,7 @@
 Decoded decode(std::string_view bytes, std::string_view cluster) {
   if (bytes.size() > kMaxDatagram) return DecodeError::oversized;
   if (bytes.size() < kHeaderBytes || !bytes.starts_with(kMagic)) return DecodeError::foreign;
-  if (stored_checksum(bytes) != checksum_of(bytes)) return DecodeError::checksum;
+  if (stored_checksum(bytes) != compute_checksum(bytes)) return DecodeError::checksum;
   wire::Packet packet;
   if (!packet.ParseFromArray(bytes.data() + kHeaderBytes, int(bytes.size() - kHeaderBytes)))
     return DecodeError::malformed;
@@ -90,8 +92,8 @@
 std::string text_of(const Address& a) {
   namespace ip = boost::asio::ip;
   if (a.v6) return "[" + ip::address_v6(a.ip).to_string() + "]:" + std::to_string(a.port);
-  const ip::address_v4::bytes_type four{a.ip[0], a.ip[1], a.ip[2], a.ip[3]};
-  return ip::address_v4(four).to_string() + ":" + std::to_string(a.port);
+  const ip::address_v4::bytes_type octets{a.ip[0], a.ip[1], a.ip[2], a.ip[3]};
+  return ip::address_v4(octets).to_string() + ":" + std::to_string(a.port);
 }
 
 Address address_of(const boost::asio::ip::address& ip, std::uint16_t port) {
@@ -101,8 +103,8 @@
   if (a.v6) {
     a.ip = ip.to_v6().to_bytes();
   } else {
-    const auto four = ip.to_v4().to_bytes();
-    std::copy(four.begin(), four.end(), a.ip.begin());
+    const auto octets = ip.to_v4().to_bytes();
+    std::copy(octets.begin(), octets.end(), a.ip.begin());
   }
   return a;
 }
--- a/src/membership_udp/status_client.h
+++ b/src/membership_udp/status_client.h
@@ -1,5 +1,5 @@
-// The client of `granitegap members` and `granitegap recovery`: queries a process for its view of the fleet
-// or its recovery, and prints the reply. Blocking; owns its socket for the time of the call.
+// Client of `granitegap members` and `granitegap recovery`: queries a process for its view of the fleet or
+// its recovery report, and formats the reply. Calls block, and each uses a socket of its own.
 #pragma once
 #include <chrono>
 #include <optional>
@@ -9,13 +9,14 @@
 
 namespace granitegap::membership_udp {
 
-// All members in one reply; absent where no complete reply came within `timeout`.
+// Queries the process at `address`, and returns its complete view, or only its recovery report. Retries lost
+// datagrams. Returns std::nullopt if no complete reply arrived within `timeout`.
 std::optional<StatusReply> query_status(const membership::Address& address, std::chrono::milliseconds timeout,
                                         bool recovery_report = false);
-// The view as one JSON object, and as a table.
+// Returns the view as one JSON object, or as a table.
 std::string to_json(const StatusReply& reply);
 std::string to_text(const StatusReply& reply);
-// The recovery report as one JSON object, and as text.
+// Returns the recovery report as one JSON object, or as text.
 std::string recovery_json(const StatusReply& reply);
 std::string recovery_text(const StatusReply& reply);
 
--- a/src/membership_udp/wire_reader.cpp
+++ b/src/membership_udp/wire_reader.cpp
@@ -14,7 +14,7 @@
 
 constexpr int kMaxUpdates = 64;
 constexpr std::uint32_t kMax16Bits = 65535;
-// A higher incarnation could not be refuted: there must be room above it.
+// Incarnations below this limit leave room for higher ones; the highest possible one could not be refuted.
 constexpr Incarnation kIncarnationLimit = Incarnation(1) << 62;
 
 }  // namespace
--- a/src/membership_udp/wire_reader.h
+++ b/src/membership_udp/wire_reader.h
@@ -1,16 +1,17 @@
-// Protobuf messages as values of the membership protocol: the reading half of the codec. Private to it.
+// Decoding half of the codec, private to it: converts protobuf messages to values of the membership protocol.
 //
-// Every field is checked against its bounds. The first one out of bounds invalidates the whole message: the
-// values read are then meaningless, and valid() is false.
+// Every field is checked against its bounds. One field out of bounds invalidates the whole message: valid()
+// then returns false, and the values read must not be used.
 #pragma once
 #include "membership.pb.h"
 #include "membership_udp/codec.h"
 
 namespace granitegap::membership_udp {
 
+// Converts one message and records whether its fields are within their bounds.
 class WireReader {
  public:
-  // Whether all that was read so far is within its bounds.
+  // Returns whether all fields read so far are within their bounds.
   bool valid() const { return valid_; }
 
   membership::Datagram read_datagram(const membership::wire::Packet& packet);
@@ -25,7 +26,7 @@
     require(value <= std::uint32_t(last));
     return Enum(value);
   }
-  // Printable ASCII without spaces.
+  // Reads printable ASCII without spaces, of at most `max_bytes`.
   std::string text(const std::string& value, std::size_t max_bytes);
   std::string name(const std::string& value);
   std::string optional_name(const std::string& value);
--- a/src/membership_udp/wire_writer.cpp
+++ b/src/membership_udp/wire_writer.cpp
@@ -63,7 +63,7 @@
   to.set_sent_ms(from.sent_ms);
 }
 
-// One overload a kind of body.
+// Writes the body of a packet; one overload for each alternative of Body.
 struct BodyWriter {
   wire::Packet& packet;
 
@@ -123,9 +123,9 @@
   to.set_keyed_wait_ms(report.keyed_wait_ms);
   for (const auto ms : report.reached_ms) to.add_reached_ms(ms);
   for (const auto& source : report.sources) {
-    auto& written = *to.add_sources();
-    written.set_name(source.name);
-    written.set_age_ms(source.age_ms);
+    auto& encoded = *to.add_sources();
+    encoded.set_name(source.name);
+    encoded.set_age_ms(source.age_ms);
   }
 }
 
--- a/src/membership_udp/wire_writer.h
+++ b/src/membership_udp/wire_writer.h
@@ -1,4 +1,4 @@
-// Values of the membership protocol as protobuf messages: the writing half of the codec. Private to it.
+// Encoding half of the codec, private to it: converts values of the membership protocol to protobuf messages.
 #pragma once
 #include "membership.pb.h"
 #include "membership_udp/codec.h"
--- a/tests/recovery_process_test.cpp
+++ b/tests/recovery_process_test.cpp
@@ -123,7 +123,7 @@
   EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
   EXPECT_EQ(f.insist(kToken)->code, standin::ResponseCode::served);
   const auto duplicate = f.start_duplicate("n0");
-  EXPECT_TRUE(f.wait_until([&] { return f.says("another process lives under this name"); }, kLong));
+  EXPECT_TRUE(f.wait_until([&] { return f.says("another process runs under this name"); }, kLong));
   EXPECT_EQ(f.report(kOther)->code, standin::ResponseCode::rejected);
   f.kill(duplicate);
   EXPECT_EQ(f.insist(kOther)->code, standin::ResponseCode::served);
