--- a/src/net/accept_loop.h
+++ b/src/net/accept_loop.h
@@ -1,6 +1,6 @@
 // The accept loop of the listeners that serve other members and operators.
 //
-// Header-only; to be used on the acceptor's executor.
+// Header-only. All functions run on the acceptor's executor.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -14,7 +14,8 @@
 
 namespace granitegap::net {
 
-// Adds one to a count of connections while it lives, so that an exception can't leave the count too high.
+// RAII increment of a connection count: adds one on construction and subtracts it on destruction, so that an
+// exception cannot leave the count too high.
 class ScopedCount {
  public:
   explicit ScopedCount(std::size_t& count) : count_(count) { ++count_; }
@@ -26,15 +27,16 @@
   std::size_t& count_;
 };
 
-// Takes over an accepted connection; one that it does not keep is closed.
+// Receives ownership of an accepted connection. The connection is closed when the handler drops the socket.
 using ConnectionHandler =
     std::function<void(boost::asio::ip::tcp::socket socket, const boost::asio::ip::address& client)>;
 
-// After an accept that failed, as with no descriptor left.
+// Delay before the next accept after one has failed, for example because the process has no file descriptor
+// left.
 inline constexpr std::chrono::milliseconds kAcceptRetryPause{50};
 
-// Accepts connections and hands each to `handle`, until `closed` is set. Whoever sets it then closes the
-// acceptor, which wakes this coroutine. The acceptor and the flag must outlive it.
+// Accepts connections and passes each to `handle` until `closed` is set. The code that sets `closed` must
+// then close the acceptor, which wakes this coroutine. The acceptor and the flag must outlive the coroutine.
 inline boost::asio::awaitable<void> accept_connections(boost::asio::ip::tcp::acceptor& acceptor,
                                                        const bool& closed, ConnectionHandler handle) {
   namespace asio = boost::asio;
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -20,24 +20,24 @@
 using boost::system::error_code;
 
 constexpr std::size_t kMaxQueuedMessages = 1024;
-// With more than either waiting to be written, nothing is read.
+// Reading pauses while more than either of these is waiting to be written.
 constexpr std::size_t kBackpressureMessages = 64;
 constexpr std::size_t kBackpressureBytes = 16384;
 
 constexpr auto kWriteTimeout = std::chrono::seconds(30);
 constexpr auto kLingerTimeout = std::chrono::seconds(3);
-// Well inside the 3 s within which a client that sends nothing is to be disconnected.
+// A client that sends nothing must be disconnected within 3 s; this leaves a wide margin.
 constexpr auto kFirstMessageTimeout = std::chrono::milliseconds(1500);
 constexpr auto kMessageTimeout = std::chrono::milliseconds(2500);
 
 constexpr int kMaxMalformedInARow = int(frames::kMaxOpenRequests);
 constexpr std::size_t kReadBytes = 4096;
-constexpr std::size_t kDiscardBytes = 1 << 20;  // by one call
-constexpr int kMaxDiscardCalls = 16;            // at a close; a client that sends faster than that is reset
+constexpr std::size_t kDiscardBytes = 1 << 20;  // maximum per recv call
+constexpr int kMaxDiscardCalls = 16;            // per close; a client that sends more gets a TCP reset
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
-// Drops bytes from the socket's receive buffer without copying them. What ::recv returns.
+// Discards bytes from the socket's receive buffer without copying them. Returns the result of ::recv.
 ssize_t discard(tcp::socket& socket) {
   return ::recv(socket.native_handle(), nullptr, kDiscardBytes, MSG_TRUNC | MSG_DONTWAIT);
 }
@@ -82,7 +82,8 @@
     co_await (read() && write());
     co_await linger();
   } catch (const std::exception& error) {
-    log_.line(std::string("connection dropped: ") + error.what(),
+    log_.line("connection " + std::to_string(std::uint64_t(id_)) +
+                  " failed with an exception, closing it: " + error.what(),
               {{"event", "connection_dropped"}, {"why", error.what()}});
   }
   close();
@@ -100,11 +101,12 @@
 void ClientConnection::enforce_timeouts(Clock::time_point now) {
   if (!socket_.is_open()) return;
   if (unsent_bytes_ > 0 && now - write_started_at_ > kWriteTimeout) return close();
-  // What lies unread is read first: a process that was suspended or starved must not end connections whose
-  // messages came in time.
+  // Unread bytes are read before a timeout applies: a process that was suspended or starved of CPU time must
+  // not end connections whose messages arrived in time.
   if (reading_done_ || is_backpressured() || has_unread_bytes()) return;
   const bool partial = has_partial_message();
-  // On a slow link the first message has as long as any other, from the connection's start.
+  // On a slow link the first message has the same time limit as any other, counted from the connection's
+  // start.
   const auto message_began = received_message_ ? message_progress_at_ : opened_at_;
   const bool first_overdue = !received_message_ && !partial && now - opened_at_ > kFirstMessageTimeout;
   const bool end_overdue = partial && now - message_began > kMessageTimeout;
@@ -115,7 +117,7 @@
 }
 
 void ClientConnection::deliver(OutgoingMessage message) {
-  // A client that sends malformed frames and never reads must not make its queue of errors grow without
+  // A client that sends malformed frames and never reads the errors must not make the queue grow without
   // bound.
   if (!outbox_.post(std::move(message)) && !outbox_.closed()) close();
 }
@@ -139,8 +141,8 @@
   return unsent_bytes_ > kBackpressureBytes || outbox_.size() > kBackpressureMessages;
 }
 
-// A client that does not read is not read from: its answers wait here, within bounds, and delay no one
-// else's.
+// Pauses reading from a client that does not read its answers. The queue of its answers stays bounded and
+// does not delay other connections.
 asio::awaitable<void> ClientConnection::wait_while_backpressured() {
   while (is_backpressured() && socket_.is_open()) {
     write_progress_.expires_at(Clock::time_point::max());
@@ -157,14 +159,15 @@
     if (error || !socket_.is_open()) co_return close();
     const auto result = read_available();
     if (result == ReadResult::failed) co_return close();
-    if (result == ReadResult::end_of_stream) break;  // what is owed is still written
+    if (result == ReadResult::end_of_stream) break;  // outstanding answers are still written
   }
   stop_reading();
 }
 
 ClientConnection::ReadResult ClientConnection::read_available() {
-  // One for all connections, as it is emptied before this returns: hundreds of idle connections would else
-  // hold a buffer each. Its size bounds the work for one connection in one turn of the event loop.
+  // Shared by all connections, because its content is consumed before this function returns; otherwise each
+  // of hundreds of idle connections would hold a buffer. Its size bounds the work for one connection in one
+  // iteration of the event loop.
   static std::array<char, kReadBytes> chunk;
   error_code error;
   const auto size = socket_.read_some(asio::buffer(chunk), error);
@@ -182,22 +185,25 @@
   while (auto message = decoder_.next()) {
     received_message_ = true;
     message_progress_at_ = last_active_;
-    const bool goes_on = std::visit([&](auto& content) { return handle(content); }, *message);
-    if (!goes_on) return;
+    const bool continue_reading = std::visit([&](auto& content) { return handle(content); }, *message);
+    if (!continue_reading) return;
   }
 }
 
-// Stops reading; the connection ends once what is open on it is answered.
+// Sends the error and stops reading. The connection ends once its open requests are answered.
 void ClientConnection::fail_connection(ConnectionError error) {
   const auto reason = error.reason();
-  log_.line("bad connection: " + reason, {{"event", "bad_connection"}, {"why", reason}});
+  log_.line("connection " + std::to_string(std::uint64_t(id_)) + ": error: " + reason +
+                "; closing it once its open requests are answered",
+            {{"event", "bad_connection"}, {"why", reason}});
   deliver(error);
   reading_done_ = true;
 }
 
-// Of two requests under one stream identifier the answer to the first could be read as the second's: the one
-// that is still open is cancelled, neither is served, and the connection fails.
-bool ClientConnection::claim_stream(std::uint32_t stream) {
+// Marks a stream identifier as used. If two requests had the same identifier, the client could take the
+// answer to the first for the answer to the second. On reuse, a request that is still open on the stream is
+// cancelled, the new one is not served, and the connection fails.
+bool ClientConnection::reserve_stream(std::uint32_t stream) {
   if (stream_ids_.mark_used(stream)) return true;
   if (open_streams_.contains(stream)) inputs_.post_control(edge::RequestCancelled{{id_, stream}});
   fail_connection({ConnectionErrorCode::stream_reused, {}});
@@ -206,7 +212,7 @@
 
 bool ClientConnection::handle(edge::Request& request) {
   const auto stream = request.reply_to.stream;
-  if (!claim_stream(stream)) return false;
+  if (!reserve_stream(stream)) return false;
   malformed_in_a_row_ = 0;
   const bool under_limit = open_streams_.size() < frames::kMaxOpenRequests;
   open_streams_.insert(stream);
@@ -221,12 +227,14 @@
 }
 
 bool ClientConnection::handle(frames::MalformedRequest& request) {
-  if (!claim_stream(request.stream)) return false;
+  if (!reserve_stream(request.stream)) return false;
   const auto reason = request.reason();
-  log_.line("bad request: " + reason, {{"event", "bad_request"}, {"why", reason}});
+  log_.line("connection " + std::to_string(std::uint64_t(id_)) + ": rejected malformed request on stream " +
+                std::to_string(request.stream) + ": " + reason,
+            {{"event", "bad_request"}, {"why", reason}});
   open_streams_.insert(request.stream);
   reject_request(request.stream);
-  // A client that sends the same again as soon as it is rejected would go on for ever.
+  // A client that resends a malformed request whenever it is rejected would do so indefinitely.
   if (++malformed_in_a_row_ < kMaxMalformedInARow) return true;
   fail_connection({ConnectionErrorCode::too_many_malformed_requests, {}});
   return false;
@@ -237,7 +245,8 @@
   return false;
 }
 
-// Through the edge's mailbox where it has capacity, so that this answer too carries the current load hint.
+// Rejects a request through the edge's mailbox if it has capacity, so that the answer carries the current
+// load hint; otherwise directly, with the newest known hint.
 void ClientConnection::reject_request(std::uint32_t stream) {
   if (inputs_.post(edge::MalformedRequest{{id_, stream}})) return;
   deliver(edge::Response{{id_, stream}, edge::Outcome::rejected, nullptr, load_hint_, {}, false});
@@ -267,7 +276,7 @@
   std::string bytes;
   const Overloaded append{
       [&](const edge::Response& answer) {
-        // A stream has one answer: for a second one it is no longer open.
+        // Only the first answer on a stream is sent; a later one finds the stream no longer open.
         if (open_streams_.erase(answer.to.stream)) frames::encode(answer, bytes);
       },
       [&](const edge::HealthResponse& answer) {
--- a/src/net/file_descriptor.h
+++ b/src/net/file_descriptor.h
@@ -1,4 +1,4 @@
-// Ownership of a file descriptor.
+// RAII ownership of a file descriptor that can be released.
 #pragma once
 #include <unistd.h>
 
@@ -6,7 +6,7 @@
 
 namespace granitegap::net {
 
-// Closes the descriptor when it is destroyed, unless it was released or moved from.
+// Owns at most one descriptor and closes it on destruction. Move-only; not thread-safe.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
@@ -20,10 +20,10 @@
   FileDescriptor& operator=(const FileDescriptor&) = delete;
   ~FileDescriptor() { reset(kNone); }
 
-  // -1: none.
+  // Returns the descriptor, or -1 if there is none.
   int get() const { return descriptor_; }
   explicit operator bool() const { return descriptor_ >= 0; }
-  // Hands the ownership to the caller.
+  // Transfers ownership to the caller.
   [[nodiscard]] int release() { return std::exchange(descriptor_, kNone); }
 
  private:
--- a/src/net/inherited_socket.cpp
+++ b/src/net/inherited_socket.cpp
@@ -20,7 +20,7 @@
   return descriptor;
 }
 
-// An integer option of SOL_SOCKET; absent if the descriptor is no socket.
+// Returns an integer option of SOL_SOCKET; absent if the descriptor is not a socket.
 std::optional<int> socket_option(int descriptor, int option) {
   int value = 0;
   socklen_t size = sizeof value;
@@ -39,27 +39,27 @@
   return std::nullopt;
 }
 
-const char* explain(InheritedSocketErrorCode code) {
+const char* describe(InheritedSocketErrorCode code) {
   switch (code) {
     case InheritedSocketErrorCode::not_a_number:
-      return "expected the number of a descriptor";
+      return "expected the number of a file descriptor";
     case InheritedSocketErrorCode::not_open:
-      return "this descriptor is not open";
+      return "this file descriptor is not open";
     case InheritedSocketErrorCode::not_a_socket:
-      return "this descriptor is no socket";
+      return "expected a listening TCP socket, but this file descriptor is not a socket";
     case InheritedSocketErrorCode::not_a_stream_socket:
-      return "this socket is no stream socket";
+      return "expected a listening TCP socket, but this is not a stream socket";
     case InheritedSocketErrorCode::not_an_internet_socket:
-      return "this socket is none of the internet";
+      return "expected a listening TCP socket, but this is neither an IPv4 nor an IPv6 socket";
     case InheritedSocketErrorCode::not_listening:
-      return "this socket does not listen";
+      return "expected a listening TCP socket, but this socket is not listening";
   }
   return "";
 }
 
 }  // namespace
 
-std::string InheritedSocketError::text() const { return value + ": " + explain(code); }
+std::string InheritedSocketError::text() const { return value + ": " + describe(code); }
 
 std::variant<FileDescriptor, InheritedSocketError> adopt_inherited_listener(std::string_view text) {
   const auto fail = [&](InheritedSocketErrorCode code) {
--- a/src/net/inherited_socket.h
+++ b/src/net/inherited_socket.h
@@ -1,5 +1,5 @@
-// The listening socket that the platform keeps open and every process of a tile server inherits: socket
-// passing, as systemd's LISTEN_FDS does it.
+// Socket passing: adopts the listening socket that the platform keeps open and that each process of a tile
+// server inherits, like systemd's LISTEN_FDS.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -19,18 +19,18 @@
   not_listening,
 };
 
-// Why a text names no listening socket.
+// Why a descriptor number does not name a usable listening socket.
 struct InheritedSocketError {
   InheritedSocketErrorCode code{};
-  std::string value;  // the text, at most 40 bytes of it
+  std::string value;  // the descriptor number as given, cut to 40 bytes
 
-  // For people, in one line that begins with the value.
+  // Returns a one-line message that begins with the value.
   std::string text() const;
 };
 
-// Takes ownership of the descriptor of which `text`, as of $EDGE_FD, is the number. It is checked to be an
-// open stream socket of the internet that listens, and marked so that programs started by this one don't
-// inherit it. On an error the descriptor is left alone.
+// Takes ownership of the descriptor whose number is `text`, the value of $EDGE_FD. Checks that it is an open,
+// listening TCP socket (stream, IPv4 or IPv6) and sets FD_CLOEXEC, so that child programs do not inherit it.
+// On an error the descriptor is left unchanged.
 [[nodiscard]] std::variant<FileDescriptor, InheritedSocketError> adopt_inherited_listener(
     std::string_view text);
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -14,20 +14,20 @@
 using namespace std::chrono_literals;
 
 constexpr int kBacklog = 4096;
-constexpr std::size_t kReservedDescriptors =
-    32;  // standard streams, kernel, announce service, the event loop
+// For the standard streams, the kernel link, the announce service and the event loop.
+constexpr std::size_t kReservedDescriptors = 32;
 constexpr auto kAcceptRetryDelay = 10ms;
 constexpr auto kTimeoutCheckInterval = 100ms;
-// A connection used that recently is not evicted: its client may not have read its answer yet.
+// A connection used within this time is not evicted: its client may not have read its answer yet.
 constexpr auto kRecentUse = 100ms;
 
-// How readily a connection is given up for a new one, from the least.
+// Eviction preference of a connection. A connection of a higher rank is evicted before one of a lower rank.
 enum class EvictionRank : std::uint8_t {
-  never,            // used a moment ago, with an answer owed, or with unread bytes that may be a request
-  message_pending,  // part of a message has come, or a health check waits
+  never,            // recently used, awaiting an answer, or with unread bytes that may be a request
+  message_pending,  // a partial message was received, or a health check awaits its answer
   idle,
-  silent,     // no message ever came
-  lingering,  // its work is over
+  silent,     // no message was ever received
+  lingering,  // everything is sent; only waiting for the client to close its side
 };
 
 EvictionRank eviction_rank(const ClientConnection& connection, ClientConnection::Clock::time_point now) {
@@ -74,19 +74,24 @@
       continue;
     }
     if (draining_) break;
-    log_.line("accept: " + error.message(), {{"event", "accept_failed"}, {"why", error.message()}});
+    log_.line("cannot accept a connection, retrying in " + std::to_string(kAcceptRetryDelay.count()) +
+                  " ms: " + error.message(),
+              {{"event", "accept_failed"}, {"why", error.message()}});
     if (error == asio::error::no_descriptors) evict_connection();
     accept_retry_.expires_after(kAcceptRetryDelay);
     co_await accept_retry_.async_wait(asio::redirect_error(asio::use_awaitable, error));
   }
 }
 
-// Keeps the process from running out of descriptors. With no connection to evict the new one is closed at
-// once: its client fails over sooner than from a backlog in which it waits.
+// Limits the number of connections, so that the process does not run out of file descriptors. If no
+// connection can be evicted, the new one is closed immediately: its client fails over sooner than if the
+// connection waited in the backlog.
 void Listener::admit(tcp::socket socket) {
   if (connections_.size() < max_connections_ || evict_connection())
     return start_connection(std::move(socket));
-  log_.line("accept: closed at once, every connection is in use", {{"event", "accept_full"}});
+  log_.line("new connection closed: all " + std::to_string(max_connections_) +
+                " connections are in use and none can be evicted",
+            {{"event", "accept_full"}});
 }
 
 asio::awaitable<void> Listener::enforce_timeouts() {
@@ -107,12 +112,12 @@
   asio::co_spawn(
       executor_, [connection]() -> asio::awaitable<void> { co_await connection->run(); },
       [this, id](const std::exception_ptr&) { connections_.erase(id); });
-  // Accepted before the socket closed, and got here after that.
+  // The connection was accepted before the listening socket closed, but is started after that.
   if (draining_) connection->deliver(GoAway{});
 }
 
-// True if there is one connection less, or one about to end. Of the highest rank the one unused for longest
-// goes.
+// Closes the least recently used connection of the highest eviction rank, unless enough connections are
+// already closed and about to be removed. Returns whether there is room for a new connection.
 bool Listener::evict_connection() {
   const auto now = ClientConnection::Clock::now();
   std::shared_ptr<ClientConnection> candidate;
@@ -142,15 +147,15 @@
 void Listener::close_idle_connections(Duration idle_for) {
   const auto idle_since = ClientConnection::Clock::now() - idle_for;
   for (const auto& [id, connection] : connections_) {
-    const bool is_over = connection->is_idle() && connection->has_read_everything();
-    if (is_over && connection->last_active() < idle_since) connection->close();
+    const bool can_close = connection->is_idle() && connection->has_read_everything();
+    if (can_close && connection->last_active() < idle_since) connection->close();
   }
 }
 
 void Listener::start_draining(BacklogPolicy backlog) {
   if (draining_) return;
-  // Before GOAWAY is sent: a connection to which it is under way is in use, and can't be evicted for those
-  // that wait in the backlog.
+  // The backlog is accepted before GOAWAY is sent: a connection with a GOAWAY in flight counts as in use and
+  // could not be evicted for a connection from the backlog.
   if (backlog == BacklogPolicy::accept) accept_backlog();
   draining_ = true;
   error_code ignored;
@@ -158,7 +163,7 @@
   for (const auto& [id, connection] : connections_) connection->deliver(GoAway{});
 }
 
-// Closing the socket over connections in its backlog would reset them, and lose the requests on them.
+// Closing the socket would reset the connections in its backlog and lose their requests.
 void Listener::accept_backlog() {
   error_code error;
   while (!error) {
--- a/src/net/outgoing_message.h
+++ b/src/net/outgoing_message.h
@@ -1,4 +1,4 @@
-// What the process sends to a client proxy.
+// Messages that the process sends to a client proxy.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -10,24 +10,24 @@
 namespace granitegap::net {
 
 enum class ConnectionErrorCode : std::uint8_t {
-  protocol_error,               // a frame that can't be read
-  stream_reused,                // two requests under one stream identifier
-  too_many_malformed_requests,  // in a row
-  no_message,                   // none came in time
-  unfinished_message,           // one began, and its end did not come in time
+  protocol_error,               // a frame that cannot be decoded
+  stream_reused,                // two requests with the same stream identifier
+  too_many_malformed_requests,  // consecutive malformed requests
+  no_message,                   // no first message arrived in time
+  unfinished_message,           // a message began but was not completed in time
 };
 
-// An error that belongs to no request. The connection ends once it is sent and all open requests are
+// An error of the connection as a whole. The connection ends once the error is sent and all open requests are
 // answered.
 struct ConnectionError {
   ConnectionErrorCode code{};
-  frames::ProtocolError protocol_error;  // for that code
+  frames::ProtocolError protocol_error;  // details, if the code is protocol_error
 
-  // For people, in one line.
+  // Returns a one-line message. It is sent to the client.
   std::string reason() const;
 };
 
-// Tells the client to send no new requests on this connection.
+// Requires the client to send no new requests on this connection.
 struct GoAway {};
 
 using OutgoingMessage = std::variant<edge::Response, edge::HealthResponse, ConnectionError, GoAway>;
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -1,5 +1,6 @@
-// How the listener for client proxies evicts, drains and closes connections. Each race is forced: what a
-// client writes lies in the socket, and the event loop is not run until the close is decided.
+// Eviction, drain and close of connections by the listener for client proxies. Each race is forced: the bytes
+// that a client writes stay unread in the socket, because the event loop does not run until the listener has
+// decided which connection to close.
 #include "net/listener.h"
 
 #include <doctest/doctest.h>
@@ -25,7 +26,7 @@
 using asio::ip::tcp;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMaxDescriptors = 64, kMaxConnections = 32;  // 32 are the process's own
+constexpr std::size_t kMaxDescriptors = 64, kMaxConnections = 32;  // the listener reserves 32 descriptors
 const std::string kHealthCheckFrame("\x00\x00\x00\x06\x06\x00\x00\x00\x01\x00", 10);
 
 struct ListenerFixture {
@@ -38,19 +39,18 @@
         io,
         [this]() -> asio::awaitable<void> {
           while (!mailbox.closed())
-            for (auto& m : co_await mailbox.take()) messages.push_back(std::move(m));
+            for (auto& message : co_await mailbox.take()) messages.push_back(std::move(message));
         },
         asio::detached);
     run_until([] { return true; });
   }
-  // Runs the event loop until the condition holds; only a test that waits for what never comes ends by the
-  // clock.
+  // Runs the event loop until the condition holds. Fails the test if it does not hold within 20 s.
   void run_until(const std::function<bool()>& condition) {
-    const auto hang = std::chrono::steady_clock::now() + 20s;
+    const auto deadline = std::chrono::steady_clock::now() + 20s;
     do {
       io.restart();
       io.poll();
-      REQUIRE(std::chrono::steady_clock::now() < hang);
+      REQUIRE(std::chrono::steady_clock::now() < deadline);
     } while (!condition());
   }
   tcp::socket& connect() {
@@ -62,46 +62,47 @@
     asio::write(to, asio::buffer(bytes));
     wait_until_received(to);
   }
-  // Until the system at the other end has all of it: it lies there unread, and a connection that it came on
-  // waits at the fixture.
+  // Waits until the peer's TCP stack has acknowledged all written bytes. They are then in the peer's receive
+  // buffer, and a new connection is in the listener's accept queue.
   void wait_until_received(tcp::socket& from) {
-    const auto hang = std::chrono::steady_clock::now() + 20s;
+    const auto deadline = std::chrono::steady_clock::now() + 20s;
     for (int left = 1; left > 0;) {
-      if (::ioctl(from.native_handle(), SIOCOUTQ, &left) != 0 || std::chrono::steady_clock::now() > hang)
-        FAIL("what was written does not arrive");
+      if (::ioctl(from.native_handle(), SIOCOUTQ, &left) != 0 || std::chrono::steady_clock::now() > deadline)
+        FAIL("the written bytes were not acknowledged within 20 s; unacknowledged: ", left);
       if (left > 0) std::this_thread::sleep_for(1ms);
     }
   }
-  // As many connections as there is room for, each of which has spoken and rests.
+  // Opens the maximum number of connections. Each has exchanged a health check and is idle.
   void fill_with_idle_connections() {
     for (std::size_t i = 0; i < kMaxConnections; ++i) exchange_health_check(connect());
-    std::this_thread::sleep_for(120ms);  // until none was used a moment ago
+    std::this_thread::sleep_for(120ms);  // until none counts as recently used
   }
   void exchange_health_check(tcp::socket& client) {
     const auto before = messages.size();
-    const auto had = client.available();
+    const auto available_before = client.available();
     write(client, kHealthCheckFrame);
     run_until([&] { return messages.size() > before; });
     const auto to = std::get<edge::HealthCheck>(messages.back()).reply_to;
     listener.deliver(to, edge::HealthResponse{to, true, {}});
-    run_until([&] { return client.available() > had; });
+    run_until([&] { return client.available() > available_before; });
   }
-  // Clients whose connections the door has ended: their check's answer, perhaps a word to go, then the end.
+  // Counts the clients whose connections the listener has ended. Discards the health check response, and a
+  // GOAWAY if there is one, before the end of the stream.
   std::size_t count_ended() {
-    std::size_t n = 0;
-    for (auto& c : clients) {
-      c.non_blocking(true);
-      const auto error = read_to_end(c).second;
-      n += error == asio::error::eof || error == asio::error::connection_reset;
+    std::size_t ended = 0;
+    for (auto& client : clients) {
+      client.non_blocking(true);
+      const auto error = read_to_end(client).second;
+      ended += error == asio::error::eof || error == asio::error::connection_reset;
     }
-    return n;
+    return ended;
   }
   std::size_t count_requests() const {
-    std::size_t n = 0;
-    for (const auto& m : messages) n += std::holds_alternative<edge::Request>(m);
-    return n;
+    std::size_t requests = 0;
+    for (const auto& message : messages) requests += std::holds_alternative<edge::Request>(message);
+    return requests;
   }
-  // What the client can still read until the connection ends, and how that is.
+  // Reads until an error. Returns the number of bytes read and the error that ended the read.
   std::pair<std::size_t, boost::system::error_code> read_to_end(tcp::socket& client) {
     std::size_t bytes = 0;
     for (char chunk[256];;) {
@@ -130,38 +131,39 @@
   return standin::encode_request({}, envelope);
 }
 
-TEST_CASE("eviction spares the longest idle connection if a request lies unread on it") {
+TEST_CASE("eviction skips the least recently used connection if it has an unread request") {
   ListenerFixture fixture;
   fixture.fill_with_idle_connections();
   auto& oldest = fixture.clients.front();
   fixture.write(oldest, request(2));
   fixture.write(fixture.connect(), "x");
-  fixture.listener.start_draining(
-      net::BacklogPolicy::accept);  // takes what waits at the door at once, before the loop reads anything
+  // Accepts the new connection immediately, before the event loop reads anything.
+  fixture.listener.start_draining(net::BacklogPolicy::accept);
   fixture.run_until([&] { return fixture.count_requests() == 1; });
   CHECK(!fixture.listener.is_quiescent());
   fixture.run_until([&] { return fixture.count_ended() > 0; });
-  CHECK(fixture.count_ended() == 1);  // another one made room
+  CHECK(fixture.count_ended() == 1);  // a different connection was evicted
 }
 
-TEST_CASE("eviction takes an idle connection before one with part of a message") {
+TEST_CASE("eviction prefers an idle connection to one with a partial message") {
   ListenerFixture fixture;
   fixture.fill_with_idle_connections();
   auto& oldest = fixture.clients.front();
-  const auto whole = request(2);
-  fixture.write(oldest, whole.substr(0, 20));
+  const auto complete_request = request(2);
+  fixture.write(oldest, complete_request.substr(0, 20));
   for (int i = 0; i < 50; ++i) fixture.run_until([] { return true; });
   for (auto& other : fixture.clients)
-    if (&other != &oldest) fixture.exchange_health_check(other);  // so that it is the one used longest ago
+    if (&other != &oldest)
+      fixture.exchange_health_check(other);  // so that `oldest` is the least recently used
   std::this_thread::sleep_for(120ms);
   fixture.write(fixture.connect(), "x");
   fixture.listener.start_draining(net::BacklogPolicy::accept);
-  fixture.write(oldest, whole.substr(20));
+  fixture.write(oldest, complete_request.substr(20));
   fixture.run_until([&] { return fixture.count_requests() == 1 && fixture.count_ended() > 0; });
   CHECK(fixture.count_ended() == 1);
 }
 
-TEST_CASE("a request in the backlog is accepted when draining starts, though every connection is in use") {
+TEST_CASE("a request in the backlog is accepted when draining starts at the connection limit") {
   ListenerFixture fixture;
   fixture.fill_with_idle_connections();
   fixture.write(fixture.connect(), request(1));
@@ -170,22 +172,22 @@
   CHECK(fixture.count_ended() == 1);
 }
 
-TEST_CASE("a listener with part of a message, or unread bytes, is not quiescent") {
+TEST_CASE("a listener with a partial message, unread bytes or an open request is not quiescent") {
   ListenerFixture fixture;
   auto& client = fixture.connect();
   fixture.exchange_health_check(client);
   fixture.run_until([&] { return fixture.listener.is_quiescent(); });
-  const auto whole = request(2);
-  fixture.write(client, whole.substr(0, 20));
+  const auto complete_request = request(2);
+  fixture.write(client, complete_request.substr(0, 20));
   CHECK(!fixture.listener.is_quiescent());  // unread
   for (int i = 0; i < 50; ++i) fixture.run_until([] { return true; });
-  CHECK(!fixture.listener.is_quiescent());  // read, and half of it is still to come
-  fixture.write(client, whole.substr(20));
+  CHECK(!fixture.listener.is_quiescent());  // partly read, the rest has not arrived
+  fixture.write(client, complete_request.substr(20));
   fixture.run_until([&] { return fixture.count_requests() == 1; });
-  CHECK(!fixture.listener.is_quiescent());  // its answer is owed
+  CHECK(!fixture.listener.is_quiescent());  // the request awaits its answer
 }
 
-TEST_CASE("closing all connections takes no answer from a client that has not read it yet") {
+TEST_CASE("closing all connections discards no answer that a client has not read yet") {
   ListenerFixture fixture;
   auto& client = fixture.connect();
   fixture.write(client, request(1));
@@ -194,14 +196,14 @@
   fixture.listener.deliver(from, edge::Response{from, edge::Outcome::rejected, nullptr, 1.0, {}, false});
   fixture.run_until([&] { return client.available() > 0; });
   const auto answer = client.available();
-  fixture.write(client, request(2));  // crosses the end: nobody will read it
+  fixture.write(client, request(2));  // arrives just before the close and is never read
   fixture.listener.close_all();
   const auto [bytes, end] = fixture.read_to_end(client);
   CHECK(bytes == answer);
   CHECK(end == asio::error::eof);
 }
 
-TEST_CASE("unread bytes are read before a timeout ends a connection, and a slow first message has its time") {
+TEST_CASE("timeouts spare connections with unread bytes or a slow first message, and end silent ones") {
   ListenerFixture fixture;
   using Clock = net::ClientConnection::Clock;
   const auto connect_pair = [&](edge::PeerId id) {
@@ -217,17 +219,18 @@
   };
   const auto silent = connect_pair(edge::PeerId{1001}), late = connect_pair(edge::PeerId{1002}),
              slow = connect_pair(edge::PeerId{1003});
-  const auto whole = request(1);
+  const auto complete_request = request(1);
   auto& late_client = *std::next(fixture.clients.begin());
-  fixture.write(late_client, whole);  // as if the process had stood still since it came
+  fixture.write(late_client,
+                complete_request);  // as if the process had been suspended since the request arrived
   late->enforce_timeouts(Clock::now() + 10s);
   fixture.run_until([&] { return fixture.count_requests() == 1; });
   for (int i = 0; i < 50; ++i) fixture.run_until([] { return true; });
-  CHECK(late_client.available() == 0);  // no word of an end
-  fixture.write(fixture.clients.back(), whole.substr(0, 20));
+  CHECK(late_client.available() == 0);  // no error frame was sent
+  fixture.write(fixture.clients.back(), complete_request.substr(0, 20));
   fixture.run_until([&] { return slow->has_partial_message(); });
   slow->enforce_timeouts(slow->opened_at() + 2400ms);
-  fixture.write(fixture.clients.back(), whole.substr(20));
+  fixture.write(fixture.clients.back(), complete_request.substr(20));
   fixture.run_until([&] { return fixture.count_requests() == 2; });
   for (int i = 0; i < 50; ++i) fixture.run_until([] { return true; });
   CHECK(fixture.clients.back().available() == 0);
