--- a/src/kernel/command_log.cpp
+++ b/src/kernel/command_log.cpp
@@ -5,7 +5,7 @@
 namespace granitegap::kernel {
 namespace {
 
-// Of a StartRun or ResumeRun.
+// Returns the run id of a StartRun or ResumeRun.
 const std::string& run_id(const edge::Command& command) {
   if (const auto* start = std::get_if<edge::StartRun>(&command)) return start->rid;
   return std::get<edge::ResumeRun>(command).rid;
@@ -33,9 +33,9 @@
   return false;
 }
 
-// After BOOTED sequence numbers go up by one. A notice that comes before it, or leaps ahead, is of another
-// incarnation unless it concerns a run of this one. Accepted, its number would make the next notices look
-// like replays, and their requests would stay unanswered.
+// After BOOTED, sequence numbers increase by one. A notice that arrives before BOOTED or skips numbers
+// belongs to another incarnation, unless it concerns a run of this one. If it were accepted, its number would
+// make the next notices look like replays, and their requests would stay unanswered.
 bool CommandLog::in_sequence(const Notice& notice) const {
   if (notice.sequence <= last_sequence_) return false;
   const bool is_next = booted_ && notice.sequence == last_sequence_ + 1;
--- a/src/kernel/command_log.h
+++ b/src/kernel/command_log.h
@@ -1,4 +1,4 @@
-// The commands that the kernel has been sent and not yet reported over, for replay after a reconnect.
+// The commands sent to the kernel whose outcome it has not yet reported, for resending after a reconnect.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -12,29 +12,31 @@
 namespace granitegap::kernel {
 
 // The in-flight command log: a write-ahead log of commands, in memory, and the sequence number of the last
-// notice. Knows no socket; not thread-safe.
+// accepted notice. No I/O; not thread-safe.
 //
-// Whether the kernel carried out a command on a lost connection is not known. The next connection starts with
-// a replay of notices, of which the answer to a SYSINFO request marks the end. What is still in flight then
-// is sent again: to a run that goes on that changes nothing, and a run whose end was replayed is no longer in
-// the log, so that nothing runs twice.
+// When a connection is lost, it is unknown whether the kernel carried out the last commands. The next
+// connection starts with a replay of notices, whose end is marked by the answer to a SYSINFO request.
+// Commands that are still in flight then are sent again. This has no effect on a run that is still in
+// progress, and a run whose end was replayed is no longer in the log, so no run is executed twice.
 class CommandLog {
  public:
-  // Adds a command that is about to be sent. Requests for gauges are not kept.
+  // Adds a command that is about to be sent. Requests for gauges are not recorded.
   void record(const edge::Command& command);
 
-  // Whether the notice is new and concerns this process; it then completes what it reports over. False for
-  // one that was read before, or that belongs to an earlier incarnation: the kernel outlives the program, and
-  // may report runs that an earlier process started, under that process's sequence numbers.
+  // Returns whether the notice is new and concerns this process; if so, removes the command that it
+  // completes. False for a notice that was accepted before or belongs to an earlier incarnation: the kernel
+  // outlives the tile server process and may report runs that an earlier process started, with that process's
+  // sequence numbers.
   [[nodiscard]] bool accept(const Notice& notice);
 
-  // A new connection: until its BOOTED notice, nothing answers what is sent on it.
+  // To be called when a connection opens: notices before its BOOTED notice do not answer commands sent on it.
   void connection_opened() { booted_ = false; }
 
-  // The highest sequence number accepted; 0: none.
+  // Returns the highest accepted sequence number, or 0 if there is none.
   std::uint64_t last_sequence() const { return last_sequence_; }
 
-  // What is in flight, in the order in which it was recorded; each stop after its run, deep checks last.
+  // Returns the commands in flight: runs in the order in which they were recorded, each followed by its stop
+  // if there is one, then the deep health checks.
   std::vector<edge::Command> commands_to_resend() const;
 
  private:
@@ -49,7 +51,7 @@
 
   std::uint64_t last_sequence_ = 0;
   std::uint64_t next_order_ = 0;
-  bool booted_ = false;  // BOOTED has come on the present connection
+  bool booted_ = false;  // BOOTED was received on the current connection
   std::map<std::string, InFlightRun> runs_;
   std::set<std::uint64_t> deep_checks_;
 };
--- a/src/kernel/line_codec.cpp
+++ b/src/kernel/line_codec.cpp
@@ -10,7 +10,7 @@
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::string_view kGaugesTag = "gauges";
 constexpr std::size_t kMaxLineBytes = 1024;
-constexpr std::size_t kMaxQuotedBytes = 120;  // of a malformed line, in its error
+constexpr std::size_t kMaxQuotedBytes = 120;  // of a malformed line, in its error message
 constexpr std::size_t kCompactFromBytes = 16384;
 
 class CommandEncoder {
@@ -51,11 +51,11 @@
 std::string DecodeError::reason() const {
   switch (code) {
     case DecodeErrorCode::unterminated_line:
-      return "line without an end";
+      return "no line end within " + std::to_string(kMaxLineBytes) + " bytes";
     case DecodeErrorCode::unterminated_payload:
-      return "result without a line end";
+      return "no line end after the payload of a notice";
     case DecodeErrorCode::malformed_notice:
-      return line;
+      return "malformed notice: " + line;
   }
   return {};
 }
--- a/src/kernel/line_codec.h
+++ b/src/kernel/line_codec.h
@@ -1,7 +1,8 @@
-// The kernel's line protocol: bytes to typed notices, and commands to bytes. No I/O.
+// Codec of the kernel's line protocol: decodes bytes into typed notices and encodes commands. No I/O.
 //
-// Lines end in CR LF; words are separated by spaces. Some notices are followed by as many bytes of payload as
-// their last word says, and another CR LF. Notices that matter after a reconnect carry a sequence number.
+// Lines end in CR LF; words are separated by spaces. Some notices are followed by a payload and another CR
+// LF; their last word is the payload's length in bytes. Notices that matter after a reconnect carry a
+// sequence number.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -14,42 +15,44 @@
 
 namespace granitegap::kernel {
 
-// A notice that carries no meaning beyond its sequence number.
+// A notice of which only the sequence number is used.
 struct IgnoredNotice {};
 
 // The answer to a SYSINFO request.
 struct SystemInfo {
-  std::string tag;  // the request's
+  std::string tag;  // repeated from the request
   edge::Gauges gauges;
 };
 
 enum class DecodeErrorCode : std::uint8_t {
-  unterminated_line,     // no line end within the longest line there is
+  unterminated_line,     // no line end within the maximum line length
   unterminated_payload,  // no line end after a notice's payload
-  malformed_notice,      // an unknown verb, or words that don't fit it
+  malformed_notice,      // an unknown verb, or missing or invalid arguments
 };
 
-// Bytes that are no notice. Nothing after them can be trusted.
+// Bytes that are not a valid notice. Bytes after them are not decoded, as their framing is unknown.
 struct DecodeError {
   DecodeErrorCode code{};
-  std::string line;  // for malformed_notice: the line's first 120 bytes
+  std::string line;  // for malformed_notice: the first 120 bytes of the line
 
-  // For people, in one line.
+  // Returns a one-line message for the log.
   std::string reason() const;
 };
 
+// A message from the kernel.
 struct Notice {
-  std::uint64_t sequence = 0;  // from 1; 0: not numbered
+  std::uint64_t sequence = 0;  // counted from 1; 0 if the notice has no number
   std::variant<edge::KernelStarted, edge::RunReport, edge::DependencyCallRequested, edge::CommandRejected,
                SystemInfo, edge::DeepHealthCheckResult, IgnoredNotice, DecodeError>
       content;
 };
 
-// Takes bytes as they come on one connection and gives complete notices.
+// Decodes the byte stream of one connection into notices.
 class NoticeDecoder {
  public:
+  // Appends received bytes, in pieces of any size.
   void add(std::string_view bytes);
-  // The next complete notice; absent until more bytes are added, and for good after a DecodeError.
+  // Returns the next complete notice. Absent until more bytes are added, and always after a DecodeError.
   [[nodiscard]] std::optional<Notice> next();
 
  private:
@@ -59,19 +62,19 @@
   Notice fail(DecodeErrorCode code, std::string line = {});
 
   std::string buffer_;
-  std::size_t position_ = 0;                // in the buffer: what lies before it is decoded
-  std::optional<Notice> awaiting_payload_;  // a notice whose payload has not all come
+  std::size_t position_ = 0;                // offset in the buffer of the first byte not yet decoded
+  std::optional<Notice> awaiting_payload_;  // a notice whose payload is incomplete
   std::size_t payload_bytes_ = 0;
   bool failed_ = false;
 };
 
-// The first line on a connection: asks for the notices after `last_sequence` to be replayed.
+// Appends the first line of a connection, which requests a replay of the notices after `last_sequence`.
 void encode_open(std::uint64_t last_sequence, std::string& out);
 
-// Asks for the gauges; the answer repeats `tag`.
+// Appends a request for the gauges. The answer repeats `tag`.
 void encode_sysinfo_request(std::string_view tag, std::string& out);
 
-// `names`: for the classes of runs.
+// Appends a command. `names` supplies the class names of runs.
 void encode(const edge::Command& command, const edge::NameRegistry& names, std::string& out);
 
 }  // namespace granitegap::kernel
--- a/src/kernel/link.cpp
+++ b/src/kernel/link.cpp
@@ -21,18 +21,24 @@
 constexpr std::chrono::milliseconds kMaxRetryPause = 200ms;
 constexpr std::chrono::milliseconds kFullMailboxPause = 1ms;
 constexpr std::size_t kReadBytes = 16384;
-// Of the SYSINFO request whose answer marks the end of the replayed notices.
+// Tag of the SYSINFO request whose answer marks the end of the replayed notices.
 constexpr std::string_view kReplayEndTag = "fence";
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
-struct FailureReason {
+struct FailureFormatter {
   std::string operator()(const error_code& error) const { return error.message(); }
-  std::string operator()(const DecodeError& error) const { return "unreadable line: " + error.reason(); }
-  std::string operator()(const WriteFailed&) const { return "write failed"; }
+  std::string operator()(const DecodeError& error) const {
+    return "cannot decode the kernel's output: " + error.reason();
+  }
+  std::string operator()(const WriteFailed&) const { return "write to the socket failed"; }
 };
 
-std::string reason_of(const LinkFailure& failure) { return std::visit(FailureReason{}, failure); }
+std::string describe(const LinkFailure& failure) { return std::visit(FailureFormatter{}, failure); }
+
+std::string to_string(const tcp::endpoint& endpoint) {
+  return endpoint.address().to_string() + ':' + std::to_string(endpoint.port());
+}
 
 }  // namespace
 
@@ -53,7 +59,7 @@
     gauges_requested_ = true;
   } else {
     command_log_.record(command);
-    if (!ready_) return;  // sent with all that is in flight, once the link is ready
+    if (!ready_) return;  // sent with all commands in flight once the link is ready
   }
   encode(command, names_, output_);
   wake_writer();
@@ -73,8 +79,9 @@
   for (;;) {
     endpoint_changed_ = false;
     const auto outcome = co_await connect_and_serve();
-    if (endpoint_changed_) {  // no fault of the new address: it is tried at once, and its first failure
-                              // logged
+    if (endpoint_changed_) {
+      // The failure belongs to the previous address: the new one is tried without delay, and its first
+      // failure is logged.
       pause = kMinRetryPause;
       connect_failure_logged_ = false;
       continue;
@@ -84,23 +91,26 @@
     retry_timer_.expires_after(pause);
     error_code cancelled;
     co_await retry_timer_.async_wait(into(cancelled));
-    // A connection that fails on the same bytes each time must not be retried in a tight loop.
+    // The backoff also covers connections that fail on the same bytes each time: they must not be retried in
+    // a tight loop.
     pause = endpoint_changed_ ? kMinRetryPause : std::min(pause * 2, kMaxRetryPause);
   }
 }
 
 void Link::log_outcome(const LinkOutcome& outcome) {
-  const auto reason = reason_of(outcome.failure);
+  const auto reason = describe(outcome.failure);
   if (outcome.progress == LinkProgress::ready) {
-    log_.line("kernel link lost: " + reason, {{"event", "kernel_lost"}, {"why", reason}});
+    log_.line("lost the connection to the kernel at " + to_string(kernel_) + ", reconnecting: " + reason,
+              {{"event", "kernel_lost"}, {"why", reason}});
     connect_failure_logged_ = false;
     return;
   }
   if (std::exchange(connect_failure_logged_, true)) return;
-  const auto* text = outcome.progress == LinkProgress::connected
-                         ? "kernel link ended before it was up, trying on: "
-                         : "kernel not reached, trying on: ";
-  log_.line(text + reason, {{"event", "kernel_not_reached"}, {"why", reason}});
+  const auto address = to_string(kernel_);
+  const auto text = outcome.progress == LinkProgress::connected
+                        ? "connection to the kernel at " + address + " ended before it was ready"
+                        : "cannot connect to the kernel at " + address;
+  log_.line(text + ", retrying: " + reason, {{"event", "kernel_not_reached"}, {"why", reason}});
 }
 
 asio::awaitable<LinkOutcome> Link::connect_and_serve() {
@@ -139,7 +149,7 @@
   }
 }
 
-// False if this coroutine is cancelled instead: the connection ended on the reader's side.
+// Returns false if the coroutine is cancelled because the reader has ended the connection.
 asio::awaitable<bool> Link::wait_for_output() {
   while (output_.empty()) {
     output_added_.expires_at(std::chrono::steady_clock::time_point::max());
@@ -186,9 +196,10 @@
 
 asio::awaitable<void> Link::handle_boot(const edge::KernelStarted& started) {
   const auto* caches = started.cold ? "cold" : "warm";
-  const std::int64_t ago_ms = started.uptime.count();
-  log_.line(std::string("kernel up: ") + caches + ", started " + std::to_string(ago_ms) + " ms ago",
-            {{"event", "kernel_up"}, {"cores", caches}, {"ago_ms", ago_ms}});
+  const std::int64_t uptime_ms = started.uptime.count();
+  log_.line("connected to the kernel at " + to_string(kernel_) + ": " + caches + " caches, started " +
+                std::to_string(uptime_ms) + " ms ago",
+            {{"event", "kernel_up"}, {"cores", caches}, {"ago_ms", uptime_ms}});
   encode_sysinfo_request(kReplayEndTag, output_);
   wake_writer();
   co_await forward(started);
@@ -208,9 +219,10 @@
   wake_writer();
 }
 
-// No notice may be dropped: while the mailbox is full the link stops reading, and the kernel waits with it.
+// Posts a notice to the edge. No notice may be dropped: while the mailbox is full, the link stops reading,
+// and TCP flow control holds the kernel back.
 asio::awaitable<void> Link::forward(edge::Input input) {
-  // A mailbox that does not take a message leaves it where it is.
+  // post() leaves the message unmoved if it returns false.
   while (!inputs_.post(std::move(input))) {  // NOLINT(bugprone-use-after-move)
     if (inputs_.closed()) co_return;
     asio::steady_timer pause(executor_, kFullMailboxPause);
--- a/src/kernel/link.h
+++ b/src/kernel/link.h
@@ -1,5 +1,5 @@
-// The connection to the kernel: an actor that reconnects with backoff, drops notices that were read before,
-// and sends again what a lost connection swallowed.
+// The connection to the kernel: an actor that reconnects with backoff, drops replayed notices that were
+// already handled, and resends the commands in flight when a connection is lost.
 #pragma once
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/awaitable.hpp>
@@ -18,43 +18,45 @@
 
 namespace granitegap::kernel {
 
-// How far a connection had come when it ended.
+// The stage that a connection had reached when it ended.
 enum class LinkProgress : std::uint8_t {
   not_connected,
   connected,
-  ready,  // the replay of notices was over, and commands were being sent
+  ready,  // the replay of notices was complete and commands were being sent
 };
 
+// A write to the socket failed.
 struct WriteFailed {};
-// Why a connection ended: the socket's error, bytes that are no notice, or a write that failed.
+// Why a connection ended: a connect or read error, bytes that are not a valid notice, or a failed write.
 using LinkFailure = std::variant<boost::system::error_code, DecodeError, WriteFailed>;
 
+// How one connection attempt ended.
 struct LinkOutcome {
   LinkProgress progress = LinkProgress::not_connected;
   LinkFailure failure;
 };
 
-// All members are to be used on the executor's thread. Errors are logged, and the connection tried again.
+// All members must be called on the executor's thread. Errors are logged and the connection is retried.
 class Link {
  public:
   using InputMailbox = Mailbox<edge::Input>;
 
-  // `names`, `inputs`, to which notices go, and `log` must outlive the link.
+  // `inputs` receives the notices. `names`, `inputs` and `log` must outlive the link.
   Link(const boost::asio::any_io_executor& executor, boost::asio::ip::tcp::endpoint kernel,
        const edge::NameRegistry& names, InputMailbox& inputs, Logger& log);
 
-  // Connects, and connects again whenever the connection ends. Does not return.
+  // Connects, and reconnects whenever the connection ends. Does not return.
   boost::asio::awaitable<void> run();
 
-  // Sends the command, now or once the link is ready. Gauges are only asked for while it is, and once at a
-  // time.
+  // Sends the command immediately, or once the link is ready. A request for gauges is dropped if the link is
+  // not ready or another one is still unanswered.
   void send(const edge::Command& command);
 
-  // Whether commands are sent at once.
+  // Whether commands are sent immediately.
   bool is_ready() const { return ready_; }
 
-  // Changes the kernel's address. A connection to another address ends and the new one is tried without a
-  // pause; sequence numbers go on, and what is in flight is sent again.
+  // Changes the kernel's address. A connection to a different address is closed and the new address is tried
+  // without delay. Sequence numbers continue, and the commands in flight are sent again.
   void set_endpoint(const boost::asio::ip::tcp::endpoint& kernel);
 
  private:
@@ -77,14 +79,14 @@
   InputMailbox& inputs_;
   Logger& log_;
   CommandLog command_log_;
-  std::string output_;  // not yet handed to the socket
+  std::string output_;  // encoded lines not yet passed to the socket
   boost::asio::ip::tcp::socket socket_;
-  boost::asio::steady_timer output_added_;  // never expires: cancelled to wake the writer
+  boost::asio::steady_timer output_added_;  // never expires; cancelled to wake the writer
   boost::asio::steady_timer retry_timer_;
   bool ready_ = false;
   bool gauges_requested_ = false;
-  bool endpoint_changed_ = false;        // since the present attempt began
-  bool connect_failure_logged_ = false;  // one line for a row of failed attempts
+  bool endpoint_changed_ = false;        // since the current attempt began
+  bool connect_failure_logged_ = false;  // only the first of consecutive failures is logged
 };
 
 }  // namespace granitegap::kernel
--- a/src/kernel/notice_parser.cpp
+++ b/src/kernel/notice_parser.cpp
@@ -11,13 +11,13 @@
 namespace granitegap::kernel {
 namespace {
 
-constexpr std::size_t kMaxPayloadBytes = 262144;  // far over the protocol's 4 KiB
+constexpr std::size_t kMaxPayloadBytes = 262144;  // far above the protocol's limit of 4 KiB
 constexpr std::size_t kMaxWords = 40;
 constexpr double kMaxMilliseconds = 1e12;
 
 using Words = std::span<const std::string_view>;
 
-std::vector<std::string_view> split(std::string_view line) {
+std::vector<std::string_view> split_words(std::string_view line) {
   std::vector<std::string_view> words;
   while (!line.empty() && words.size() < kMaxWords) {
     const auto end = line.find(' ');
@@ -27,7 +27,7 @@
   return words;
 }
 
-// The whole of `text`; absent if it is no such number.
+// Parses all of `text` as a number; absent if it is not one or is out of range.
 template <class T>
 std::optional<T> parse_number(std::string_view text) {
   T value{};
@@ -49,7 +49,7 @@
   return bytes;
 }
 
-std::optional<edge::RunOutcome> parse_run_end(std::string_view word) {
+std::optional<edge::RunOutcome> parse_run_outcome(std::string_view word) {
   if (word == "OK") return edge::RunOutcome::ok;
   if (word == "ERROR") return edge::RunOutcome::error;
   if (word == "STOPPED") return edge::RunOutcome::stopped;
@@ -64,22 +64,23 @@
   return edge::CommandKind::other;
 }
 
-// REAP SEQUENCE RID END MILLISECONDS BYTES, and the run's result
+// REAP SEQUENCE RID OUTCOME MILLISECONDS BYTES, followed by the run's result of BYTES bytes.
 std::optional<ParsedLine> parse_reap(Words words) {
   if (words.size() != 6) return std::nullopt;
   const auto sequence = parse_number<std::uint64_t>(words[1]);
-  const auto end = parse_run_end(words[3]);
-  const auto took = parse_milliseconds(words[4]);
+  const auto outcome = parse_run_outcome(words[3]);
+  const auto milliseconds = parse_milliseconds(words[4]);
   const auto bytes = parse_payload_bytes(words[5]);
-  if (!sequence || !end || !took || !bytes) return std::nullopt;
-  edge::RunReport report{std::string(words[2]), *end, Duration(std::llround(*took * 1000)), std::string{}};
+  if (!sequence || !outcome || !milliseconds || !bytes) return std::nullopt;
+  edge::RunReport report{std::string(words[2]), *outcome, Duration(std::llround(*milliseconds * 1000)),
+                         std::string{}};
   return ParsedLine{{*sequence, std::move(report)}, bytes};
 }
 
-// IOREQ SEQUENCE RID BYTES, and as many bytes.
+// IOREQ SEQUENCE RID BYTES, followed by a payload of BYTES bytes.
 //
-// Not in the protocol's description, but sent where the settings name a downstream. It has to be accepted: a
-// connection that ended on it would be replayed the same notice, and end again.
+// Missing from the protocol's description, but sent if the settings name a downstream. It must be accepted:
+// if the connection failed on it, the next one would be replayed the same notice and fail again.
 std::optional<ParsedLine> parse_ioreq(Words words) {
   if (words.size() != 4) return std::nullopt;
   const auto sequence = parse_number<std::uint64_t>(words[1]);
@@ -88,7 +89,7 @@
   return ParsedLine{{*sequence, edge::DependencyCallRequested{std::string(words[2])}}, bytes};
 }
 
-// INFO TAG GAUGE...
+// INFO TAG GAUGE..., the answer to a SYSINFO request.
 std::optional<ParsedLine> parse_info(Words words) {
   if (words.size() < 2) return std::nullopt;
   SystemInfo info{std::string(words[1]), {}};
@@ -100,7 +101,7 @@
   return ParsedLine{{0, std::move(info)}, std::nullopt};
 }
 
-// DMESG SEQUENCE ...
+// DMESG SEQUENCE ..., a remark of which only the sequence number is used.
 std::optional<ParsedLine> parse_dmesg(Words words) {
   if (words.size() < 2) return std::nullopt;
   const auto sequence = parse_number<std::uint64_t>(words[1]);
@@ -108,14 +109,14 @@
   return ParsedLine{{*sequence, IgnoredNotice{}}, std::nullopt};
 }
 
-// EINVAL COMMAND [RID] ...
+// EINVAL COMMAND [RID] ..., the rejection of a command.
 std::optional<ParsedLine> parse_einval(Words words) {
   if (words.size() < 2) return std::nullopt;
   const auto rid = words.size() > 2 ? std::string(words[2]) : std::string{};
   return ParsedLine{{0, edge::CommandRejected{parse_command_kind(words[1]), rid}}, std::nullopt};
 }
 
-// POSTED TAG RESULT
+// POSTED TAG RESULT, the result of a deep health check.
 std::optional<ParsedLine> parse_posted(Words words) {
   if (words.size() != 3) return std::nullopt;
   const auto tag = parse_number<std::uint64_t>(words[1]);
@@ -123,13 +124,13 @@
   return ParsedLine{{0, edge::DeepHealthCheckResult{*tag, words[2] == "OK"}}, std::nullopt};
 }
 
-// BOOTED COLD|WARM MILLISECONDS
+// BOOTED COLD|WARM MILLISECONDS, the state of the caches and the time since the kernel started.
 std::optional<ParsedLine> parse_booted(Words words) {
   if (words.size() != 3) return std::nullopt;
   const bool cold = words[1] == "COLD";
-  const auto ago = parse_milliseconds(words[2]);
-  if (!ago || (!cold && words[1] != "WARM")) return std::nullopt;
-  return ParsedLine{{0, edge::KernelStarted{cold, std::chrono::milliseconds(std::llround(*ago))}},
+  const auto uptime = parse_milliseconds(words[2]);
+  if (!uptime || (!cold && words[1] != "WARM")) return std::nullopt;
+  return ParsedLine{{0, edge::KernelStarted{cold, std::chrono::milliseconds(std::llround(*uptime))}},
                     std::nullopt};
 }
 
@@ -145,7 +146,7 @@
 }  // namespace
 
 std::optional<ParsedLine> parse_line(std::string_view line) {
-  const auto words = split(line);
+  const auto words = split_words(line);
   if (words.empty()) return std::nullopt;
   for (const auto& candidate : kVerbs)
     if (candidate.verb == words.front()) return candidate.parse(words);
--- a/src/kernel/notice_parser.h
+++ b/src/kernel/notice_parser.h
@@ -1,4 +1,4 @@
-// One line of the kernel's protocol to a notice. Internal to this module.
+// Parser for a single line of the kernel's protocol. Internal to this module.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -8,12 +8,14 @@
 
 namespace granitegap::kernel {
 
+// A notice, complete except for its payload.
 struct ParsedLine {
   Notice notice;
-  std::optional<std::size_t> payload_bytes;  // that follow the line; absent: none do, not even an empty one
+  std::optional<std::size_t>
+      payload_bytes;  // size of the payload after the line; absent if none follows, not even an empty one
 };
 
-// Absent if the line is no notice.
+// Parses a line without its CR LF. Absent if the line is not a valid notice.
 std::optional<ParsedLine> parse_line(std::string_view line);
 
 }  // namespace granitegap::kernel
