--- a/src/frames/field_reader.h
+++ b/src/frames/field_reader.h
@@ -1,4 +1,4 @@
-// The list of named fields at the front of a frame's payload. Internal to this module.
+// Reads the list of named fields at the front of a frame's payload. Internal to this module.
 #pragma once
 #include <optional>
 #include <string_view>
@@ -7,8 +7,8 @@
 
 namespace granitegap::frames {
 
-// Takes a text that is preceded by its length, in `length_bytes` bytes, off the front of `payload`. Absent,
-// and nothing taken, if it runs past the end.
+// Removes a length-prefixed string from the front of `payload` and returns it. The prefix has `length_bytes`
+// bytes. Absent, with `payload` unchanged, if the string extends past the end of the payload.
 inline std::optional<std::string_view> take_text(std::string_view& payload, std::size_t length_bytes) {
   if (payload.size() < length_bytes) return std::nullopt;
   const std::size_t length = read_big_endian(payload.substr(0, length_bytes));
@@ -18,10 +18,10 @@
   return text;
 }
 
-// Calls `use(name, value)` for each field and leaves what follows the fields, the body, in `payload`. False
-// if the fields run past its end.
-template <class Use>
-[[nodiscard]] bool read_fields(std::string_view& payload, Use use) {
+// Calls `handle_field(name, value)` for each field and leaves the body, which follows the fields, in
+// `payload`. Returns false if the fields extend past the end of the payload.
+template <class FieldHandler>
+[[nodiscard]] bool read_fields(std::string_view& payload, FieldHandler handle_field) {
   if (payload.empty()) return false;
   const auto count = std::uint8_t(payload.front());
   payload.remove_prefix(1);
@@ -30,7 +30,7 @@
     if (!name) return false;
     const auto value = take_text(payload, kValueLengthBytes);
     if (!value) return false;
-    use(*name, *value);
+    handle_field(*name, *value);
   }
   return true;
 }
--- a/src/frames/frame_decoder.cpp
+++ b/src/frames/frame_decoder.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kMaxFrameBytes = 262144;
-// A complete request with its fields is well under this; what is larger is not buffered.
+// Larger frames are not buffered. A valid request with all its fields is well below this size.
 constexpr std::size_t kMaxBufferedFrameBytes = 8192;
 constexpr std::size_t kCompactFromBytes = 4096;
 
@@ -21,13 +21,13 @@
 std::string MalformedRequest::reason() const {
   switch (code) {
     case RequestErrorCode::frame_too_large:
-      return "request too large";
+      return "request frame exceeds " + std::to_string(kMaxBufferedFrameBytes) + " bytes";
     case RequestErrorCode::malformed_fields:
-      return "broken fields";
+      return "field list extends past the end of the frame";
     case RequestErrorCode::invalid_field:
-      return "missing or unusable field " + field;
+      return "missing or invalid field " + field;
     case RequestErrorCode::body_too_large:
-      return "body too large";
+      return "body exceeds " + std::to_string(kMaxBodyBytes) + " bytes";
   }
   return {};
 }
@@ -59,8 +59,8 @@
   buffer_ += bytes;
 }
 
-// Connections may send one request and then stay idle for hours: without this each would keep the memory that
-// its last request took.
+// Frees the buffer if all of it is decoded. Otherwise a connection that sends one request and then stays idle
+// for hours would keep the memory of that request.
 void FrameDecoder::release_buffer() {
   if (position_ < buffer_.size()) return;
   std::string().swap(buffer_);
--- a/src/frames/frame_decoder.h
+++ b/src/frames/frame_decoder.h
@@ -1,7 +1,8 @@
-// The binary frames of client proxies to typed messages. No I/O.
+// Decodes the binary frames of client proxies into typed messages. No I/O.
 //
-// The form of the frames is the platform's; what a peer sends that breaks it comes out as a typed error: one
-// of a request, after which the connection goes on, or one of the connection, which ends it.
+// The platform defines the frame format. Violations by a peer are reported as typed errors: a
+// MalformedRequest concerns a single request and the connection continues; a ProtocolError ends the
+// connection.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -15,60 +16,64 @@
 namespace granitegap::frames {
 
 inline constexpr std::size_t kMaxBodyBytes = 2048;
-inline constexpr std::size_t kMaxOpenRequests = 32;  // on one connection
+inline constexpr std::size_t kMaxOpenRequests = 32;  // per connection
 
+// Why a request was rejected while it was decoded.
 enum class RequestErrorCode : std::uint8_t {
   frame_too_large,
-  malformed_fields,  // the field list runs past the frame's end
-  invalid_field,     // missing, or with a value that is not accepted
+  malformed_fields,  // the field list extends past the end of the frame
+  invalid_field,     // a required field is missing or a value is not accepted
   body_too_large,
 };
 
-// A frame broken in a way that leaves its stream known: only that request is rejected.
+// An invalid request frame whose stream is known, so that only this request is rejected.
 struct MalformedRequest {
   std::uint32_t stream = 0;
   RequestErrorCode code{};
-  std::string field;  // the field's name, for invalid_field
+  std::string field;  // for invalid_field: the name of the field
 
-  // For people, in one line.
+  // Returns a one-line message for the log.
   std::string reason() const;
 };
 
+// Why decoding of a connection stopped.
 enum class ProtocolErrorCode : std::uint8_t {
   invalid_length,
-  oversize_frame,  // larger than any frame of its type may be
+  oversize_frame,  // larger than the limit for its type
   request_on_stream_zero,
   unknown_type,
   malformed_health_check,
 };
 
-// A violation after which nothing on the connection can be trusted: it ends once its open requests are
-// answered.
+// A violation after which no further bytes of the connection are decoded. The connection ends once its open
+// requests are answered.
 struct ProtocolError {
   ProtocolErrorCode code{};
-  std::size_t value =
-      0;  // invalid_length: the length in bytes; oversize_frame, unknown_type: the frame's type
+  // For invalid_length: the length in bytes. For oversize_frame and unknown_type: the frame's type.
+  std::size_t value = 0;
 
-  // For people, in one line.
+  // Returns a one-line message. It is sent to the client.
   std::string reason() const;
 };
 
+// A decoded frame, or the reason why it could not be decoded.
 using Message = std::variant<edge::Request, edge::HealthCheck, MalformedRequest, ProtocolError>;
 
-// Takes bytes as they come and gives whole messages. A frame too large to be a request is skipped as its
-// bytes arrive, so that a connection's buffer stays small whatever is sent.
+// Decodes the byte stream of one connection into messages. A request frame that exceeds the size limit is
+// skipped as its bytes arrive, so that the buffer stays small whatever the peer sends.
 class FrameDecoder {
  public:
-  // `names` must outlive the decoder. `peer`: stamped on the messages.
+  // `peer` becomes part of the reply address of each message. `names` must outlive the decoder.
   FrameDecoder(const edge::NameRegistry& names, edge::PeerId peer) : names_(&names), peer_(peer) {}
 
+  // Appends received bytes, in pieces of any size.
   void add(std::string_view bytes);
-  // The next complete message; absent until more bytes are added, and for good after a ProtocolError.
+  // Returns the next complete message. Absent until more bytes are added, and always after a ProtocolError.
   [[nodiscard]] std::optional<Message> next();
 
-  // In bytes, allocated or not.
+  // Returns the capacity of the buffer in bytes.
   std::size_t buffer_capacity() const { return buffer_.capacity(); }
-  // Whether part of a frame has come that is not complete.
+  // Whether part of a frame has been received, but not its end.
   bool in_frame() const { return skip_ > 0 || position_ < buffer_.size(); }
 
  private:
@@ -81,9 +86,9 @@
   const edge::NameRegistry* names_;
   edge::PeerId peer_;
   std::string buffer_;
-  std::size_t position_ = 0;  // in the buffer: what lies before it is decoded
-  std::size_t skip_ = 0;      // bytes of an oversize frame that are still to come
-  bool failed_ = false;       // a protocol error has been reported
+  std::size_t position_ = 0;  // offset in the buffer of the first byte not yet decoded
+  std::size_t skip_ = 0;      // bytes of an oversize frame that have not arrived yet
+  bool failed_ = false;       // a ProtocolError was returned
 };
 
 }  // namespace granitegap::frames
--- a/src/frames/frame_encoder.cpp
+++ b/src/frames/frame_encoder.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint32_t kConnectionStream = 0;
 constexpr int kHintDecimals = 4;
 
-// Appends a frame's header, and fills in the length when the frame is complete: on destruction.
+// Appends a frame header on construction and fills in the frame's length on destruction.
 class FrameWriter {
  public:
   FrameWriter(std::string& out, FrameType type, std::uint32_t stream) : out_(out), start_(out.size()) {
@@ -32,12 +32,12 @@
   std::size_t start_;
 };
 
-// Appends a list of fields: their count, in one byte, and each one's name and value.
+// Appends a list of fields: a count of one byte, then the name and value of each field.
 class FieldWriter {
  public:
-  explicit FieldWriter(std::string& out) : out_(out), count_at_(out.size()) { out_.push_back(0); }
+  explicit FieldWriter(std::string& out) : out_(out), count_position_(out.size()) { out_.push_back(0); }
   void add(std::string_view name, std::string_view value) {
-    ++out_[count_at_];
+    ++out_[count_position_];
     append_big_endian(out_, std::uint32_t(name.size()), kNameLengthBytes);
     out_ += name;
     append_big_endian(out_, std::uint32_t(value.size()), kValueLengthBytes);
@@ -46,7 +46,7 @@
 
  private:
   std::string& out_;
-  std::size_t count_at_;
+  std::size_t count_position_;
 };
 
 std::string format_hint(double hint) {
@@ -55,7 +55,7 @@
   return {text, result.ptr};
 }
 
-void add_rejection(const edge::Response& answer, FieldWriter& fields) {
+void add_rejection_fields(const edge::Response& answer, FieldWriter& fields) {
   const auto backoff = std::chrono::ceil<std::chrono::milliseconds>(answer.retry_after).count();
   if (backoff > 0) fields.add("backoff", std::to_string(backoff));
   if (answer.do_not_retry_elsewhere) fields.add("final", "1");
@@ -68,7 +68,7 @@
   append_big_endian(out, std::uint32_t(answer.outcome), 1);
   FieldWriter fields(out);
   if (answer.credit_hint) fields.add("hint", format_hint(*answer.credit_hint));
-  if (answer.outcome == edge::Outcome::rejected) add_rejection(answer, fields);
+  if (answer.outcome == edge::Outcome::rejected) add_rejection_fields(answer, fields);
   if (answer.outcome != edge::Outcome::served || !answer.payload) return;
   const auto& payload = *answer.payload;
   if (!payload.present_parts.empty()) fields.add("parts", payload.present_parts);
--- a/src/frames/request_parser.cpp
+++ b/src/frames/request_parser.cpp
@@ -15,9 +15,9 @@
 constexpr std::size_t kMaxTokenBytes = 64;
 constexpr std::int64_t kMaxUnixMilliseconds = std::int64_t(1) << 50;
 constexpr double kMaxMemoryMegabytes = 2000;
-constexpr double kMaxCostMilliseconds = 3.6e6;  // an hour on one core: no request is worth more
+constexpr double kMaxCostMilliseconds = 3.6e6;  // one hour on one core, the maximum cost of a request
 
-// The whole of `text` in that base; absent if it is anything else.
+// Parses all of `text` as an integer in the given base; absent if it is not one or is out of range.
 template <class T>
 std::optional<T> parse_integer(std::string_view text, int base) {
   T value{};
@@ -31,7 +31,8 @@
   return !text.empty() && text.find_first_not_of("0123456789") == std::string_view::npos;
 }
 
-// Digits, and a fraction after a point. std::from_chars alone would take signs, exponents and infinities too.
+// Parses digits with an optional decimal fraction. std::from_chars alone would also accept signs, exponents
+// and infinities.
 std::optional<double> parse_decimal(std::string_view text) {
   const auto point = text.find('.');
   if (!is_digits(text.substr(0, point))) return std::nullopt;
@@ -43,6 +44,7 @@
   return value;
 }
 
+// Collects the fields of one request.
 class RequestParser {
  public:
   RequestParser(const edge::ReplyAddress& origin, const edge::NameRegistry& names) : names_(names) {
@@ -50,7 +52,7 @@
     request_.tenant = names_.find_tenant({});
   }
 
-  // Fields that are not known are skipped.
+  // Validates and stores a field. Unknown fields are ignored.
   void add_field(std::string_view name, std::string_view value) {
     for (const auto& handler : kHandlers) {
       if (handler.name != name) continue;
@@ -59,7 +61,7 @@
     }
   }
 
-  // Once, when all fields are added.
+  // Returns the request or the error. To be called once, after all fields are added.
   Message finish(std::string_view body) {
     if (invalid_field_.empty()) invalid_field_ = missing_field();
     const auto fail = [&](RequestErrorCode code) {
@@ -74,7 +76,7 @@
   }
 
  private:
-  // Each takes a field's value and returns whether it is acceptable.
+  // The parser of a named field. It stores the value and returns whether the value is valid.
   struct Handler {
     std::string_view name;
     bool (RequestParser::*parse)(std::string_view value);
@@ -101,8 +103,8 @@
     request_.caller = CallerId(number.value_or(0));
     return is_digits(value) && number;
   }
-  // Where the settings name tenants a request of any other is rejected; a site without tenants accepts all
-  // names.
+  // If the settings name tenants, requests of other tenants are rejected; otherwise every tenant name is
+  // accepted.
   bool parse_tenant(std::string_view value) {
     request_.tenant = names_.find_tenant(value);
     return names_.tenants.empty() || std::size_t(request_.tenant) < names_.tenants.size();
@@ -120,7 +122,7 @@
     request_.memory = MemorySize(std::llround(*megabytes * 1000));
     return true;
   }
-  // Nothing goes by the priority; but a value out of range makes the request malformed.
+  // The priority is not used, but a value out of range makes the request malformed.
   bool parse_priority(std::string_view value) {
     const auto priority = parse_decimal(value);
     return priority && *priority < 1;
@@ -135,13 +137,13 @@
     return object.has_value();
   }
 
-  // The first required field that did not come; empty: all came.
+  // Returns the name of the first missing required field, or an empty string if none is missing.
   std::string_view missing_field() const {
     if (!class_) return "method";
     if (request_.rid.empty()) return "rid";
     if (!has_arrival_time_) return "t0";
     if (!has_memory_) return "mem";
-    // Without a key its attempts could not be told apart, and it could run twice.
+    // Without a key, retries of the request could not be recognised, and it could run twice.
     if (names_.requires_idempotency_key(*class_) && request_.idempotency_key.empty()) return "token";
     return {};
   }
@@ -151,7 +153,7 @@
   std::optional<ClassId> class_;
   bool has_arrival_time_ = false;
   bool has_memory_ = false;
-  std::string_view invalid_field_;  // the last one; empty: none
+  std::string_view invalid_field_;  // the last invalid field, or empty
 };
 
 const RequestParser::Handler RequestParser::kHandlers[10] = {
--- a/src/frames/request_parser.h
+++ b/src/frames/request_parser.h
@@ -1,4 +1,4 @@
-// The payload of a request frame: its fields and its body. Internal to this module.
+// Parser for the payload of a request frame: the fields and the body. Internal to this module.
 #pragma once
 #include <string_view>
 
@@ -7,7 +7,9 @@
 
 namespace granitegap::frames {
 
-// An edge::Request, or a MalformedRequest that names the last field that is not accepted.
+// Returns an edge::Request, or a MalformedRequest. If several fields have invalid values, the
+// MalformedRequest names the last of them; if none has, but required fields are missing, the first missing
+// one.
 Message parse_request(const edge::ReplyAddress& origin, std::string_view payload,
                       const edge::NameRegistry& names);
 
--- a/src/frames/stream_id_tracker.h
+++ b/src/frames/stream_id_tracker.h
@@ -1,4 +1,4 @@
-// Which stream identifiers a connection has carried already.
+// Tracks which stream identifiers a connection has used.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -6,12 +6,12 @@
 
 namespace granitegap::frames {
 
-// Keeps a watermark and the few identifiers above it, so that its size does not grow with the connection's
-// life.
+// Stores a watermark, up to which all identifiers count as used, and a bounded number of used identifiers
+// above it. Its size therefore does not grow with the connection's lifetime.
 class StreamIdTracker {
  public:
-  // Marks `stream` as used. False if it was used before, or lies so far behind the newest ones that this is
-  // no longer known.
+  // Marks `stream` as used. Returns false if it was used before, or is so far behind the newest identifiers
+  // that this is no longer known.
   [[nodiscard]] bool mark_used(std::uint32_t stream);
 
  private:
--- a/src/frames/wire_format.h
+++ b/src/frames/wire_format.h
@@ -1,8 +1,8 @@
-// Constants and primitives of the binary framing that the decoder and the encoder share. Internal to this
+// Constants and primitives of the binary framing, shared by the decoder and the encoder. Internal to this
 // module.
 //
-// A frame is a length of four bytes, a type of one, a stream of four, and the payload; numbers are
-// big-endian. The length counts all that follows it.
+// A frame consists of a length (4 bytes), a type (1 byte), a stream identifier (4 bytes) and the payload.
+// Numbers are big-endian. The length counts all bytes after the length itself.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -22,9 +22,9 @@
 inline constexpr std::size_t kLengthBytes = 4;
 inline constexpr std::size_t kTypeBytes = 1;
 inline constexpr std::size_t kStreamBytes = 4;
-inline constexpr std::size_t kHeaderBytes = kTypeBytes + kStreamBytes;  // what follows the length
+inline constexpr std::size_t kHeaderBytes = kTypeBytes + kStreamBytes;  // between the length and the payload
 
-// Field names and values carry their lengths in so many bytes.
+// Sizes of the length prefixes of field names and values.
 inline constexpr std::size_t kNameLengthBytes = 1;
 inline constexpr std::size_t kValueLengthBytes = 2;
 
--- a/tests/frame_decoder_test.cpp
+++ b/tests/frame_decoder_test.cpp
@@ -1,4 +1,4 @@
-// The binary frames of client proxies, decoded.
+// Decoding of the binary frames of client proxies.
 #include "frames/frame_decoder.h"
 
 #include <doctest/doctest.h>
@@ -6,24 +6,24 @@
 namespace granitegap {
 namespace {
 
-TEST_CASE("frames: a decoder with nothing undecoded holds no buffer") {
+TEST_CASE("frames: a decoder that has decoded all its input releases its buffer") {
   edge::NameRegistry catalog{{"tile"}, {}, {false}};
   frames::FrameDecoder decoder(catalog, edge::PeerId{1});
   const std::string check("\x00\x00\x00\x06\x06\x00\x00\x00\x02\x00", 10);
   for (int i = 0; i < 100; ++i) decoder.add(check);
-  int read = 0;
-  while (decoder.next()) ++read;
-  CHECK(read == 100);
+  int decoded = 0;
+  while (decoder.next()) ++decoded;
+  CHECK(decoded == 100);
   CHECK(decoder.buffer_capacity() == std::string().capacity());
 }
 
-TEST_CASE("frames: an oversize request is rejected and skipped, and the next frame is read") {
+TEST_CASE("frames: an oversize request is rejected and skipped, and the next frame is decoded") {
   edge::NameRegistry catalog{{"tile"}, {}, {false}};
   frames::FrameDecoder decoder(catalog, edge::PeerId{1});
   decoder.add(std::string_view("\x00\x03\x00\x00\x00\x00\x00\x00\x05", 9));
-  const auto bad = decoder.next();
-  REQUIRE(bad);
-  const auto& malformed = std::get<frames::MalformedRequest>(*bad);
+  const auto error = decoder.next();
+  REQUIRE(error);
+  const auto& malformed = std::get<frames::MalformedRequest>(*error);
   CHECK(malformed.stream == 5);
   CHECK(malformed.code == frames::RequestErrorCode::frame_too_large);
   const std::string filler(4096, 'x');
@@ -40,21 +40,22 @@
   CHECK(std::get<edge::HealthCheck>(*check).reply_to.stream == 2);
 }
 
+// Encodes a field.
 std::string field(const std::string& name, const std::string& value) {
   return char(name.size()) + name + '\0' + char(value.size()) + value;
 }
 
-// A request on stream 3 with these fields, of which `count` are announced.
+// Encodes a request on stream 3 with the given encoded fields and the given field count.
 std::string request_frame(int count, const std::string& fields) {
   const std::string payload = char(count) + fields;
   return std::string("\x00\x00\x00", 3) + char(payload.size() + 5) + std::string("\x00\x00\x00\x00\x03", 5) +
          payload;
 }
 
-TEST_CASE("frames: a malformed request names what is wrong with it") {
+TEST_CASE("frames: a malformed request names the invalid field or the error") {
   const edge::NameRegistry names{{"tile"}, {}, {false}};
   const auto method = field("method", "tile"), rid = field("rid", "00000000000000a1"), t0 = field("t0", "1");
-  const auto error_of = [&](const std::string& frame) {
+  const auto decode_error = [&](const std::string& frame) {
     frames::FrameDecoder decoder(names, edge::PeerId{1});
     decoder.add(frame);
     const auto message = decoder.next();
@@ -63,18 +64,19 @@
     CHECK(malformed.stream == 3);
     return malformed;
   };
-  CHECK(error_of(request_frame(3, method + rid + t0)).field == "mem");
-  CHECK(error_of(request_frame(1, field("method", "atlas"))).field == "method");
-  CHECK(error_of(request_frame(2, field("est", "-1") + field("prio", "1"))).field == "prio");  // the last one
-  const auto invalid = error_of(request_frame(2, method + field("t0", "+1")));
+  CHECK(decode_error(request_frame(3, method + rid + t0)).field == "mem");
+  CHECK(decode_error(request_frame(1, field("method", "atlas"))).field == "method");
+  CHECK(decode_error(request_frame(2, field("est", "-1") + field("prio", "1"))).field ==
+        "prio");  // the last one
+  const auto invalid = decode_error(request_frame(2, method + field("t0", "+1")));
   CHECK(invalid.code == frames::RequestErrorCode::invalid_field);
-  CHECK(invalid.reason() == "missing or unusable field t0");
-  CHECK(error_of(request_frame(2, method)).code == frames::RequestErrorCode::malformed_fields);
+  CHECK(invalid.reason() == "missing or invalid field t0");
+  CHECK(decode_error(request_frame(2, method)).code == frames::RequestErrorCode::malformed_fields);
 }
 
 TEST_CASE("frames: a protocol error names its cause, and nothing after it is decoded") {
   const edge::NameRegistry names{{"tile"}, {}, {false}};
-  const auto reason_of = [&](std::string_view frame) {
+  const auto decode_reason = [&](std::string_view frame) {
     frames::FrameDecoder decoder(names, edge::PeerId{1});
     decoder.add(frame);
     const auto message = decoder.next();
@@ -83,11 +85,11 @@
     CHECK_FALSE(decoder.next());
     return std::get<frames::ProtocolError>(*message).reason();
   };
-  CHECK(reason_of({"\x00\x00\x00\x04", 4}) == "frame of 4 bytes");
-  CHECK(reason_of({"\x00\x03\x00\x00\x06\x00\x00\x00\x01", 9}) == "oversize frame of type 6");
-  CHECK(reason_of({"\x00\x00\x00\x06\x00\x00\x00\x00\x00\x00", 10}) == "request on stream 0");
-  CHECK(reason_of({"\x00\x00\x00\x06\x05\x00\x00\x00\x01\x00", 10}) == "frame of unknown type 5");
-  CHECK(reason_of({"\x00\x00\x00\x06\x06\x00\x00\x00\x01\x01", 10}) == "health check with broken fields");
+  CHECK(decode_reason({"\x00\x00\x00\x04", 4}) == "frame of 4 bytes");
+  CHECK(decode_reason({"\x00\x03\x00\x00\x06\x00\x00\x00\x01", 9}) == "oversize frame of type 6");
+  CHECK(decode_reason({"\x00\x00\x00\x06\x00\x00\x00\x00\x00\x00", 10}) == "request on stream 0");
+  CHECK(decode_reason({"\x00\x00\x00\x06\x05\x00\x00\x00\x01\x00", 10}) == "frame of unknown type 5");
+  CHECK(decode_reason({"\x00\x00\x00\x06\x06\x00\x00\x00\x01\x01", 10}) == "health check with broken fields");
 }
 
 }  // namespace
--- a/tests/stream_id_tracker_test.cpp
+++ b/tests/stream_id_tracker_test.cpp
@@ -1,4 +1,4 @@
-// Which stream identifiers a connection has used.
+// Detection of reused stream identifiers on a connection.
 #include "frames/stream_id_tracker.h"
 
 #include <doctest/doctest.h>
@@ -6,7 +6,7 @@
 namespace granitegap {
 namespace {
 
-TEST_CASE("stream ids: an identifier is new once, in whatever order its neighbours come") {
+TEST_CASE("stream ids: each identifier is accepted once, in any order, unless it is too far behind") {
   frames::StreamIdTracker used;
   for (const std::uint32_t stream : {1, 3, 2, 7}) CHECK(used.mark_used(stream));
   for (const std::uint32_t stream : {1, 2, 3, 7, 0}) CHECK_FALSE(used.mark_used(stream));
