--- a/src/actor/mailbox.h
+++ b/src/actor/mailbox.h
@@ -1,7 +1,7 @@
-// The bounded mailbox of an actor: any coroutine posts, one receives.
+// The bounded mailbox of an actor: any number of coroutines post messages, one receives them.
 //
-// Threads: all calls on the one thread that runs the io_context. Messages are moved in and out. Nothing here
-// throws but for a lack of memory.
+// All members must be called on the thread that runs the io_context. Messages are moved in and out. No member
+// throws, except if memory cannot be allocated.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/redirect_error.hpp>
@@ -14,23 +14,25 @@
 
 namespace granitegap {
 
+// A queue of messages of type T for a single receiver.
 template <class T>
 class Mailbox {
  public:
   using Clock = std::chrono::steady_clock;
-  // `capacity`: in messages.
+  // `capacity` is the number of messages that post() accepts before they are taken.
   Mailbox(const boost::asio::any_io_executor& executor, std::size_t capacity)
       : wake_(executor), capacity_(capacity) {}
 
-  // False when full or closed: the message is left with the sender, who decides what that means.
+  // Adds a message. Returns false and leaves the message unmoved if the mailbox is full or closed; the sender
+  // decides how to handle that.
   [[nodiscard]] bool post(T&& message) {
     if (closed_ || full()) return false;
     append(std::move(message));
     return true;
   }
-  // Posts past the capacity: for messages that must never be lost, such as the end of a connection or the
-  // notice to stop, and whose number their sender bounds. Guards against a flood of other messages that
-  // leaves no capacity for them.
+  // Adds a message even if the mailbox is full, unless it is closed. For messages that must not be lost when
+  // other messages use up the capacity, such as the end of a connection or a request to stop. The sender must
+  // bound their number.
   void post_control(T&& message) {
     if (!closed_) append(std::move(message));
   }
@@ -39,14 +41,15 @@
   [[nodiscard]] bool empty() const { return messages_.empty(); }
   [[nodiscard]] std::size_t size() const { return messages_.size(); }
   [[nodiscard]] bool closed() const { return closed_; }
-  // Wakes the receiver. What was posted before can still be taken.
+  // Closes the mailbox and wakes the receiver. Messages posted before can still be taken.
   void close() {
     closed_ = true;
     wake_.cancel();
   }
 
   // Waits until there is a message, the mailbox is closed or `until` is reached. Returns all messages in the
-  // order in which they were posted; none at `until` or once closed.
+  // order in which they were posted. Returns no messages if there is none at `until` or when the mailbox is
+  // closed.
   boost::asio::awaitable<std::vector<T>> take(Clock::time_point until = Clock::time_point::max()) {
     while (messages_.empty() && !closed_ && Clock::now() < until) {
       wake_.expires_at(until);
--- a/src/load_report/load_reporter.cpp
+++ b/src/load_report/load_reporter.cpp
@@ -14,7 +14,8 @@
 using boost::system::error_code;
 using namespace std::chrono_literals;
 
-// The service drops an entry after 3 s without a report; several may be lost on the way.
+// The announce service drops an entry after 3 s without a report. The interval allows for several lost
+// reports.
 constexpr auto kReportInterval = 500ms;
 constexpr std::size_t kMaxQueuedReports = 64;
 
@@ -34,7 +35,9 @@
 
 void LoadReporter::report(const edge::LoadReport& report) {
   if (!mailbox_.post(report))
-    log_.line("announce: report left out, mailbox full", {{"event", "report_left_out"}});
+    log_.line("load report dropped, keeping the previous one: all " + std::to_string(kMaxQueuedReports) +
+                  " mailbox slots are in use",
+              {{"event", "report_left_out"}});
 }
 
 void LoadReporter::set_service(const udp::endpoint& service) { mailbox_.post_control(service); }
@@ -61,7 +64,7 @@
   const auto previous = std::exchange(service_, std::get<udp::endpoint>(message));
   if (previous.protocol() == service_.protocol()) return;
   error_code ignored;
-  socket_.close(ignored);  // opened again for the new protocol
+  socket_.close(ignored);  // reopened for the new address family by the next send
 }
 
 asio::awaitable<void> LoadReporter::send_newest() {
@@ -78,7 +81,8 @@
   const bool first_failure = error && !failure_logged_;
   failure_logged_ = bool(error);
   if (first_failure)
-    log_.line("announce: report not sent: " + error.message(),
+    log_.line("cannot send the load report to the announce service at " + service_.address().to_string() +
+                  ':' + std::to_string(service_.port()) + ", retrying: " + error.message(),
               {{"event", "report_not_sent"}, {"why", error.message()}});
 }
 
--- a/src/load_report/load_reporter.h
+++ b/src/load_report/load_reporter.h
@@ -1,4 +1,4 @@
-// Load reports to the announce service: an actor that repeats the newest one over UDP.
+// The load reporter: an actor that sends the newest load report to the announce service over UDP, repeatedly.
 #pragma once
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/awaitable.hpp>
@@ -14,26 +14,27 @@
 
 namespace granitegap::load_report {
 
-// The datagram for a report of the tile server `name`.
+// Encodes a load report of the tile server `name` as a datagram.
 std::string encode(std::string_view name, const edge::LoadReport& report);
 
-// All members are to be used on the executor's thread. Errors are logged, one line for a row of failed sends.
+// All members must be called on the executor's thread. Errors are logged; of consecutive failed sends only
+// the first is.
 class LoadReporter {
  public:
   // `log` must outlive the reporter.
   LoadReporter(const boost::asio::any_io_executor& executor, boost::asio::ip::udp::endpoint service,
                std::string name, Logger& log);
 
-  // Sends the newest report, at once and then twice a second. Does not return.
+  // Sends the newest report immediately and then twice a second. Does not return.
   boost::asio::awaitable<void> run();
 
   // Replaces the report that is sent.
   void report(const edge::LoadReport& report);
 
-  // Sends nothing any more: another process reports under this name.
+  // Stops sending, because another process now reports under this name.
   void stop_reporting() { stopped_ = true; }
 
-  // Changes the service's address; the newest report is sent there at once.
+  // Changes the address of the announce service. The newest report is sent there immediately.
   void set_service(const boost::asio::ip::udp::endpoint& service);
 
  private:
--- a/src/log/logger.cpp
+++ b/src/log/logger.cpp
@@ -11,7 +11,8 @@
 namespace granitegap {
 namespace {
 
-// Texts may contain what came from outside: replaced by ? where it could end the line or hide part of it.
+// Replaces every byte outside printable ASCII by '?'. Texts may contain external input, in which control
+// characters could end the line or hide part of it.
 std::string to_printable(std::string_view text) {
   std::string printable;
   for (const char c : text) printable += c >= ' ' && c < 127 ? c : '?';
@@ -36,13 +37,13 @@
 
 void Logger::line(std::string_view text, std::initializer_list<Field> fields) {
   if (!take_token()) {
-    ++left_out_;
+    ++dropped_lines_;
     return;
   }
-  const auto left_out = std::exchange(left_out_, 0);
+  const auto dropped_lines = std::exchange(dropped_lines_, 0);
   const auto printable = to_printable(text);
-  write(format_ == LogFormat::text ? format_text(printable, left_out)
-                                   : format_json(printable, fields, left_out));
+  write(format_ == LogFormat::text ? format_text(printable, dropped_lines)
+                                   : format_json(printable, fields, dropped_lines));
 }
 
 bool Logger::take_token() {
@@ -59,15 +60,16 @@
   out_->log(spdlog::level::info, spdlog::string_view_t(line.data(), line.size()));
 }
 
-std::string Logger::format_text(const std::string& text, std::size_t left_out) const {
+std::string Logger::format_text(const std::string& text, std::size_t dropped_lines) const {
   std::string out(name_);
   out += ": " + text;
-  if (left_out) out += " (" + std::to_string(left_out) + " lines left out before)";
+  if (dropped_lines)
+    out += " (" + std::to_string(dropped_lines) + " earlier lines dropped by the rate limit)";
   return out;
 }
 
 std::string Logger::format_json(const std::string& text, std::initializer_list<Field> fields,
-                                std::size_t left_out) const {
+                                std::size_t dropped_lines) const {
   nlohmann::ordered_json json;
   json["t_ms"] = unix_milliseconds();
   json["name"] = name_;
@@ -78,7 +80,7 @@
     else
       json[std::string(field.name)] = field.value;
   }
-  if (left_out) json["left_out"] = left_out;
+  if (dropped_lines) json["left_out"] = dropped_lines;
   constexpr int kOneLine = -1;
   constexpr bool kEscapeNonAscii = true;
   return json.dump(kOneLine, ' ', kEscapeNonAscii, nlohmann::ordered_json::error_handler_t::replace);
--- a/src/posix/unique_fd.h
+++ b/src/posix/unique_fd.h
@@ -10,7 +10,7 @@
 class UniqueFd {
  public:
   UniqueFd() = default;
-  // Takes ownership of `fd`; a negative value, as a failed open() returns it, means that there is none.
+  // Takes ownership of `fd`. A negative value, such as the result of a failed open(), means no descriptor.
   explicit UniqueFd(int fd) : fd_(fd) {}
   UniqueFd(UniqueFd&& other) noexcept : fd_(std::exchange(other.fd_, kNone)) {}
   UniqueFd& operator=(UniqueFd&& other) noexcept {
--- a/tests/mailbox_test.cpp
+++ b/tests/mailbox_test.cpp
@@ -1,4 +1,4 @@
-// The bounded mailbox of an actor.
+// Capacity and order of the bounded mailbox of an actor.
 #include "actor/mailbox.h"
 
 #include <doctest/doctest.h>
@@ -10,7 +10,7 @@
 namespace granitegap {
 namespace {
 
-TEST_CASE("mailbox: control messages are accepted when it is full, in order") {
+TEST_CASE("mailbox: control messages are accepted when the mailbox is full, and order is kept") {
   boost::asio::io_context io;
   Mailbox<int> mailbox(io.get_executor(), 1);
   CHECK(mailbox.post(1));
@@ -19,8 +19,8 @@
   boost::asio::co_spawn(
       io,
       [&]() -> boost::asio::awaitable<void> {
-        const auto all = co_await mailbox.take();
-        CHECK(all == std::vector<int>{1, 3});
+        const auto messages = co_await mailbox.take();
+        CHECK(messages == std::vector<int>{1, 3});
       },
       boost::asio::detached);
   io.run();
