--- a/src/kernel/notice_parser.h
+++ b/src/kernel/notice_parser.h
@@ -11,8 +11,8 @@
 // A notice, complete except for its payload.
 struct ParsedLine {
   Notice notice;
-  std::optional<std::size_t>
-      payload_bytes;  // size of the payload after the line; absent if none follows, not even an empty one
+  // Size of the payload after the line; absent if none follows, not even an empty one.
+  std::optional<std::size_t> payload_bytes;
 };
 
 // Parses a line without its CR LF. Absent if the line is not a valid notice.
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -113,8 +113,8 @@
   frames::StreamIdTracker stream_ids_;
   Clock::time_point opened_at_ = Clock::now();
   Clock::time_point last_active_ = opened_at_;
-  Clock::time_point message_progress_at_ =
-      opened_at_;  // when the last message ended or the current one began
+  // When the last message ended or the current one began.
+  Clock::time_point message_progress_at_ = opened_at_;
   Clock::time_point write_started_at_ = opened_at_;
 };
 
--- a/tests/frame_decoder_test.cpp
+++ b/tests/frame_decoder_test.cpp
@@ -66,8 +66,8 @@
   };
   CHECK(decode_error(request_frame(3, method + rid + t0)).field == "mem");
   CHECK(decode_error(request_frame(1, field("method", "atlas"))).field == "method");
-  CHECK(decode_error(request_frame(2, field("est", "-1") + field("prio", "1"))).field ==
-        "prio");  // the last one
+  // Of several invalid fields the last one is named.
+  CHECK(decode_error(request_frame(2, field("est", "-1") + field("prio", "1"))).field == "prio");
   const auto invalid = decode_error(request_frame(2, method + field("t0", "+1")));
   CHECK(invalid.code == frames::RequestErrorCode::invalid_field);
   CHECK(invalid.reason() == "missing or invalid field t0");
--- a/tests/kernel_command_log_test.cpp
+++ b/tests/kernel_command_log_test.cpp
@@ -28,8 +28,8 @@
   kernel::CommandLog command_log;
   command_log.connection_opened();
   CHECK_FALSE(command_log.accept({57, edge::RunReport{"old", edge::RunOutcome::ok, {}, "x"}}));
-  CHECK_FALSE(
-      command_log.accept({1, kernel::IgnoredNotice{}}));  // before BOOTED, so of an earlier incarnation
+  // Before BOOTED, so of an earlier incarnation.
+  CHECK_FALSE(command_log.accept({1, kernel::IgnoredNotice{}}));
   CHECK(command_log.accept({0, edge::KernelStarted{}}));
   CHECK_FALSE(command_log.accept({58, edge::RunReport{"older", edge::RunOutcome::ok, {}, "x"}}));
   CHECK(command_log.last_sequence() == 0);
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -152,9 +152,9 @@
   const auto complete_request = request(2);
   fixture.write(oldest, complete_request.substr(0, 20));
   for (int i = 0; i < 50; ++i) fixture.run_until([] { return true; });
+  // All others are used again, so that `oldest` is the least recently used.
   for (auto& other : fixture.clients)
-    if (&other != &oldest)
-      fixture.exchange_health_check(other);  // so that `oldest` is the least recently used
+    if (&other != &oldest) fixture.exchange_health_check(other);
   std::this_thread::sleep_for(120ms);
   fixture.write(fixture.connect(), "x");
   fixture.listener.start_draining(net::BacklogPolicy::accept);
@@ -221,8 +221,8 @@
              slow = connect_pair(edge::PeerId{1003});
   const auto complete_request = request(1);
   auto& late_client = *std::next(fixture.clients.begin());
-  fixture.write(late_client,
-                complete_request);  // as if the process had been suspended since the request arrived
+  // As if the process had been suspended since the request arrived.
+  fixture.write(late_client, complete_request);
   late->enforce_timeouts(Clock::now() + 10s);
   fixture.run_until([&] { return fixture.count_requests() == 1; });
   for (int i = 0; i < 50; ++i) fixture.run_until([] { return true; });
