--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -11,17 +11,18 @@
 namespace {
 
 constexpr std::size_t kReadChunk = std::size_t(1) << 20;
-constexpr int kMalformedStatus = 2;
+constexpr int kMalformedBatchStatus = 2;
 
-// Reads no more than has arrived, so that a false length costs no memory.
+// Reads `size` bytes into `to`. Returns false if the input ends before. Grows the buffer by at most
+// kReadChunk beyond the bytes received, so that a wrong length field does not allocate its full size.
 bool read_exactly(std::istream& in, std::size_t size, std::string& to) {
   to.clear();
   while (to.size() < size) {
     const auto chunk = std::min(kReadChunk, size - to.size());
-    const auto at = to.size();
-    to.resize(at + chunk);
-    in.read(to.data() + at, std::streamsize(chunk));
-    to.resize(at + std::size_t(in.gcount()));
+    const auto offset = to.size();
+    to.resize(offset + chunk);
+    in.read(to.data() + offset, std::streamsize(chunk));
+    to.resize(offset + std::size_t(in.gcount()));
     if (std::size_t(in.gcount()) < chunk) return false;
   }
   return true;
@@ -46,7 +47,7 @@
 
 std::string Adapter::answer(const wire::Batch& batch) {
   wire::Reply reply(batch.number);
-  std::vector<std::uint16_t> touched;  // in the order of their first event
+  std::vector<std::uint16_t> instances_with_events;  // in the order of their first event
   for (const auto& record : batch.records) {
     if (const auto* power = std::get_if<wire::PowerOn>(&record.body)) {
       power_on(record.instance, *power, batch.clock, reply);
@@ -59,10 +60,10 @@
     const auto it = instances_.find(record.instance);
     if (it == instances_.end()) continue;
     auto& instance = it->second;
-    if (instance.pending.empty()) touched.push_back(record.instance);
+    if (instance.pending.empty()) instances_with_events.push_back(record.instance);
     instance.pending.push_back(to_event(record, instance));
   }
-  for (const auto id : touched) {
+  for (const auto id : instances_with_events) {
     const auto it = instances_.find(id);
     if (it == instances_.end() || it->second.pending.empty()) continue;
     auto& instance = it->second;
@@ -83,14 +84,14 @@
       const auto header = wire::decode_header(bytes);
       if (!read_exactly(in, header.length, bytes))
         throw wire::MalformedBatch(header.number, wire::kHeaderBytes + bytes.size(),
-                                   std::to_string(header.length) + " bytes after the header");
+                                   std::to_string(header.length) + " bytes after the header (input ended)");
       const auto reply = adapter.answer(wire::decode_body(header, bytes));
       out.write(reply.data(), std::streamsize(reply.size()));
       out.flush();
     }
   } catch (const wire::MalformedBatch& malformed) {
     err << "granitegap_simulator: " << malformed.what() << '\n';
-    return kMalformedStatus;
+    return kMalformedBatchStatus;
   }
   return 0;
 }
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,3 +1,4 @@
+// Serves the simulator's wire format on standard input and output.
 #include <iostream>
 
 #include "simulator/adapter.h"
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// The simulator's wire and the loop that serves it.
+// Tests the simulator's wire format and the loop that serves it.
 #include "simulator/wire.h"
 
 #include <gtest/gtest.h>
@@ -12,18 +12,18 @@
 namespace granitegap {
 namespace {
 
-// Bytes from hexadecimal digits; other characters are skipped.
+// Converts hexadecimal digits to bytes. Skips other characters.
 std::string hex(std::string_view text) {
   std::string out;
   int high = -1;
   for (const char c : text) {
-    const int v = c >= '0' && c <= '9' ? c - '0' : c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
-    if (v < 0) continue;
+    const int digit = c >= '0' && c <= '9' ? c - '0' : c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
+    if (digit < 0) continue;
     if (high < 0) {
-      high = v;
+      high = digit;
       continue;
     }
-    out.push_back(char(high * 16 + v));
+    out.push_back(char(high * 16 + digit));
     high = -1;
   }
   return out;
@@ -45,11 +45,12 @@
   EXPECT_NE(err.str().find("offset 4"), std::string::npos);
 }
 
-struct Served {
+// Exit status and output of serve().
+struct ServeResult {
   int status;
   std::string out, err;
 };
-Served serve_bytes(const std::string& bytes) {
+ServeResult serve_bytes(const std::string& bytes) {
   std::istringstream in(bytes);
   std::ostringstream out, err;
   const int status = serve(in, out, err);
@@ -119,14 +120,14 @@
   EXPECT_EQ(out.status, 0);
   EXPECT_EQ(out.err, "");
 }
-TEST(Serve, RejectsAClockThatIsNotANumberAndReadsSuchADurationAsAbsent) {
+TEST(Serve, RejectsANanClockAndReadsANanDurationAsAbsent) {
   std::string f;
   put(f, std::uint16_t(3));
   put(f, std::nan(""));
   EXPECT_EQ(serve_bytes(batch(1, 1, power_on() + record(6, f), 2)).status, 0);
   EXPECT_NE(serve_bytes(batch(1, std::nan(""), "", 0)).status, 0);
 }
-TEST(Serve, ReportsFalseCountsAndLengthsInOneLineWithoutAReply) {
+TEST(Serve, ReportsWrongCountsAndLengthsInOneLineWithoutAReply) {
   std::string huge;
   put(huge, 7U);
   put(huge, 0xfffffff0U);
@@ -141,11 +142,12 @@
     EXPECT_EQ(std::count(out.err.begin(), out.err.end(), '\n'), 1);
   }
 }
-TEST(Serve, AnswersDamagedFramesOrReportsThem) {
-  const auto good = batch(1, 1, power_on(), 1) + batch(2, 30, record(8, hex("0300 00000000 01 0000803f")), 1);
+TEST(Serve, CorruptedFramesAreAnsweredOrReportedInOneLine) {
+  const auto valid =
+      batch(1, 1, power_on(), 1) + batch(2, 30, record(8, hex("0300 00000000 01 0000803f")), 1);
   std::uint32_t state = 1;
   for (int k = 0; k < 3000; ++k) {
-    auto bytes = good;
+    auto bytes = valid;
     state = state * 1664525U + 1013904223U;
     bytes[(state >> 8) % bytes.size()] = char(state >> 24);
     if (k % 3 == 0) bytes.resize((state >> 4) % bytes.size());
