--- a/examples/fleet/back.sh
+++ b/examples/fleet/back.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Three tile servers in full service; the third is killed and started again: whom it asks, how it comes back, and how
-# long that took. Run from the top of the project after the build.
+# Starts three tile servers, waits for full service, then kills and restarts the third. Shows which members the
+# restarted process queries, the phases of its recovery, and how long the recovery took. Run from the top of the
+# project after the build.
 set -eu
 work=$(mktemp -d)
 pids=
@@ -16,14 +17,14 @@
 }
 for n in 1 2 3; do start $n; done
 third=$last
-echo "-- until all are in full service; nobody asks for anything, so that takes a while"
+echo "-- waiting until all three are in full service; without requests this takes a while"
 for k in $(seq 60); do
   build/granitegap members 127.0.0.1:9101 > "$work/members" || true
   [ "$(grep -c 'full service after' "$work/members")" = 3 ] && break
   sleep 1
 done
 cat "$work/members"
-echo "-- the third is killed and started again"
+echo "-- killing and restarting the third"
 kill -9 "$third"
 start 3
 sleep 2
--- a/examples/fleet/n2.cue
+++ b/examples/fleet/n2.cue
@@ -1,4 +1,4 @@
-// One of three processes to try membership on: sh examples/fleet/three.sh
+// Operator file of process 2 of 3 in the membership example. Run: sh examples/fleet/three.sh
 version: 1
 dependencies: []
 gathers: []
--- a/examples/fleet/three.sh
+++ b/examples/fleet/three.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Three tile servers that find each other; the third is paused, and heard again. Run from the top of the project
+# Starts three tile servers that form a fleet, then pauses and resumes the third. Run from the top of the project
 # after the build.
 set -eu
 work=$(mktemp -d)
@@ -14,13 +14,13 @@
 done
 third=$!
 sleep 2
-echo "-- the fleet as the first sees it"
+echo "-- the fleet in the view of the first member"
 build/granitegap members 127.0.0.1:9101
-echo "-- the third is paused"
+echo "-- pausing the third"
 kill -STOP "$third"
 sleep 4
 build/granitegap members 127.0.0.1:9101
-echo "-- and wakes"
+echo "-- resuming the third"
 kill -CONT "$third"
 sleep 2
 build/granitegap members 127.0.0.1:9101
--- a/examples/host.cpp
+++ b/examples/host.cpp
@@ -1,4 +1,4 @@
-// The smallest host: one request arrives, runs and ends.
+// Minimal program that embeds the admission controller: one request arrives, runs and ends.
 #include <granitegap/policy.h>
 
 #include <cstdio>
--- a/examples/try/names.cue
+++ b/examples/try/names.cue
@@ -1,2 +1,2 @@
-// A stand-in for names.example.org.
+// Stand-in for names.example.org.
 phases: [{latency: 8ms}]
--- a/examples/try/parts.sh
+++ b/examples/try/parts.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Route profiles with parts from two stand-in dependencies, on one machine: run from the root, after the build.
+# Requests route profiles with parts from two stand-in dependencies on one machine. Run from the top of the project
+# after the build.
 set -eu
 build/granitegap_toy world >/dev/null &
 toy=$!
@@ -11,13 +12,13 @@
 server=$!
 trap 'kill $toy $elevation $names $server 2>/dev/null || true' EXIT
 sleep 1
-echo "both dependencies are there:"
+echo "both dependencies are available:"
 build/granitegap_toy ask route-profile "blue trail"
 kill $names
-echo "names are gone, and what is kept serves for this trail; another has the declared default:"
+echo "names is unavailable; the first trail gets the cached response, the second the configured fallback:"
 build/granitegap_toy ask route-profile "blue trail"
 build/granitegap_toy ask route-profile "red trail"
 kill $elevation
 sleep 1
-echo "both are gone:"
+echo "both dependencies are unavailable:"
 build/granitegap_toy ask route-profile "green trail"
--- a/examples/try/toy.cpp
+++ b/examples/try/toy.cpp
@@ -1,9 +1,10 @@
-// Stand-ins for everything that a tile server talks to, for a first run on one machine; not for measurements.
+// Stand-ins for the kernel, the receiver of load reports and a client proxy, to try a tile server on one
+// machine. Not suitable for measurements.
 //
-//   granitegap_toy world                       a kernel on 4400 whose runs take 200 ms, and the receiver of
-//                                              load reports on 8761
-//   granitegap_toy ask CLASS BODY [TOKEN]      one request of a client proxy to 7001, and its response
-//   granitegap_toy check                       a health check
+//   granitegap_toy world                       runs a kernel on 4400 whose runs take 200 ms, and a receiver
+//                                              of load reports on 8761
+//   granitegap_toy ask CLASS BODY [TOKEN]      sends one client proxy request to 7001 and prints the response
+//   granitegap_toy check                       sends a health check and prints the result
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -27,7 +28,8 @@
 
 asio::ip::address loopback() { return asio::ip::address_v4::loopback(); }
 
-void watch_list() {
+// Prints each load report that differs from the previous one.
+void print_load_reports() {
   asio::io_context io;
   udp::socket socket(io, {loopback(), 8761});
   for (std::string last;;) {
@@ -38,7 +40,7 @@
   }
 }
 
-// One command a line, one after the other: a kernel with a single slow core.
+// Serves the commands of one tile server one after the other, like a kernel with a single slow core.
 void serve_kernel_link(tcp::socket& link) {
   std::string bytes, notices;
   unsigned number = 0;
@@ -66,46 +68,49 @@
   }
 }
 
-int world() {
-  std::thread(watch_list).detach();
+int run_kernel_and_list() {
+  std::thread(print_load_reports).detach();
   asio::io_context io;
   tcp::acceptor listener(io, {loopback(), 4400});
   std::cout << "toy kernel on 4400, toy list on 8761; stop with Ctrl-C" << std::endl;
   for (;;) {
-    // A kernel of its own for each connection, so that several tile servers can share one toy.
+    // Each connection has its own kernel, so that several tile servers can use one toy process.
     std::thread([link = listener.accept()]() mutable {
       try {
         serve_kernel_link(link);
       } catch (const boost::system::system_error& e) {
-        std::cout << "kernel: link ended: " << e.code().message() << std::endl;
+        std::cout << "kernel: connection to the tile server ended: " << e.code().message() << std::endl;
       }
     }).detach();
   }
 }
 
-std::string number(std::size_t value, int bytes) {
+// Encodes a number as `bytes` bytes in big-endian order.
+std::string encode_number(std::size_t value, int bytes) {
   std::string out;
   while (bytes-- > 0) out += char(value >> (8 * bytes) & 0xff);
   return out;
 }
-std::string field(const std::string& name, const std::string& value) {
-  return number(name.size(), 1) + name + number(value.size(), 2) + value;
+// Encodes a header field with its length prefixes.
+std::string encode_field(const std::string& name, const std::string& value) {
+  return encode_number(name.size(), 1) + name + encode_number(value.size(), 2) + value;
 }
 
-int talk(const std::string& type_stream_payload) {
+// Sends one frame to the tile server, prints the response, and returns its status code.
+int exchange_frame(const std::string& type_stream_payload) {
   asio::io_context io;
   tcp::socket socket(io);
   socket.connect({loopback(), 7001});
-  asio::write(socket, asio::buffer(number(type_stream_payload.size(), 4) + type_stream_payload));
+  asio::write(socket, asio::buffer(encode_number(type_stream_payload.size(), 4) + type_stream_payload));
   std::string head(4, '\0');
   asio::read(socket, asio::buffer(head));
   std::size_t length = 0;
   for (const char c : head) length = length << 8 | std::uint8_t(c);
   std::string rest(length, '\0');
   asio::read(socket, asio::buffer(rest));
-  static constexpr const char* kAnswers[] = {"served", "refused", "failed"};
+  static constexpr const char* kOutcomes[] = {"served", "refused", "failed"};
   const auto code = std::uint8_t(rest.at(5));
-  std::cout << (rest[0] == 7 ? (code ? "bad" : "good") : kAnswers[code % 3]);
+  std::cout << (rest[0] == 7 ? (code ? "bad" : "good") : kOutcomes[code % 3]);
   std::size_t at = 7;
   for (int i = 0; i < rest.at(6); ++i) {
     const auto text = [&](std::size_t size_bytes) {
@@ -121,27 +126,31 @@
   return code;
 }
 
-int ask(const std::string& cls, const std::string& body, const std::string& token) {
+// Sends one request of a client proxy.
+int send_request(const std::string& cls, const std::string& body, const std::string& token) {
   using namespace std::chrono;
   const auto now = duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count();
   char rid[17];
   std::snprintf(rid, sizeof rid, "%016llx",
                 static_cast<unsigned long long>(std::random_device{}()) << 32 | std::random_device{}());
-  auto fields = field("method", cls) + field("rid", rid) + field("t0", std::to_string(now)) +
-                field("peer", "1") + field("acct", "partner-web") + field("est", "200") +
-                field("mem", "24.5") + field("prio", "0.5");
-  if (!token.empty()) fields += field("token", token);
-  return talk(number(0, 1) + number(1, 4) + number(token.empty() ? 8 : 9, 1) + fields + body);
+  auto fields = encode_field("method", cls) + encode_field("rid", rid) +
+                encode_field("t0", std::to_string(now)) + encode_field("peer", "1") +
+                encode_field("acct", "partner-web") + encode_field("est", "200") +
+                encode_field("mem", "24.5") + encode_field("prio", "0.5");
+  if (!token.empty()) fields += encode_field("token", token);
+  return exchange_frame(encode_number(0, 1) + encode_number(1, 4) + encode_number(token.empty() ? 8 : 9, 1) +
+                        fields + body);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::string what = argc > 1 ? argv[1] : "";
+  const std::string command = argc > 1 ? argv[1] : "";
   try {
-    if (what == "world") return world();
-    if (what == "check") return talk(number(6, 1) + number(1, 4) + number(0, 1));
-    if (what == "ask" && argc > 3) return ask(argv[2], argv[3], argc > 4 ? argv[4] : "");
+    if (command == "world") return run_kernel_and_list();
+    if (command == "check")
+      return exchange_frame(encode_number(6, 1) + encode_number(1, 4) + encode_number(0, 1));
+    if (command == "ask" && argc > 3) return send_request(argv[2], argv[3], argc > 4 ? argv[4] : "");
   } catch (const std::exception& e) {
     std::cerr << "granitegap_toy: " << e.what() << '\n';
     return 9;
