--- a/bench/soak/fleet_play.cpp
+++ b/bench/soak/fleet_play.cpp
@@ -195,7 +195,8 @@
   for (std::size_t member = 0; member < size(); ++member) {
     if (may_be_dead_.contains(member)) continue;
     for (const auto& observer : fleet_.names()) {
-      const auto deaths = fleet_.count_in_log(observer, "membership: " + name_of(member) + " is declared dead");
+      const auto deaths =
+          fleet_.count_in_log(observer, "membership: " + name_of(member) + " is declared dead");
       if (deaths == 0) continue;
       violations_.push_back({Rule::member_held_dead, name_of(member) + " by " + observer + ", " +
                                                          std::to_string(deaths) + " times, though it lived"});
