--- a/bench/soak/busy_processes.cpp
+++ b/bench/soak/busy_processes.cpp
@@ -11,7 +11,7 @@
   for (std::size_t i = 0; i < count; ++i) processes_.emplace_back(options);
 }
 
-void stay_busy(std::chrono::milliseconds time_limit) {
+void run_busy_loop(std::chrono::milliseconds time_limit) {
   const auto end = std::chrono::steady_clock::now() + time_limit;
   while (std::chrono::steady_clock::now() < end) {
   }
--- a/bench/soak/busy_processes.h
+++ b/bench/soak/busy_processes.h
@@ -1,7 +1,7 @@
-// Processes that do nothing but use a core, to load the machine during a play.
+// Processes that each keep one core busy, to load the machine during a run of a scenario.
 //
-// Each ends by itself after a time limit, and with this object. Threads: one. Errors: std::runtime_error
-// where no process can be started.
+// Each process exits after a time limit, or when its BusyProcesses object is destroyed. Threads: one. Errors:
+// std::runtime_error if a process can't be started.
 #pragma once
 #include <chrono>
 #include <cstddef>
@@ -11,9 +11,11 @@
 
 namespace granitegap::soak {
 
-// The option by which this program runs as a busy process; its value is the time limit in milliseconds.
+// Command-line option that makes this program run as a busy process. Its value is the time limit in
+// milliseconds.
 inline constexpr char kBusyOption[] = "--busy-ms";
 
+// Starts `count` busy processes and ends them on destruction.
 class BusyProcesses {
  public:
   BusyProcesses(std::size_t count, std::chrono::milliseconds time_limit);
@@ -22,7 +24,7 @@
   std::vector<standin::ChildProcess> processes_;
 };
 
-// What a busy process does.
-void stay_busy(std::chrono::milliseconds time_limit);
+// Runs a busy loop for `time_limit`.
+void run_busy_loop(std::chrono::milliseconds time_limit);
 
 }  // namespace granitegap::soak
--- a/bench/soak/callers.cpp
+++ b/bench/soak/callers.cpp
@@ -14,7 +14,7 @@
 constexpr auto kReconnectPause = 10ms;
 constexpr int kEstimatedCostMs = 1;
 
-// Null where nobody listens.
+// Returns null if the connection to the port fails.
 std::unique_ptr<standin::Client> connect(std::uint16_t port, std::size_t caller) {
   try {
     return std::make_unique<standin::Client>(port, int(caller) + 1);
@@ -25,21 +25,23 @@
 
 }  // namespace
 
-Callers::Callers(CallerOptions options) : options_(std::move(options)), members_(options_.members) {
+CallerPool::CallerPool(CallerOptions options) : options_(std::move(options)), members_(options_.members) {
   for (std::size_t member = 0; member < options_.members; ++member)
     for (std::size_t caller = 0; caller < options_.callers_per_member; ++caller)
       threads_.emplace_back([this, member, caller] { run(member, caller); });
 }
 
-void Callers::stop() {
+void CallerPool::stop() {
   stopped_ = true;
   for (auto& thread : threads_)
     if (thread.joinable()) thread.join();
 }
 
-Callers::Figures Callers::figures() const { return {answered_, served_, whole_, unanswered_, interrupted_}; }
+CallerPool::Figures CallerPool::figures() const {
+  return {answered_, served_, complete_, unanswered_, interrupted_};
+}
 
-void Callers::run(std::size_t member, std::size_t caller) {
+void CallerPool::run(std::size_t member, std::size_t caller) {
   auto& target = members_[member];
   std::unique_ptr<standin::Client> client;
   std::uint16_t connected_port = 0;
@@ -54,24 +56,24 @@
     }
     standin::Request request;
     request.cls = options_.cls;
-    // Each body is another key, so that no response is shared or cached.
+    // Each request has its own body and thus its own cache key, so that no response is shared or cached.
     request.body = std::to_string(member) + "." + std::to_string(caller) + "." + std::to_string(sent);
     request.estimated_cost_ms = kEstimatedCostMs;
-    const bool could_end = target.may_end;
-    const std::uint32_t ends = target.ends;
+    const bool could_terminate = target.may_terminate;
+    const std::uint32_t terminations = target.terminations;
     const auto response = client->call(request, options_.answer_timeout);
     if (response) {
       ++answered_;
       const bool served = response->code == standin::ResponseCode::served;
       if (served) ++served_;
-      if (served && !response->has_missing_parts) ++whole_;
+      if (served && !response->has_missing_parts) ++complete_;
       if (response->retry_after > 0ms)
         std::this_thread::sleep_for(std::min(response->retry_after, kReconnectPause));
       continue;
     }
     client.reset();
-    const bool is_excused = could_end || target.may_end || target.ends != ends;
-    ++(is_excused ? interrupted_ : unanswered_);
+    const bool is_expected = could_terminate || target.may_terminate || target.terminations != terminations;
+    ++(is_expected ? interrupted_ : unanswered_);
   }
 }
 
--- a/bench/soak/draw.h
+++ b/bench/soak/draw.h
@@ -1,4 +1,4 @@
-// Random choices of a seed, the same on each machine.
+// Pseudo-random choices that depend only on a seed and are the same on each machine.
 //
 // Threads: one. No errors.
 #pragma once
@@ -11,23 +11,26 @@
 
 namespace granitegap::soak {
 
-class Draw {
+// Makes the choices of one seed. Their order decides their values.
+class SeededRandom {
  public:
-  explicit Draw(std::uint64_t seed) : random_(seed) {}
+  explicit SeededRandom(std::uint64_t seed) : random_(seed) {}
 
-  // Evenly in [low, high].
+  // Returns a uniformly distributed number in [low, high].
   std::size_t between(std::size_t low, std::size_t high) {
     return low + std::size_t(random_() % (high - low + 1));
   }
   std::chrono::milliseconds milliseconds(std::size_t low, std::size_t high) {
     return std::chrono::milliseconds(between(low, high));
   }
+  // Returns true with a probability of 1/n.
   bool one_in(std::size_t n) { return random_() % n == 0; }
+  // Returns one of the values, each with the same probability.
   template <class T>
   T one_of(std::initializer_list<T> values) {
     return *(values.begin() + std::ptrdiff_t(random_() % values.size()));
   }
-  // `count` different numbers below `size`, in a random order.
+  // Returns `count` different numbers below `size`, in a random order.
   std::vector<std::size_t> sample(std::size_t count, std::size_t size) {
     std::vector<std::size_t> all(size);
     for (std::size_t i = 0; i < size; ++i) all[i] = i;
--- a/bench/soak/fleet_play.cpp
+++ b/bench/soak/fleet_play.cpp
@@ -12,11 +12,11 @@
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
-constexpr auto kLongWait = 60s;
+constexpr auto kWaitTimeout = 60s;
 constexpr auto kPollInterval = 20ms;
-constexpr auto kAnswerTimeout = 20s;  // well over every deadline of the platform's settings
+constexpr auto kAnswerTimeout = 20s;  // well above each deadline in the platform's settings
 constexpr auto kBusyTimeLimit = 120s;
-constexpr char kGatheringClass[] = "route-profile";
+constexpr char kGatherClass[] = "route-profile";
 
 standin::Script dependency_script(std::chrono::milliseconds latency) {
   standin::Phase phase;
@@ -26,12 +26,12 @@
   return {{phase}, {}};
 }
 
-std::string operator_file(const FleetPlayOptions& options, std::uint16_t port) {
+std::string operator_file(const FleetHarnessOptions& options, std::uint16_t port) {
   std::string text =
       "dependencies: [{name: \"e.example.org\", endpoints: [\"127.0.0.1:" + std::to_string(port) +
       "\"], fleet_open: " + std::to_string(options.fleet_limit);
   if (options.fleet_fill) text += ", fleet_fill: true";
-  text += "}]\ngathers: [{class: \"" + std::string(kGatheringClass) +
+  text += "}]\ngathers: [{class: \"" + std::string(kGatherClass) +
           "\", budget: 2s, parts: [{name: \"e\", from: \"e.example.org\", path: \"/e?r={body}\", fresh_for: "
           "10m}]}]\n";
   text += "recovery: {after_lost_memory: \"go_on\", calm_for: 300ms, first: 0.4, growth: 3";
@@ -39,7 +39,7 @@
   return text + "}\n";
 }
 
-fleet::ProcessFleetOptions fleet_options(const FleetPlayOptions& options, std::uint16_t port) {
+fleet::ProcessFleetOptions fleet_options(const FleetHarnessOptions& options, std::uint16_t port) {
   fleet::ProcessFleetOptions fleet;
   fleet.program = options.program;
   fleet.size = options.members;
@@ -50,83 +50,83 @@
   return fleet;
 }
 
-// A fleet that is larger than the limit still has one call for each member.
-std::size_t stated_limit(const FleetPlayOptions& options) {
+// Each member may have one call open even if the fleet has more members than the limit allows calls.
+std::size_t effective_limit(const FleetHarnessOptions& options) {
   return std::max<std::size_t>(options.fleet_limit, options.members);
 }
 
 }  // namespace
 
-FleetPlay::FleetPlay(FleetPlayOptions options)
+FleetHarness::FleetHarness(FleetHarnessOptions options)
     : options_(std::move(options)),
-      meter_(stated_limit(options_)),
+      meter_(effective_limit(options_)),
       dependency_(dependency_script(options_.dependency_latency), options_.seed,
                   [this](std::size_t open) { meter_.report(open); }),
       fleet_(fleet_options(options_, dependency_.port())) {}
 
-FleetPlay::~FleetPlay() = default;
+FleetHarness::~FleetHarness() = default;
 
-void FleetPlay::form() {
+void FleetHarness::form_fleet() {
   for (std::size_t member = 0; member + options_.late_joiners < size(); ++member)
-    fleet_.start(name_of(member));
-  const bool formed = fleet_.wait_until([this] { return fleet_.has_converged(); }, kLongWait);
+    fleet_.start(member_name(member));
+  const bool formed = fleet_.wait_until([this] { return fleet_.has_converged(); }, kWaitTimeout);
   if (!formed) violations_.push_back({Rule::not_converged, "the fleet did not form"});
   CallerOptions callers;
   callers.members = size();
-  callers.cls = kGatheringClass;
+  callers.cls = kGatherClass;
   callers.answer_timeout = kAnswerTimeout;
-  callers_ = std::make_unique<Callers>(callers);
+  callers_ = std::make_unique<CallerPool>(callers);
   update_ports();
   if (options_.busy_processes > 0)
     busy_ = std::make_unique<BusyProcesses>(options_.busy_processes, kBusyTimeLimit);
 }
 
-void FleetPlay::start(std::size_t member) {
-  fleet_.start(name_of(member));
-  callers_->expect_answers(member);
+void FleetHarness::start(std::size_t member) {
+  fleet_.start(member_name(member));
+  callers_->expect_responses(member);
 }
 
-void FleetPlay::kill(std::size_t member) {
-  may_be_dead_.insert(member);
-  callers_->expect_end(member);
-  fleet_.kill(name_of(member));
+void FleetHarness::kill(std::size_t member) {
+  may_be_declared_dead_.insert(member);
+  callers_->expect_termination(member);
+  fleet_.kill(member_name(member));
   callers_->set_port(member, 0);
 }
 
-void FleetPlay::terminate(std::size_t member) {
-  may_be_dead_.insert(member);
-  callers_->expect_end(member);
-  fleet_.terminate(name_of(member));
-  fleet_.wait_until([&] { return fleet_.has_exited(name_of(member)); }, kLongWait);
+void FleetHarness::terminate(std::size_t member) {
+  may_be_declared_dead_.insert(member);
+  callers_->expect_termination(member);
+  fleet_.terminate(member_name(member));
+  fleet_.wait_until([&] { return fleet_.has_exited(member_name(member)); }, kWaitTimeout);
   callers_->set_port(member, 0);
 }
 
-void FleetPlay::pause(std::size_t member, PauseLength length) {
-  if (length == PauseLength::beyond_suspicion) may_be_dead_.insert(member);
-  fleet_.pause(name_of(member));
+void FleetHarness::pause(std::size_t member, PauseLength length) {
+  if (length == PauseLength::longer_than_suspicion) may_be_declared_dead_.insert(member);
+  fleet_.pause(member_name(member));
 }
 
-void FleetPlay::resume(std::size_t member) { fleet_.resume(name_of(member)); }
+void FleetHarness::resume(std::size_t member) { fleet_.resume(member_name(member)); }
 
-void FleetPlay::partition(const std::vector<std::size_t>& one_side) {
+void FleetHarness::partition(const std::vector<std::size_t>& one_side) {
   std::set<std::size_t> side(one_side.begin(), one_side.end()), other;
   for (std::size_t member = 0; member < size(); ++member)
     if (!side.contains(member)) other.insert(member);
   fleet::ProcessFleet::Names from, to;
-  for (const auto member : side) from.insert(name_of(member));
-  for (const auto member : other) to.insert(name_of(member));
+  for (const auto member : side) from.insert(member_name(member));
+  for (const auto member : other) to.insert(member_name(member));
   fleet_.partition(from, to, true);
-  if (side.size() * 2 > size()) may_be_dead_.insert(other.begin(), other.end());
-  if (other.size() * 2 > size()) may_be_dead_.insert(side.begin(), side.end());
+  if (side.size() * 2 > size()) may_be_declared_dead_.insert(other.begin(), other.end());
+  if (other.size() * 2 > size()) may_be_declared_dead_.insert(side.begin(), side.end());
 }
 
-void FleetPlay::update_ports() {
+void FleetHarness::update_ports() {
   const auto running = fleet_.running();
   for (std::size_t member = 0; member < size(); ++member)
-    if (running.contains(name_of(member))) callers_->set_port(member, fleet_.port(name_of(member)));
+    if (running.contains(member_name(member))) callers_->set_port(member, fleet_.port(member_name(member)));
 }
 
-void FleetPlay::run_for(std::chrono::milliseconds time) {
+void FleetHarness::run_for(std::chrono::milliseconds time) {
   const auto end = Clock::now() + time;
   while (Clock::now() < end) {
     update_ports();
@@ -134,37 +134,38 @@
   }
 }
 
-bool FleetPlay::serves(std::size_t member) {
-  const auto port = fleet_.port(name_of(member));
+bool FleetHarness::serves(std::size_t member) {
+  const auto port = fleet_.port(member_name(member));
   if (port == 0) return false;
   standin::Client client(port);
   const auto response = client.call({"tile", "x", {}, {}, 1});
   return response && response->code == standin::ResponseCode::served;
 }
 
-void FleetPlay::wait_until_serving(std::size_t member) {
+void FleetHarness::wait_until_serving(std::size_t member) {
   const bool serving = fleet_.wait_until(
       [&] {
         update_ports();
         return serves(member);
       },
-      kLongWait);
-  if (!serving) violations_.push_back({Rule::member_serves_nobody, name_of(member) + " does not come back"});
+      kWaitTimeout);
+  if (!serving)
+    violations_.push_back({Rule::member_serves_nobody, member_name(member) + " does not come back"});
 }
 
-void FleetPlay::finish(SeedReport& report) {
+void FleetHarness::finish(SeedReport& report) {
   fleet_.heal_all();
   const bool converged = fleet_.wait_until(
       [this] {
         update_ports();
         return fleet_.has_converged();
       },
-      kLongWait);
+      kWaitTimeout);
   if (!converged) violations_.push_back({Rule::not_converged, "views differ after the faults"});
   run_for(500ms);
   callers_->stop();
-  judge_service();
-  judge_deaths();
+  check_service();
+  check_declared_deaths();
 
   const auto calls = meter_.figures();
   const auto requests = callers_->figures();
@@ -176,34 +177,35 @@
   }
   if (requests.unanswered > 0)
     violations_.push_back({Rule::request_unanswered, std::to_string(requests.unanswered) + " requests"});
-  report.figures = {calls.max_open, meter_.limit(),      calls.times_over,
-                    over_ms,        requests.answered,   requests.served,
-                    requests.whole, requests.unanswered, requests.interrupted};
+  report.figures = {calls.max_open,    meter_.limit(),      calls.times_over,
+                    over_ms,           requests.answered,   requests.served,
+                    requests.complete, requests.unanswered, requests.interrupted};
   report.violations = violations_;
   if (!report.violations.empty()) save_logs(report);
 }
 
-void FleetPlay::judge_service() {
+void FleetHarness::check_service() {
   for (const auto& name : fleet_.running()) {
     const auto member = std::size_t(std::stoul(name.substr(1)));
-    if (!fleet_.wait_until([&] { return serves(member); }, kLongWait))
+    if (!fleet_.wait_until([&] { return serves(member); }, kWaitTimeout))
       violations_.push_back({Rule::member_serves_nobody, name});
   }
 }
 
-void FleetPlay::judge_deaths() {
+void FleetHarness::check_declared_deaths() {
   for (std::size_t member = 0; member < size(); ++member) {
-    if (may_be_dead_.contains(member)) continue;
+    if (may_be_declared_dead_.contains(member)) continue;
     for (const auto& observer : fleet_.names()) {
-      const auto deaths = fleet_.count_in_log(observer, "membership: " + name_of(member) + " is held dead");
+      const auto deaths =
+          fleet_.count_in_log(observer, "membership: " + member_name(member) + " is held dead");
       if (deaths == 0) continue;
-      violations_.push_back({Rule::member_held_dead, name_of(member) + " by " + observer + ", " +
+      violations_.push_back({Rule::member_held_dead, member_name(member) + " by " + observer + ", " +
                                                          std::to_string(deaths) + " times, though it lived"});
     }
   }
 }
 
-void FleetPlay::save_logs(SeedReport& report) const {
+void FleetHarness::save_logs(SeedReport& report) const {
   const auto folder = options_.log_folder / (report.scenario + "-" + std::to_string(report.seed));
   std::filesystem::create_directories(folder);
   for (const auto& name : fleet_.names()) std::ofstream(folder / (name + ".log")) << fleet_.log(name);
--- a/bench/soak/fleet_play.h
+++ b/bench/soak/fleet_play.h
@@ -1,11 +1,11 @@
-// One play of a soak: a fleet of real processes that gathers from a stand-in dependency with a fleet-wide
-// limit, under callers that never pause, on a machine that may be loaded.
+// Test harness for one run of a soak scenario: a fleet of real processes that gathers from a stand-in
+// dependency with a fleet-wide limit, under constant load by callers, on a machine that may be busy.
 //
-// A scenario drives it: form(), then faults by way of the methods here, then finish(), which waits until the
-// fleet has converged and judges the counts.
+// A scenario calls form_fleet(), injects faults through the other methods, and then calls finish(), which
+// waits until the fleet has converged and checks the rules.
 //
 // Ownership: owns the fleet, the dependency, the callers and the busy processes. Threads: one, besides its
-// own. Errors: std::runtime_error where processes can't be started.
+// own. Errors: std::runtime_error if processes can't be started.
 #pragma once
 #include <chrono>
 #include <filesystem>
@@ -24,65 +24,70 @@
 
 namespace granitegap::soak {
 
-struct FleetPlayOptions {
+// Settings of one run.
+struct FleetHarnessOptions {
   std::string program;     // path of the granitegap executable
-  std::uint64_t seed = 1;  // of the network and the processes
+  std::uint64_t seed = 1;  // seed of the network and the processes
   std::size_t members = 4;
-  std::size_t late_joiners = 0;   // of the members, the last ones: form() does not start them
+  std::size_t late_joiners = 0;   // number of members, the last ones, that form_fleet() does not start
   std::uint32_t fleet_limit = 8;  // `fleet_open`
   bool fleet_fill = false;
-  bool stored_state = false;  // processes keep a directory over restarts
+  bool stored_state = false;  // each process keeps its folder of stored state over restarts
   std::chrono::milliseconds dependency_latency{20};
   std::size_t busy_processes = 0;
-  std::filesystem::path log_folder;  // where the logs of a faulty play go
+  std::filesystem::path log_folder;  // receives the logs of a run that violated a rule
 };
 
-class FleetPlay {
+// Runs the fleet of one scenario, injects faults and checks the rules.
+class FleetHarness {
  public:
-  explicit FleetPlay(FleetPlayOptions options);
-  ~FleetPlay();
-  FleetPlay(const FleetPlay&) = delete;
-  FleetPlay& operator=(const FleetPlay&) = delete;
+  explicit FleetHarness(FleetHarnessOptions options);
+  ~FleetHarness();
+  FleetHarness(const FleetHarness&) = delete;
+  FleetHarness& operator=(const FleetHarness&) = delete;
 
-  // Starts the members and waits until all see all; then the callers begin, and calls are counted.
-  void form();
+  // Starts the members, waits until their views have converged, and then starts the callers and the busy
+  // processes.
+  void form_fleet();
 
-  static std::string name_of(std::size_t member) { return "n" + std::to_string(member); }
+  static std::string member_name(std::size_t member) { return "n" + std::to_string(member); }
   std::size_t size() const { return options_.members; }
   fleet::ProcessFleet& fleet() { return fleet_; }
 
-  // Faults of processes. A member that ended, or stopped for so long that it can't refute a suspicion, may be
-  // declared dead by the others.
+  // Faults of processes. The others may declare a member dead if its process ended, or was stopped for too
+  // long to refute a suspicion.
   void start(std::size_t member);
   void kill(std::size_t member);
   void terminate(std::size_t member);
-  enum class PauseLength : std::uint8_t { short_of_suspicion, beyond_suspicion };
+  enum class PauseLength : std::uint8_t { shorter_than_suspicion, longer_than_suspicion };
   void pause(std::size_t member, PauseLength length);
   void resume(std::size_t member);
-  // Cuts the network in two. A side without a majority may be declared dead by the other.
+  // Partitions the network into two sides. A majority on one side may declare the members of the other dead.
   void partition(const std::vector<std::size_t>& one_side);
 
-  // Lets the play go on for so long.
+  // Continues the run for `time`.
   void run_for(std::chrono::milliseconds time);
-  // Waits until a member that was started serves; a violation where it doesn't.
+  // Waits until the member serves a request. Records a violation if it doesn't in time.
   void wait_until_serving(std::size_t member);
-  // Ends what is left of the faults, waits for convergence and adds what was violated to the report.
+  // Ends the remaining network faults, waits for convergence, checks the rules and fills in the report.
   void finish(SeedReport& report);
 
  private:
+  // Passes the current ports of the running members to the callers.
   void update_ports();
   bool serves(std::size_t member);
-  void judge_deaths();
-  void judge_service();
+  void check_declared_deaths();
+  void check_service();
   void save_logs(SeedReport& report) const;
 
-  FleetPlayOptions options_;
+  FleetHarnessOptions options_;
   OpenCallMeter meter_;
   standin::DependencyThread dependency_;
   fleet::ProcessFleet fleet_;
   std::unique_ptr<BusyProcesses> busy_;
-  std::unique_ptr<Callers> callers_;
-  std::set<std::size_t> may_be_dead_;  // members that ended, or stopped for long, at any time
+  std::unique_ptr<CallerPool> callers_;
+  std::set<std::size_t>
+      may_be_declared_dead_;  // members that ended, were stopped for long or were in a minority, at any time
   std::vector<Violation> violations_;
 };
 
--- a/bench/soak/fleet_scenario.h
+++ b/bench/soak/fleet_scenario.h
@@ -1,7 +1,7 @@
-// What the scenarios on fleets have in common: one of several faults, drawn by the seed, on a fleet whose
-// size, limits and load are drawn as well.
+// Common part of the scenarios: injects one of several faults into a fleet. The seed chooses the fault and
+// the size, limits and load of the fleet.
 //
-// Threads and errors: as FleetPlay.
+// Threads and errors: as FleetHarness.
 #pragma once
 #include <span>
 
@@ -11,15 +11,15 @@
 
 namespace granitegap::soak {
 
-// A fault of a scenario. `disturb` returns when the fault is over.
+// A fault of a scenario. `inject` returns when the fault is over.
 struct FleetFault {
   const char* name;
-  void (*disturb)(FleetPlay& play, Draw& draw);
-  std::size_t late_joiners = 0;  // FleetPlayOptions::late_joiners
+  void (*inject)(FleetHarness& harness, SeededRandom& random);
+  std::size_t late_joiners = 0;  // FleetHarnessOptions::late_joiners
 };
 
-// Plays one of `faults` on a fleet as `seed` draws it.
-SeedReport play_fleet_scenario(const char* scenario, std::span<const FleetFault> faults, std::uint64_t seed,
-                               const RunOptions& run);
+// Runs the scenario once, with the fault and the fleet that `seed` chooses, and returns its results.
+SeedReport run_fleet_scenario(const char* scenario, std::span<const FleetFault> faults, std::uint64_t seed,
+                              const RunOptions& run_options);
 
 }  // namespace granitegap::soak
--- a/bench/soak/report.cpp
+++ b/bench/soak/report.cpp
@@ -2,7 +2,7 @@
 
 namespace granitegap::soak {
 
-const char* text_of(Rule rule) {
+const char* rule_name(Rule rule) {
   switch (rule) {
     case Rule::fleet_limit_exceeded:
       return "fleet_limit_exceeded";
@@ -18,33 +18,30 @@
   return "unknown";
 }
 
-nlohmann::ordered_json to_json(const PlayFigures& figures) {
-  return {{"max_open", figures.max_open},
-          {"limit", figures.limit},
-          {"times_over", figures.times_over},
-          {"over_ms", figures.over_ms},
-          {"answered", figures.answered},
-          {"served", figures.served},
-          {"whole", figures.whole},
-          {"unanswered", figures.unanswered},
+nlohmann::ordered_json to_json(const RunFigures& figures) {
+  return {{"max_open", figures.max_open},      {"limit", figures.limit},
+          {"times_over", figures.times_over},  {"over_ms", figures.over_ms},
+          {"answered", figures.answered},      {"served", figures.served},
+          {"whole", figures.complete},         {"unanswered", figures.unanswered},
           {"interrupted", figures.interrupted}};
 }
 
 nlohmann::ordered_json to_json(const SeedReport& report) {
-  nlohmann::ordered_json out{{"scenario", report.scenario}, {"seed", report.seed}, {"play", report.play}};
+  nlohmann::ordered_json out{
+      {"scenario", report.scenario}, {"seed", report.seed}, {"play", report.description}};
   out["violations"] = nlohmann::ordered_json::array();
   for (const auto& violation : report.violations)
-    out["violations"].push_back({{"rule", text_of(violation.rule)}, {"detail", violation.detail}});
+    out["violations"].push_back({{"rule", rule_name(violation.rule)}, {"detail", violation.detail}});
   out["figures"] = to_json(report.figures);
   if (!report.logs.empty()) out["logs"] = report.logs;
   return out;
 }
 
 std::string to_text(const SeedReport& report) {
-  auto text = report.scenario + " seed " + std::to_string(report.seed) + ": " + report.play + ": " +
+  auto text = report.scenario + " seed " + std::to_string(report.seed) + ": " + report.description + ": " +
               (report.violations.empty() ? "ok" : "FAULTY") + " " + to_json(report.figures).dump() + "\n";
   for (const auto& violation : report.violations)
-    text += std::string("  ") + text_of(violation.rule) + ": " + violation.detail + "\n";
+    text += std::string("  ") + rule_name(violation.rule) + ": " + violation.detail + "\n";
   if (!report.logs.empty()) text += "  logs: " + report.logs + "\n";
   return text;
 }
--- a/bench/soak/scenario_return.cpp
+++ b/bench/soak/scenario_return.cpp
@@ -1,4 +1,5 @@
-// The scenario `return`: members go and come back while all are asked for a dependency.
+// The scenario `return`: members end and restart, are stopped and resumed, or join late, while callers send
+// requests that need a dependency to all of them.
 
 #include "fleet_scenario.h"
 
@@ -7,53 +8,54 @@
 
 using namespace std::chrono_literals;
 
-void restart_at_once(FleetPlay& play, const std::vector<std::size_t>& members) {
-  for (const auto member : members) play.kill(member);
-  for (const auto member : members) play.start(member);
-  for (const auto member : members) play.wait_until_serving(member);
+// Kills the members and starts them again, all at the same time.
+void restart_together(FleetHarness& harness, const std::vector<std::size_t>& members) {
+  for (const auto member : members) harness.kill(member);
+  for (const auto member : members) harness.start(member);
+  for (const auto member : members) harness.wait_until_serving(member);
 }
 
-void restart_all(FleetPlay& play, Draw& draw) {
-  restart_at_once(play, draw.sample(play.size(), play.size()));
+void restart_all(FleetHarness& harness, SeededRandom& random) {
+  restart_together(harness, random.sample(harness.size(), harness.size()));
 }
 
-void restart_most(FleetPlay& play, Draw& draw) {
-  restart_at_once(play, draw.sample(play.size() * 3 / 4, play.size()));
+void restart_most(FleetHarness& harness, SeededRandom& random) {
+  restart_together(harness, random.sample(harness.size() * 3 / 4, harness.size()));
 }
 
-void rolling_restart(FleetPlay& play, Draw& draw) {
-  const bool gracefully = draw.one_in(2);
-  for (const auto member : draw.sample(play.size(), play.size())) {
+void rolling_restart(FleetHarness& harness, SeededRandom& random) {
+  const bool gracefully = random.one_in(2);
+  for (const auto member : random.sample(harness.size(), harness.size())) {
     if (gracefully)
-      play.terminate(member);
+      harness.terminate(member);
     else
-      play.kill(member);
-    play.start(member);
-    play.wait_until_serving(member);
-    play.run_for(draw.milliseconds(0, 600));
+      harness.kill(member);
+    harness.start(member);
+    harness.wait_until_serving(member);
+    harness.run_for(random.milliseconds(0, 600));
   }
 }
 
-void stop_one_after_another(FleetPlay& play, Draw& draw) {
-  for (const auto member : draw.sample(play.size(), play.size())) {
-    play.pause(member, FleetPlay::PauseLength::beyond_suspicion);
-    play.run_for(draw.milliseconds(200, 1600));
-    play.resume(member);
-    play.run_for(draw.milliseconds(0, 400));
+void stop_one_after_another(FleetHarness& harness, SeededRandom& random) {
+  for (const auto member : random.sample(harness.size(), harness.size())) {
+    harness.pause(member, FleetHarness::PauseLength::longer_than_suspicion);
+    harness.run_for(random.milliseconds(200, 1600));
+    harness.resume(member);
+    harness.run_for(random.milliseconds(0, 400));
   }
 }
 
-void lose_one(FleetPlay& play, Draw& draw) {
-  const auto member = draw.between(0, play.size() - 1);
-  play.kill(member);
-  play.run_for(draw.milliseconds(2000, 5000));
-  play.start(member);
-  play.wait_until_serving(member);
+void lose_one(FleetHarness& harness, SeededRandom& random) {
+  const auto member = random.between(0, harness.size() - 1);
+  harness.kill(member);
+  harness.run_for(random.milliseconds(2000, 5000));
+  harness.start(member);
+  harness.wait_until_serving(member);
 }
 
-void start_late_joiner(FleetPlay& play, Draw&) {
-  play.start(play.size() - 1);
-  play.wait_until_serving(play.size() - 1);
+void start_late_joiner(FleetHarness& harness, SeededRandom&) {
+  harness.start(harness.size() - 1);
+  harness.wait_until_serving(harness.size() - 1);
 }
 
 constexpr FleetFault kFaults[] = {
@@ -68,7 +70,7 @@
 }  // namespace
 
 SeedReport run_return(std::uint64_t seed, const RunOptions& options) {
-  return play_fleet_scenario("return", kFaults, seed, options);
+  return run_fleet_scenario("return", kFaults, seed, options);
 }
 
 }  // namespace granitegap::soak
