--- a/tests/recovery_dependency_process_test.cpp
+++ b/tests/recovery_dependency_process_test.cpp
@@ -1,37 +1,40 @@
-// What a dependency sees of a fleet that recovers, and which of its responses outlive a process.
+// Process tests of recovery with a dependency: the calls it receives from a recovering fleet, and the state
+// of endpoints and the cached responses that are restored after a restart.
 #include "recovery_process_fixture.h"
 
 namespace granitegap::fleet {
 namespace {
 
-// Two endpoints that nobody serves, and a class that gathers from them.
-std::string with_dependency(std::string file) {
-  const std::string none = "dependencies: []\ngathers: []\n";
+// Adds to an operator file a dependency with two endpoints where nothing listens, and a gather for it.
+std::string with_unreachable_dependency(std::string file) {
+  const std::string empty_fields = "dependencies: []\ngathers: []\n";
   return file.replace(
-      file.find(none), none.size(),
+      file.find(empty_fields), empty_fields.size(),
       "dependencies: [{name: \"e.example.org\", endpoints: [\"127.0.0.1:9\", \"127.0.0.1:10\"], eject_for: "
       "20s}]\n"
       "gathers: [{class: \"route-profile\", parts: [{name: \"e\", from: \"e.example.org\", path: "
       "\"/e?r={body}\"}]}]\n");
 }
 
-// A service below that counts what it is asked.
-class Service {
+// A stand-in for a dependency that counts the calls it receives.
+class CountingDependency {
  public:
-  // `capacity`: answers in the making at once; 0: any number.
-  explicit Service(std::uint32_t capacity = 0)
-      : service_(io_, script(capacity), 1, {0}, standin::Dependency::Clock::now()) {
-    service_.prefix_bodies_with_arrival();
+  // `capacity`: maximum number of concurrent calls, 0 for no limit.
+  explicit CountingDependency(std::uint32_t capacity = 0)
+      : dependency_(io_, script(capacity), 1, {0}, standin::Dependency::Clock::now()) {
+    dependency_.prefix_bodies_with_arrival();
     thread_ = std::thread([this] { io_.run(); });
   }
-  ~Service() {
+  ~CountingDependency() {
     io_.stop();
     thread_.join();
   }
-  // One endpoint and no second tries, so that calls are counted and nothing else; the rest of it in `fields`.
-  std::string declared(const std::string& fields) const {
+  // Returns the `dependencies` and `gathers` of an operator file. The dependency has one endpoint, and
+  // neither hedged requests nor retries, so that each gather causes one call. `fields` are its further
+  // fields.
+  std::string operator_fields(const std::string& fields) const {
     return "dependencies: [{name: \"e.example.org\", endpoints: [\"127.0.0.1:" +
-           std::to_string(service_.port(0)) + "\"], hedge_after: 0, most_tries: 1, " + fields +
+           std::to_string(dependency_.port(0)) + "\"], hedge_after: 0, most_tries: 1, " + fields +
            "}]\ngathers: [{class: \"route-profile\", budget: 4s, parts: [{name: \"e\", from: "
            "\"e.example.org\", path: \"/e?r={body}\", fresh_for: 10m}]}]\n";
   }
@@ -48,141 +51,157 @@
   }
   standin::Dependency::Counters counters() {
     std::promise<standin::Dependency::Counters> result;
-    boost::asio::post(io_, [&] { result.set_value(service_.counters()); });
+    boost::asio::post(io_, [&] { result.set_value(dependency_.counters()); });
     return result.get_future().get();
   }
   boost::asio::io_context io_;
-  standin::Dependency service_;
+  standin::Dependency dependency_;
   std::thread thread_;
 };
-ProcessFleetOptions over(const Service& service, const std::string& fields, std::size_t size) {
-  auto o = Ways::made(size, "");
-  const std::string none = "dependencies: []\ngathers: []\n";
-  o.operator_file.replace(o.operator_file.find(none), none.size(), service.declared(fields));
-  return o;
+
+// Returns options of a slow-start fleet that calls `dependency`.
+ProcessFleetOptions options_with_dependency(const CountingDependency& dependency, const std::string& fields,
+                                            std::size_t size) {
+  auto options = SlowStartFleet::slow_start_options(size, "");
+  const std::string empty_fields = "dependencies: []\ngathers: []\n";
+  options.operator_file.replace(options.operator_file.find(empty_fields), empty_fields.size(),
+                                dependency.operator_fields(fields));
+  return options;
 }
-struct Profiles : Ways {
-  using Ways::Ways;
-  // Served with its part.
-  bool whole(const std::string& name, const std::string& route) {
-    const auto a = standin::Client(port(name)).call({"route-profile", route, {}, {}, 5});
-    return a && a->code == standin::ResponseCode::served &&
-           a->body.find(" /e?r=" + route + "\n") != std::string::npos;
+
+// A fleet that serves gathers of the class route-profile.
+struct ProfileFleet : SlowStartFleet {
+  using SlowStartFleet::SlowStartFleet;
+  // Whether the process serves the request with the part of the dependency.
+  bool serves_with_part(const std::string& name, const std::string& route) {
+    const auto response = standin::Client(port(name)).call({"route-profile", route, {}, {}, 5});
+    return response && response->code == standin::ResponseCode::served &&
+           response->body.find(" /e?r=" + route + "\n") != std::string::npos;
   }
 };
 
-// What others found out of a service below the newcomer need not find out again: whom they hold out, it does
-// not choose. Alone in its knowledge it would have.
-TEST(RecoveryProcess, ANewcomerLearnsOfEndpointsFromOthers) {
-  auto o = Ways::made(4, "");
-  o.operator_file = with_dependency(o.operator_file);
-  Ways f(4, o);
-  f.form();
-  for (const auto& name : f.names())
+// A recovering process receives the health of endpoints from donors, and does not choose endpoints that they
+// have ejected. Without the transfer it would call them.
+TEST(RecoveryProcess, ARecoveringProcessRestoresEndpointHealthFromDonors) {
+  auto options = SlowStartFleet::slow_start_options(4, "");
+  options.operator_file = with_unreachable_dependency(options.operator_file);
+  SlowStartFleet fleet(4, options);
+  fleet.start_converged();
+  for (const auto& name : fleet.names())
     for (int k = 0; k < 40; ++k)
-      standin::Client(f.port(name)).call({"route-profile", "r" + std::to_string(k), {}, {}, 5});
-  f.kill("n2");
-  f.start("n2");
-  EXPECT_TRUE(
-      f.wait_until([&] { return f.says("endpoints from ", "n2") && f.says("other members", "n2"); }, kLong))
-      << f.log("n2");
-  EXPECT_TRUE(f.says("restored the health of 1 endpoints", "n2") ||
-              f.says("restored the health of 2 endpoints", "n2"))
-      << f.log("n2");
+      standin::Client(fleet.port(name)).call({"route-profile", "r" + std::to_string(k), {}, {}, 5});
+  fleet.kill("n2");
+  fleet.start("n2");
+  EXPECT_TRUE(fleet.wait_until(
+      [&] { return fleet.has_logged("endpoints from ", "n2") && fleet.has_logged("other members", "n2"); },
+      kConditionTimeout))
+      << fleet.log("n2");
+  EXPECT_TRUE(fleet.has_logged("restored the health of 1 endpoints", "n2") ||
+              fleet.has_logged("restored the health of 2 endpoints", "n2"))
+      << fleet.log("n2");
 }
 
-// Of what all ask for one member asks below, and tells the others; also while that one stands still.
-TEST(RecoveryProcess, OneMemberAsksBelowForAll) {
-  Service service;
-  Profiles f(4, over(service, "fleet_fill: true", 4));
-  f.form();
-  ASSERT_TRUE(f.all_in_service());
-  // Until each knows of the others' doors: then a route that is new to all costs one call.
-  int n = 0;
+// For a resource that all members request, one member calls the dependency and sends the response to the
+// others. Requests are also served while that member is paused.
+TEST(RecoveryProcess, OneMemberCallsTheDependencyForAllMembers) {
+  CountingDependency dependency;
+  ProfileFleet fleet(4, options_with_dependency(dependency, "fleet_fill: true", 4));
+  fleet.start_converged();
+  ASSERT_TRUE(fleet.wait_until_all_in_full_service());
+  // Waits until each member knows the cache fill servers of the others. From then on a new route costs one
+  // call.
+  int route_count = 0;
   const auto one_call = [&] {
-    const auto before = service.calls();
-    const auto route = "new" + std::to_string(++n);
-    for (const auto& name : f.names())
-      if (!f.whole(name, route)) return false;
-    return service.calls() == before + 1;
+    const auto before = dependency.calls();
+    const auto route = "new" + std::to_string(++route_count);
+    for (const auto& name : fleet.names())
+      if (!fleet.serves_with_part(name, route)) return false;
+    return dependency.calls() == before + 1;
   };
-  ASSERT_TRUE(f.wait_until(one_call, kLong)) << f.describe();
-  const auto before = service.calls();
-  std::vector<std::thread> asks;
-  std::atomic<int> good = 0;
-  for (const auto& name : f.names())
-    asks.emplace_back([&, name] {
-      for (int k = 0; k < 20; ++k) good += f.whole(name, "r" + std::to_string(k));
+  ASSERT_TRUE(fleet.wait_until(one_call, kConditionTimeout)) << fleet.describe();
+  const auto before = dependency.calls();
+  std::vector<std::thread> callers;
+  std::atomic<int> served = 0;
+  for (const auto& name : fleet.names())
+    callers.emplace_back([&, name] {
+      for (int k = 0; k < 20; ++k) served += fleet.serves_with_part(name, "r" + std::to_string(k));
     });
-  for (auto& a : asks) a.join();
-  EXPECT_EQ(good, 80);
-  // A stall of this machine may cost one a question to its owner: far fewer than the eighty of each for
-  // itself.
-  EXPECT_GE(service.calls(), before + 20);
-  EXPECT_LT(service.calls(), before + 40);
-  f.pause("n1");  // it fills a quarter of them
-  for (int k = 0; k < 12; ++k) EXPECT_TRUE(f.whole(k % 2 ? "n0" : "n2", "paused" + std::to_string(k)));
-  f.resume("n1");
-  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
+  for (auto& caller : callers) caller.join();
+  EXPECT_EQ(served, 80);
+  // A stall of the machine may make a cache fill request to the key owner fail, which costs an extra call.
+  // That is still far below the 80 calls without cache fill.
+  EXPECT_GE(dependency.calls(), before + 20);
+  EXPECT_LT(dependency.calls(), before + 40);
+  fleet.pause("n1");  // the key owner of a quarter of the routes
+  for (int k = 0; k < 12; ++k)
+    EXPECT_TRUE(fleet.serves_with_part(k % 2 ? "n0" : "n2", "paused" + std::to_string(k)));
+  fleet.resume("n1");
+  EXPECT_TRUE(fleet.wait_until([&] { return fleet.has_converged(); }, kConditionTimeout));
 }
 
-// What was kept outlives its process, by its snapshot, and the fleet's by those that are asked.
-TEST(RecoveryProcess, KeptAnswersOutliveTheirProcess) {
+// Cached responses are restored from the snapshot in a fleet of one, and from donors in a larger one.
+TEST(RecoveryProcess, CachedResponsesAreRestoredAfterARestart) {
   for (const bool alone : {true, false}) {
-    Service service;
-    auto o = over(service, "", alone ? 1 : 3);
+    CountingDependency dependency;
+    auto options = options_with_dependency(dependency, "", alone ? 1 : 3);
     if (alone)
-      o.operator_file.replace(o.operator_file.find("recovery: {"), 11, "recovery: {folder: \"@FOLDER\", ");
-    Profiles f(alone ? 1 : 3, o);
-    f.form();
-    ASSERT_TRUE(f.all_in_service());
-    for (const auto& name : f.names())
-      for (int k = 0; k < 10; ++k) ASSERT_TRUE(f.whole(name, "r" + std::to_string(k)));
-    const auto before = service.calls();
+      options.operator_file.replace(options.operator_file.find("recovery: {"), 11,
+                                    "recovery: {folder: \"@FOLDER\", ");
+    ProfileFleet fleet(alone ? 1 : 3, options);
+    fleet.start_converged();
+    ASSERT_TRUE(fleet.wait_until_all_in_full_service());
+    for (const auto& name : fleet.names())
+      for (int k = 0; k < 10; ++k) ASSERT_TRUE(fleet.serves_with_part(name, "r" + std::to_string(k)));
+    const auto before = dependency.calls();
     if (alone) {
-      f.terminate("n0");  // in order: the last snapshot is written
-      ASSERT_TRUE(f.wait_until([&] { return f.has_exited("n0"); }, kLong));
+      fleet.terminate("n0");  // a graceful shutdown writes the last snapshot
+      ASSERT_TRUE(fleet.wait_until([&] { return fleet.has_exited("n0"); }, kConditionTimeout));
     } else {
-      f.kill("n0");
+      fleet.kill("n0");
     }
-    f.start("n0");
-    ASSERT_TRUE(f.wait_until(
-        [&] { return f.says("cached responses from", "n0") && f.port("n0") && f.answers("n0"); }, kLong))
-        << f.log("n0");
-    for (int k = 0; k < 10; ++k) EXPECT_TRUE(f.whole("n0", "r" + std::to_string(k)));
-    EXPECT_EQ(service.calls(), before);
+    fleet.start("n0");
+    ASSERT_TRUE(fleet.wait_until(
+        [&] {
+          return fleet.has_logged("cached responses from", "n0") && fleet.port("n0") &&
+                 fleet.serves_reads("n0");
+        },
+        kConditionTimeout))
+        << fleet.log("n0");
+    for (int k = 0; k < 10; ++k) EXPECT_TRUE(fleet.serves_with_part("n0", "r" + std::to_string(k)));
+    EXPECT_EQ(dependency.calls(), before);
   }
 }
 
-// A service that can do just so much, when all come back at once and want it: everybody is answered, and few
-// calls are open there. While a member sees only one other its share is half of the fleet's four, so that
-// four of them may have eight; each for itself would have all of its eight callers' open.
-TEST(RecoveryProcess, AServiceAtItsLimitIsNotFallenUpon) {
-  Service service(2);
-  auto o = over(service, "fleet_open: 4", 4);
-  Profiles f(4, o);
-  f.form();
-  ASSERT_TRUE(f.all_in_service());
-  for (const auto& name : f.names()) f.kill(name);
-  for (const auto& name : f.names()) f.start(name);
+// All members restart at once and call a dependency with a limited capacity: all requests are answered, and
+// few calls are open at once. The limit of the fleet is four. While a member sees only one other, its share
+// is half of that, so four members may have eight calls open. Without a shared limit each would have one for
+// each of its eight callers.
+TEST(RecoveryProcess, OpenCallsToADependencyAreLimitedWhenAllMembersRestart) {
+  CountingDependency dependency(2);
+  auto options = options_with_dependency(dependency, "fleet_open: 4", 4);
+  ProfileFleet fleet(4, options);
+  fleet.start_converged();
+  ASSERT_TRUE(fleet.wait_until_all_in_full_service());
+  for (const auto& name : fleet.names()) fleet.kill(name);
+  for (const auto& name : fleet.names()) fleet.start(name);
   std::atomic<int> answered = 0;
-  std::vector<std::thread> asks;
-  for (const auto& name : f.names()) {
-    ASSERT_TRUE(f.wait_until([&] { return f.port(name) != 0; }, kLong));
+  std::vector<std::thread> callers;
+  for (const auto& name : fleet.names()) {
+    ASSERT_TRUE(fleet.wait_until([&] { return fleet.port(name) != 0; }, kConditionTimeout));
     for (int t = 0; t < 8; ++t)
-      asks.emplace_back([&, name, t] {
+      callers.emplace_back([&, name, t] {
         for (int k = 0; k < 10; ++k) {
           const auto route = "r" + std::to_string(t) + "." + std::to_string(k) + name;
-          const auto a = standin::Client(f.port(name)).call({"route-profile", route, {}, {}, 5});
-          answered += a.has_value();
+          const auto response = standin::Client(fleet.port(name)).call({"route-profile", route, {}, {}, 5});
+          answered += response.has_value();
         }
       });
   }
-  for (auto& a : asks) a.join();
+  for (auto& caller : callers) caller.join();
   EXPECT_EQ(answered, 320);
-  EXPECT_LE(service.max_open(), 8u);
-  ASSERT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
-  EXPECT_TRUE(f.all_in_service());
+  EXPECT_LE(dependency.max_open(), 8u);
+  ASSERT_TRUE(fleet.wait_until([&] { return fleet.has_converged(); }, kConditionTimeout));
+  EXPECT_TRUE(fleet.wait_until_all_in_full_service());
 }
 
 }  // namespace
--- a/tests/recovery_slow_start_process_test.cpp
+++ b/tests/recovery_slow_start_process_test.cpp
@@ -1,193 +1,219 @@
-// State transfer and slow start between real processes, after restarts, pauses and partitions.
+// Process tests of state transfer and slow start after restarts, pauses and partitions.
 #include "recovery_process_fixture.h"
 
 namespace granitegap::fleet {
 namespace {
 
-// One among healthy ones: it learns from them, proves itself, and says how long all of it took.
-TEST(RecoveryProcess, OneThatRestartsLearnsFromTheRunning) {
-  Ways f(5);
-  f.form();
-  f.kill("n2");
-  f.start("n2");
-  ASSERT_TRUE(f.all_in_service()) << f.describe();
-  const auto w = f.way("n2");
-  ASSERT_TRUE(w);
-  EXPECT_EQ(w->sources.size(), 3u) << f.log("n2");
-  EXPECT_EQ(w->offered, 100);
-  EXPECT_FALSE(w->bounded);
-  for (const auto ms : w->reached_ms) EXPECT_GE(ms, 0) << f.log("n2");
-  EXPECT_LE(w->reached_ms[2], w->reached_ms[4]);  // half before all
-  EXPECT_TRUE(f.says("recovery: full service after", "n2"));
-  EXPECT_TRUE(f.wait_until(
+// One process restarts in a healthy fleet: it receives warm state from three donors, ramps to full service,
+// and reports how long each step took.
+TEST(RecoveryProcess, ARestartedProcessReceivesWarmStateFromDonors) {
+  SlowStartFleet fleet(5);
+  fleet.start_converged();
+  fleet.kill("n2");
+  fleet.start("n2");
+  ASSERT_TRUE(fleet.wait_until_all_in_full_service()) << fleet.describe();
+  const auto report = fleet.recovery_report("n2");
+  ASSERT_TRUE(report);
+  EXPECT_EQ(report->sources.size(), 3u) << fleet.log("n2");
+  EXPECT_EQ(report->offered, 100);
+  EXPECT_FALSE(report->bounded);
+  for (const auto ms : report->reached_ms) EXPECT_GE(ms, 0) << fleet.log("n2");
+  EXPECT_LE(report->reached_ms[2], report->reached_ms[4]);  // half of full service before full service
+  EXPECT_TRUE(fleet.has_logged("recovery: full service after", "n2"));
+  EXPECT_TRUE(fleet.wait_until(
       [&] {
-        const auto v = f.view("n0");
-        for (const auto& l : v->members)
-          if (l.name == "n2") return l.recovery_status.full_service_ms > 0;
+        const auto view = fleet.view("n0");
+        for (const auto& member : view->members)
+          if (member.name == "n2") return member.recovery_status.full_service_ms > 0;
         return false;
       },
-      kLong));
+      kConditionTimeout));
 }
 
-TEST(RecoveryProcess, TheRecoveryCommandShowsIt) {
-  Ways f(1);
-  f.up();
-  const auto address = membership_udp::text_of(f.bound("n0"));
-  const auto run = [&](const std::string& words) { return f.run_command("recovery " + words); };
-  const auto [good, text] = run(address + " --json");
-  EXPECT_EQ(good, 0);
+TEST(RecoveryProcess, TheRecoveryCommandPrintsTheReport) {
+  SlowStartFleet fleet(1);
+  fleet.start_serving();
+  const auto address = membership_udp::text_of(fleet.bound("n0"));
+  const auto run_recovery = [&](const std::string& arguments) {
+    return fleet.run_command("recovery " + arguments);
+  };
+  const auto [exit_status, text] = run_recovery(address + " --json");
+  EXPECT_EQ(exit_status, 0);
   for (const char* field : {"state", "since_ms", "kind", "offered", "left_ms", "learned_from", "full_ms"})
     EXPECT_NE(text.find(std::string("\"") + field + "\""), std::string::npos) << text;
-  EXPECT_EQ(run(address).exit_status, 0);
-  EXPECT_EQ(run("nowhere").exit_status, 2);
+  EXPECT_EQ(run_recovery(address).exit_status, 0);
+  EXPECT_EQ(run_recovery("nowhere").exit_status, 2);
 }
 
-// All at once: nobody to learn from, nobody is waited for, all come back; and again while they still ramp.
-TEST(RecoveryProcess, AllThatRestartAtOnceComeBackAlsoFromASecondTime) {
-  Ways f(6);
-  f.form();
+// All members restart at once, and again while they ramp. There are no donors then, and no process may wait
+// for one: all reach full service.
+TEST(RecoveryProcess, AFleetRestartedTwiceReachesFullServiceWithoutDonors) {
+  SlowStartFleet fleet(6);
+  fleet.start_converged();
   for (int round = 0; round < 2; ++round) {
-    for (const auto& name : f.names()) f.kill(name);
-    for (const auto& name : f.names()) f.start(name);
+    for (const auto& name : fleet.names()) fleet.kill(name);
+    for (const auto& name : fleet.names()) fleet.start(name);
     if (round == 0) {
-      ASSERT_TRUE(f.wait_until([&] { return f.way("n0") && f.way("n0")->phase == "ramping"; }, kLong))
-          << f.describe();
+      ASSERT_TRUE(fleet.wait_until(
+          [&] { return fleet.recovery_report("n0") && fleet.recovery_report("n0")->phase == "ramping"; },
+          kConditionTimeout))
+          << fleet.describe();
     }
   }
-  ASSERT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong)) << f.describe();
-  ASSERT_TRUE(f.all_in_service()) << f.describe();
-  for (const auto& name : f.names()) EXPECT_TRUE(f.way(name)->sources.empty()) << f.log(name);
+  ASSERT_TRUE(fleet.wait_until([&] { return fleet.has_converged(); }, kConditionTimeout)) << fleet.describe();
+  ASSERT_TRUE(fleet.wait_until_all_in_full_service()) << fleet.describe();
+  for (const auto& name : fleet.names())
+    EXPECT_TRUE(fleet.recovery_report(name)->sources.empty()) << fleet.log(name);
 }
 
-// Most of the fleet restarts; those left are guarded, and the guard goes when the others are back.
-TEST(RecoveryProcess, SurvivorsAreGuardedUntilTheOthersAreBack) {
-  Ways f(6);
-  f.form();
-  for (const char* name : {"n2", "n3", "n4", "n5"}) f.kill(name);
-  for (const char* name : {"n2", "n3", "n4", "n5"}) f.start(name);
-  EXPECT_TRUE(f.wait_until(
-      [&] { return f.says("expected waits are bounded while other members recover", "n0"); }, kLong));
-  ASSERT_TRUE(f.all_in_service()) << f.describe();
-  EXPECT_TRUE(f.wait_until([&] { return !f.way("n0")->bounded && !f.way("n1")->bounded; }, kLong))
-      << f.log("n0");
+// Most of the fleet restarts. The survivors bound their expected waits until the others have recovered.
+TEST(RecoveryProcess, SurvivorsBoundExpectedWaitsUntilTheOthersRecover) {
+  SlowStartFleet fleet(6);
+  fleet.start_converged();
+  for (const char* name : {"n2", "n3", "n4", "n5"}) fleet.kill(name);
+  for (const char* name : {"n2", "n3", "n4", "n5"}) fleet.start(name);
+  EXPECT_TRUE(fleet.wait_until(
+      [&] { return fleet.has_logged("expected waits are bounded while other members recover", "n0"); },
+      kConditionTimeout));
+  ASSERT_TRUE(fleet.wait_until_all_in_full_service()) << fleet.describe();
+  EXPECT_TRUE(fleet.wait_until(
+      [&] { return !fleet.recovery_report("n0")->bounded && !fleet.recovery_report("n1")->bounded; },
+      kConditionTimeout))
+      << fleet.log("n0");
 }
 
-// Newcomers behind a cut learn from their own half alone.
-TEST(RecoveryProcess, BehindAPartitionOnlyTheOwnHalfIsAsked) {
-  Ways f(6);
-  f.form();
-  f.partition({"n0", "n1", "n2"}, {"n3", "n4", "n5"}, true);
-  ASSERT_TRUE(f.wait_until(
+// A process that restarts during a partition receives warm state only from its own side.
+TEST(RecoveryProcess, DuringAPartitionOnlyMembersOfTheSameSideAreDonors) {
+  SlowStartFleet fleet(6);
+  fleet.start_converged();
+  fleet.partition({"n0", "n1", "n2"}, {"n3", "n4", "n5"}, true);
+  ASSERT_TRUE(fleet.wait_until(
       [&] {
-        for (const char* mine : {"n0", "n1", "n2"})
-          for (const char* theirs : {"n3", "n4", "n5"})
-            if (f.status_of(mine, theirs) == membership::Status::alive) return false;
+        for (const char* member : {"n0", "n1", "n2"})
+          for (const char* other : {"n3", "n4", "n5"})
+            if (fleet.status_of(member, other) == membership::Status::alive) return false;
         return true;
       },
-      kLong));
-  f.kill("n2");
-  f.start("n2");
-  ASSERT_TRUE(
-      f.wait_until([&] { return f.says("recovery: warm state received from", "n2") && f.way("n2"); }, kLong));
-  const auto asked = f.way("n2").value();
-  for (const auto& s : asked.sources) EXPECT_TRUE(s.name == "n0" || s.name == "n1") << s.name;
-  f.heal_all();
-  EXPECT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
-  EXPECT_TRUE(f.all_in_service());
+      kConditionTimeout));
+  fleet.kill("n2");
+  fleet.start("n2");
+  ASSERT_TRUE(fleet.wait_until(
+      [&] {
+        return fleet.has_logged("recovery: warm state received from", "n2") && fleet.recovery_report("n2");
+      },
+      kConditionTimeout));
+  const auto report = fleet.recovery_report("n2").value();
+  for (const auto& source : report.sources)
+    EXPECT_TRUE(source.name == "n0" || source.name == "n1") << source.name;
+  fleet.heal_all();
+  EXPECT_TRUE(fleet.wait_until([&] { return fleet.has_converged(); }, kConditionTimeout));
+  EXPECT_TRUE(fleet.wait_until_all_in_full_service());
 }
 
-// Donors that stand still in the middle give their place to others; what they send when they wake is
-// nobody's.
-TEST(RecoveryProcess, ADonorThatStandsStillIsLeftForTheNext) {
-  Ways f(6, "learn_most: 5s");
-  f.form();
-  const auto before = f.count_in_log("n0", "recovery: warm state received from");
-  f.kill("n0");
-  f.pause("n3");  // of n0's zone: asked first
-  f.start("n0");
-  ASSERT_TRUE(f.has_learned("n0")) << f.log("n0");
-  const auto learned = f.way("n0").value();
-  for (const auto& s : learned.sources) EXPECT_NE(s.name, "n3");
-  f.resume("n3");
-  ASSERT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
-  EXPECT_EQ(f.count_in_log("n0", "recovery: warm state received from"), before + 1);  // once a life
+// A donor that is paused during the transfer is replaced by another. What it sends after it resumes is
+// discarded.
+TEST(RecoveryProcess, APausedDonorIsReplacedByAnother) {
+  SlowStartFleet fleet(6, "learn_most: 5s");
+  fleet.start_converged();
+  const auto before = fleet.count_in_log("n0", "recovery: warm state received from");
+  fleet.kill("n0");
+  fleet.pause("n3");  // in the zone of n0, so queried first
+  fleet.start("n0");
+  ASSERT_TRUE(fleet.wait_until_transfer_ended("n0")) << fleet.log("n0");
+  const auto report = fleet.recovery_report("n0").value();
+  for (const auto& source : report.sources) EXPECT_NE(source.name, "n3");
+  fleet.resume("n3");
+  ASSERT_TRUE(fleet.wait_until([&] { return fleet.has_converged(); }, kConditionTimeout));
+  EXPECT_EQ(fleet.count_in_log("n0", "recovery: warm state received from"), before + 1);  // once per process
 }
 
-// One that dies in the middle, its connection taken and the question with it.
-TEST(RecoveryProcess, ADonorThatDiesInTheMiddleIsLeftForTheNext) {
-  Ways f(6, "learn_most: 10s");
-  f.form();
-  f.kill("n0");
-  f.pause("n3");  // of n0's zone: asked first
-  f.start("n0");
-  ASSERT_TRUE(f.wait_until([&] { return f.way("n0") && f.way("n0")->phase != "blank"; }, kLong));
-  f.kill("n3");
-  ASSERT_TRUE(f.has_learned("n0")) << f.log("n0");
-  const auto learned = f.way("n0").value();
-  for (const auto& s : learned.sources) EXPECT_NE(s.name, "n3");
-  ASSERT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
+// A donor crashes during the transfer, after it has accepted the connection and the query.
+TEST(RecoveryProcess, ADonorThatCrashesDuringTheTransferIsReplacedByAnother) {
+  SlowStartFleet fleet(6, "learn_most: 10s");
+  fleet.start_converged();
+  fleet.kill("n0");
+  fleet.pause("n3");  // in the zone of n0, so queried first
+  fleet.start("n0");
+  ASSERT_TRUE(fleet.wait_until(
+      [&] { return fleet.recovery_report("n0") && fleet.recovery_report("n0")->phase != "blank"; },
+      kConditionTimeout));
+  fleet.kill("n3");
+  ASSERT_TRUE(fleet.wait_until_transfer_ended("n0")) << fleet.log("n0");
+  const auto report = fleet.recovery_report("n0").value();
+  for (const auto& source : report.sources) EXPECT_NE(source.name, "n3");
+  ASSERT_TRUE(fleet.wait_until([&] { return fleet.has_converged(); }, kConditionTimeout));
 }
 
-// Kernels that stay cold: what they do at that pace is proven, and that is full service.
-TEST(RecoveryProcess, AKernelThatStaysColdIsNoReasonToStayAway) {
-  Ways f(2);
-  for (const auto& name : f.names()) f.set_speed(name, {0.1, 10min, 8});
-  f.form();
-  for (const auto& name : f.names()) {
-    f.kill(name);
-    f.reboot_kernel(name);
+// Kernels that stay slow after a restart: the ramp ends at the throughput that they sustain, which counts as
+// full service.
+TEST(RecoveryProcess, FullServiceIsReachedWithAKernelThatStaysCold) {
+  SlowStartFleet fleet(2);
+  for (const auto& name : fleet.names()) fleet.set_speed(name, {0.1, 10min, 8});
+  fleet.start_converged();
+  for (const auto& name : fleet.names()) {
+    fleet.kill(name);
+    fleet.reboot_kernel(name);
   }
-  for (const auto& name : f.names()) f.start(name);
-  ASSERT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
-  EXPECT_TRUE(f.all_in_service()) << f.describe();
+  for (const auto& name : fleet.names()) fleet.start(name);
+  ASSERT_TRUE(fleet.wait_until([&] { return fleet.has_converged(); }, kConditionTimeout));
+  EXPECT_TRUE(fleet.wait_until_all_in_full_service()) << fleet.describe();
 }
 
-// Whoever stood still while its peers moved on takes its own memory for old, and asks them.
-TEST(RecoveryProcess, ALongPauseIsAWayBack) {
-  Ways f(4, "pause_most: 1s");
-  f.form();
-  f.pause("n1");
-  ASSERT_TRUE(f.wait_until([&] { return f.all_report("n1", membership::Status::dead); }, kLong));
-  f.resume("n1");
-  EXPECT_TRUE(f.wait_until(
-      [&] { return f.says("this process was paused for longer than recovery.pause_most", "n1"); }, kLong))
-      << f.log("n1");
-  ASSERT_TRUE(f.wait_until([&] { return f.has_converged(); }, kLong));
-  ASSERT_TRUE(f.all_in_service()) << f.describe();
-  EXPECT_EQ(f.way("n1")->recoveries, 1u);
+// After a pause longer than recovery.pause_most a process treats its own state as outdated and recovers from
+// the other members.
+TEST(RecoveryProcess, ALongPauseStartsARecovery) {
+  SlowStartFleet fleet(4, "pause_most: 1s");
+  fleet.start_converged();
+  fleet.pause("n1");
+  ASSERT_TRUE(
+      fleet.wait_until([&] { return fleet.all_report("n1", membership::Status::dead); }, kConditionTimeout));
+  fleet.resume("n1");
+  EXPECT_TRUE(fleet.wait_until(
+      [&] { return fleet.has_logged("this process was paused for longer than recovery.pause_most", "n1"); },
+      kConditionTimeout))
+      << fleet.log("n1");
+  ASSERT_TRUE(fleet.wait_until([&] { return fleet.has_converged(); }, kConditionTimeout));
+  ASSERT_TRUE(fleet.wait_until_all_in_full_service()) << fleet.describe();
+  EXPECT_EQ(fleet.recovery_report("n1")->recoveries, 1u);
 }
 
-// A machine that restarts under a process that goes on: its kernel is cold, and the way back begins again.
-TEST(RecoveryProcess, AKernelThatStartsAnewIsAWayBack) {
-  Ways f(1);
-  f.set_speed("n0", {0.5, 300ms, 8});
-  f.up();
-  ASSERT_TRUE(f.all_in_service());
-  f.reboot_kernel("n0");
-  EXPECT_TRUE(f.wait_until([&] { return f.way("n0")->recoveries == 1; }, kLong)) << f.log("n0");
-  EXPECT_TRUE(f.all_in_service());
+// The kernel restarts while the process keeps running: the kernel is cold, so the recovery starts again.
+TEST(RecoveryProcess, AKernelRebootStartsARecovery) {
+  SlowStartFleet fleet(1);
+  fleet.set_speed("n0", {0.5, 300ms, 8});
+  fleet.start_serving();
+  ASSERT_TRUE(fleet.wait_until_all_in_full_service());
+  fleet.reboot_kernel("n0");
+  EXPECT_TRUE(
+      fleet.wait_until([&] { return fleet.recovery_report("n0")->recoveries == 1; }, kConditionTimeout))
+      << fleet.log("n0");
+  EXPECT_TRUE(fleet.wait_until_all_in_full_service());
 }
 
-// The notice to leave while it learns, and while it ramps: all that was read is answered.
-TEST(RecoveryProcess, TheNoticeToLeaveOnTheWayIsAnOrderlyEnd) {
+// Shutdown is requested during the state transfer, and during the ramp: all requests that were read are
+// answered.
+TEST(RecoveryProcess, ShutdownDuringRecoveryAnswersAllRequests) {
   for (const char* phase : {"learning", "ramping"}) {
-    Ways f(2, "learn_most: 20s, first: 0.01, growth: 1.1");
-    f.start("n0");
-    ASSERT_TRUE(f.wait_until([&] { return f.port("n0") != 0 && f.answers("n0"); }, kLong));
+    SlowStartFleet fleet(2, "learn_most: 20s, first: 0.01, growth: 1.1");
+    fleet.start("n0");
+    ASSERT_TRUE(fleet.wait_until([&] { return fleet.port("n0") != 0 && fleet.serves_reads("n0"); },
+                                 kConditionTimeout));
     if (phase == std::string("ramping")) {
-      f.start("n1");  // it knows nothing either: nobody is left to ask
+      fleet.start("n1");  // has no warm state either, so no donor remains
     }
-    ASSERT_TRUE(f.wait_until([&] { return f.way("n0")->phase == phase; }, kLong)) << f.log("n0");
-    standin::Client caller(f.port("n0"));
-    std::thread asks([&] {
-      const auto a = caller.call({"tile", "x", {}, {}, 5});
-      EXPECT_TRUE(a.has_value());
+    ASSERT_TRUE(
+        fleet.wait_until([&] { return fleet.recovery_report("n0")->phase == phase; }, kConditionTimeout))
+        << fleet.log("n0");
+    standin::Client caller(fleet.port("n0"));
+    std::thread request([&] {
+      const auto response = caller.call({"tile", "x", {}, {}, 5});
+      EXPECT_TRUE(response.has_value());
     });
-    f.terminate("n0");
-    asks.join();
-    EXPECT_TRUE(f.wait_until([&] { return f.has_exited("n0"); }, kLong));
-    EXPECT_EQ(f.exit_status("n0"), 0);
-    EXPECT_TRUE(f.says("stopped: all requests answered")) << f.log("n0");
+    fleet.terminate("n0");
+    request.join();
+    EXPECT_TRUE(fleet.wait_until([&] { return fleet.has_exited("n0"); }, kConditionTimeout));
+    EXPECT_EQ(fleet.exit_status("n0"), 0);
+    EXPECT_TRUE(fleet.has_logged("stopped: all requests answered")) << fleet.log("n0");
   }
 }
 
